--- a/src/program/alarms.rs
+++ b/src/program/alarms.rs
@@ -6,8 +6,8 @@
 use walnuthatch_drains::book::Book;
 use walnuthatch_drains::drain::State;
 use walnuthatch_drains::plan::Stage;
-use walnuthatch_figures::alarms::{Key, Rule, Severity};
-use walnuthatch_figures::service::Service;
+use walnuthatch_metrics::alarms::{Key, Rule, Severity};
+use walnuthatch_metrics::service::Service;
 
 /// When alarms are raised.
 pub type Marks = AlarmMarks;
--- a/src/program/appliance.rs
+++ b/src/program/appliance.rs
@@ -25,9 +25,9 @@
 use walnuthatch_drains::saved::Saved;
 use walnuthatch_drains::target::{Exchange, Health, Now, Site, Target};
 use walnuthatch_drains::SECOND;
-use walnuthatch_figures::alarms::{Alarms, Change};
-use walnuthatch_figures::delays::{Delays, Exchanges, Quantiles};
-use walnuthatch_figures::service::{Fate, Service, FATES, WINDOWS};
+use walnuthatch_metrics::alarms::{Alarms, Change};
+use walnuthatch_metrics::delays::{Delays, Exchanges, Quantiles};
+use walnuthatch_metrics::service::{Fate, Service, FATES, WINDOWS};
 
 /// Events kept for whoever asks later.
 const EVENTS: usize = 512;
@@ -552,7 +552,7 @@
             },
             Topic::Alarms => {
                 let of =
-                    |(key, a): (&walnuthatch_figures::alarms::Key, &walnuthatch_figures::alarms::Alarm)| {
+                    |(key, a): (&walnuthatch_metrics::alarms::Key, &walnuthatch_metrics::alarms::Alarm)| {
                         views::Alarm {
                             alarm: key.to_string(),
                             severity: a.rule.severity.name().to_owned(),
