--- a/crates/metrics/src/service.rs
+++ b/crates/metrics/src/service.rs
@@ -8,9 +8,9 @@
 
 /// How a call ended, as its caller saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Fate {
+pub enum CallOutcome {
     /// It stands, within the aim.
-    InAim,
+    WithinObjective,
     /// It stands, later.
     Late,
     /// Refused: its destination, or this controller, is drained.
@@ -26,49 +26,52 @@
     /// Refused: the exchange ended it with a fault, or the number was busy.
     Fault,
     /// Refused without a set-up: no way was open.
-    NoWay,
+    NoRoute,
     /// Failed.
     Failed,
     /// The caller left before its answer.
     Abandoned,
 }
 
-/// All fates, in the order in which they are shown.
-pub const FATES: [Fate; 11] = [
-    Fate::InAim,
-    Fate::Late,
-    Fate::Drained,
-    Fate::NoCircuit,
-    Fate::TurnedBack,
-    Fate::ProcessorFull,
-    Fate::Unanswered,
-    Fate::Fault,
-    Fate::NoWay,
-    Fate::Failed,
-    Fate::Abandoned,
+/// All outcomes, in the order in which they are shown.
+pub const OUTCOMES: [CallOutcome; 11] = [
+    CallOutcome::WithinObjective,
+    CallOutcome::Late,
+    CallOutcome::Drained,
+    CallOutcome::NoCircuit,
+    CallOutcome::TurnedBack,
+    CallOutcome::ProcessorFull,
+    CallOutcome::Unanswered,
+    CallOutcome::Fault,
+    CallOutcome::NoRoute,
+    CallOutcome::Failed,
+    CallOutcome::Abandoned,
 ];
 
-impl Fate {
+impl CallOutcome {
     /// Its name in views.
     pub fn name(self) -> &'static str {
         match self {
-            Fate::InAim => "in_aim",
-            Fate::Late => "late",
-            Fate::Drained => "drained",
-            Fate::NoCircuit => "no_circuit",
-            Fate::TurnedBack => "turned_back",
-            Fate::ProcessorFull => "processor_full",
-            Fate::Unanswered => "unanswered",
-            Fate::Fault => "fault",
-            Fate::NoWay => "no_way",
-            Fate::Failed => "failed",
-            Fate::Abandoned => "abandoned",
+            CallOutcome::WithinObjective => "in_aim",
+            CallOutcome::Late => "late",
+            CallOutcome::Drained => "drained",
+            CallOutcome::NoCircuit => "no_circuit",
+            CallOutcome::TurnedBack => "turned_back",
+            CallOutcome::ProcessorFull => "processor_full",
+            CallOutcome::Unanswered => "unanswered",
+            CallOutcome::Fault => "fault",
+            CallOutcome::NoRoute => "no_way",
+            CallOutcome::Failed => "failed",
+            CallOutcome::Abandoned => "abandoned",
         }
     }
 
     /// Whether it is a refusal.
     pub fn refused(self) -> bool {
-        !matches!(self, Fate::InAim | Fate::Late | Fate::Failed | Fate::Abandoned)
+        !matches!(
+            self,
+            CallOutcome::WithinObjective | CallOutcome::Late | CallOutcome::Failed | CallOutcome::Abandoned
+        )
     }
 }
 
@@ -76,30 +79,30 @@
 pub const WINDOWS: [usize; 3] = [10, 60, 3600];
 const RING: usize = WINDOWS[2];
 
-/// Counts by fate.
+/// Counts by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts([u32; FATES.len()]);
+pub struct Counts([u32; OUTCOMES.len()]);
 
 impl Counts {
-    /// How many had this fate.
-    pub fn of(&self, fate: Fate) -> u32 {
-        self.0[fate as usize]
+    /// How many had this outcome.
+    pub fn of(&self, outcome: CallOutcome) -> u32 {
+        self.0[outcome as usize]
     }
 
     /// All calls that were answered.
     pub fn answered(&self) -> u32 {
-        FATES.iter().filter(|f| **f != Fate::Abandoned).map(|f| self.of(*f)).sum()
+        OUTCOMES.iter().filter(|f| **f != CallOutcome::Abandoned).map(|f| self.of(*f)).sum()
     }
 
     /// Refused ones.
     pub fn refused(&self) -> u32 {
-        FATES.iter().filter(|f| f.refused()).map(|f| self.of(*f)).sum()
+        OUTCOMES.iter().filter(|f| f.refused()).map(|f| self.of(*f)).sum()
     }
 
     /// Share of the answered ones that stand within the aim; `None` if there were none.
     pub fn in_aim(&self) -> Option<f64> {
         let all = self.answered();
-        (all > 0).then(|| f64::from(self.of(Fate::InAim)) / f64::from(all))
+        (all > 0).then(|| f64::from(self.of(CallOutcome::WithinObjective)) / f64::from(all))
     }
 }
 
@@ -140,10 +143,10 @@
     }
 
     /// Counts a call.
-    pub fn count(&mut self, now: Micros, fate: Fate) {
+    pub fn count(&mut self, now: Micros, outcome: CallOutcome) {
         self.advance(now);
-        self.ring[Self::at(self.second)].0[fate as usize] += 1;
-        self.sums.iter_mut().for_each(|s| s.0[fate as usize] += 1);
+        self.ring[Self::at(self.second)].0[outcome as usize] += 1;
+        self.sums.iter_mut().for_each(|s| s.0[outcome as usize] += 1);
     }
 
     /// The windows as of the last [`Service::advance`], in the order of [`WINDOWS`].
@@ -170,13 +173,13 @@
         fn each_window_has_what_a_plain_count_has(steps in prop::collection::vec((0i64..900_000_000, 0usize..11), 1..60)) {
             let (mut now, mut all) = (5 * SECOND, Vec::new());
             let mut service = Service::new(now);
-            for (pass, fate) in steps {
-                now += pass / (1 + fate as i64 * fate as i64);
-                service.count(now, FATES[fate]);
-                all.push((now.div_euclid(SECOND), FATES[fate]));
+            for (pass, outcome) in steps {
+                now += pass / (1 + outcome as i64 * outcome as i64);
+                service.count(now, OUTCOMES[outcome]);
+                all.push((now.div_euclid(SECOND), OUTCOMES[outcome]));
                 for (sum, length) in service.windows().iter().zip(WINDOWS) {
                     let since = now.div_euclid(SECOND) - length as i64;
-                    for f in FATES {
+                    for f in OUTCOMES {
                         let plain = all.iter().filter(|c| c.0 > since && c.1 == f).count();
                         prop_assert_eq!(sum.of(f) as usize, plain);
                     }
@@ -189,7 +192,13 @@
     fn shares_are_of_what_was_answered() {
         let mut s = Service::new(0);
         assert_eq!(s.windows()[0].in_aim(), None);
-        for f in [Fate::InAim, Fate::InAim, Fate::NoCircuit, Fate::Failed, Fate::Abandoned] {
+        for f in [
+            CallOutcome::WithinObjective,
+            CallOutcome::WithinObjective,
+            CallOutcome::NoCircuit,
+            CallOutcome::Failed,
+            CallOutcome::Abandoned,
+        ] {
             s.count(SECOND, f);
         }
         let w = s.windows()[0];
--- a/src/program/appliance.rs
+++ b/src/program/appliance.rs
@@ -27,7 +27,7 @@
 use walnuthatch_drains::SECOND;
 use walnuthatch_metrics::alarms::{Alarms, Change};
 use walnuthatch_metrics::delays::{Delays, Exchanges, Quantiles};
-use walnuthatch_metrics::service::{Fate, Service, FATES, WINDOWS};
+use walnuthatch_metrics::service::{CallOutcome, Service, OUTCOMES, WINDOWS};
 
 /// Events kept for whoever asks later.
 const EVENTS: usize = 512;
@@ -201,8 +201,8 @@
             }
             LedgerOutput::Answer { call, answer, taken, destination, last, .. } => {
                 self.answers.count(now, now - taken);
-                let fate = match answer {
-                    Answer::Failed => Fate::Failed,
+                let outcome = match answer {
+                    Answer::Failed => CallOutcome::Failed,
                     Answer::Refused { .. } => self.refusal(*destination, *last),
                     Answer::Stands(_) => {
                         if let Some(Last { leg: Some(leg), took, .. }) = last {
@@ -214,31 +214,31 @@
                         let class = ledger.offer_of(*call).map_or(0, |o| o.ask.class);
                         let aim = aims.get(class).copied().unwrap_or(Micros::MAX);
                         if now - taken <= aim {
-                            Fate::InAim
+                            CallOutcome::WithinObjective
                         } else {
-                            Fate::Late
+                            CallOutcome::Late
                         }
                     }
                 };
-                self.service.count(now, fate);
+                self.service.count(now, outcome);
             }
             _ => {}
         }
     }
 
     /// Why a call was refused, as far as its last attempt, or the lack of one, tells.
-    fn refusal(&self, destination: ExchangeNo, last: Option<Last>) -> Fate {
+    fn refusal(&self, destination: ExchangeNo, last: Option<Last>) -> CallOutcome {
         let w = self.book.withdrawn();
         match last.and_then(|l| l.how) {
-            _ if w.all || w.exchanges.contains(&Exchange(destination.0)) => Fate::Drained,
-            Some((_, Cause::NoCircuit)) => Fate::NoCircuit,
-            Some((_, Cause::ProcessorFull(_) | Cause::FarProcessorFull)) => Fate::ProcessorFull,
-            Some((_, Cause::TurnedBack)) => Fate::TurnedBack,
-            Some((Ending::Fault, _) | (_, Cause::LinesBusy)) => Fate::Fault,
-            Some((Ending::Full, _)) => Fate::TurnedBack,
-            Some((Ending::NotSent, _)) => Fate::NoCircuit,
-            Some(_) => Fate::Unanswered,
-            None => Fate::NoWay,
+            _ if w.all || w.exchanges.contains(&Exchange(destination.0)) => CallOutcome::Drained,
+            Some((_, Cause::NoCircuit)) => CallOutcome::NoCircuit,
+            Some((_, Cause::ProcessorFull(_) | Cause::FarProcessorFull)) => CallOutcome::ProcessorFull,
+            Some((_, Cause::TurnedBack)) => CallOutcome::TurnedBack,
+            Some((Ending::Fault, _) | (_, Cause::LinesBusy)) => CallOutcome::Fault,
+            Some((Ending::Full, _)) => CallOutcome::TurnedBack,
+            Some((Ending::NotSent, _)) => CallOutcome::NoCircuit,
+            Some(_) => CallOutcome::Unanswered,
+            None => CallOutcome::NoRoute,
         }
     }
 
@@ -302,7 +302,7 @@
             self.traffic.held(now.steady, Exchange(to.0), Exchange(leg.0), calls, span);
         }
         let abandoned = scene.ledger.tally().abandoned;
-        (self.abandoned..abandoned).for_each(|_| self.service.count(now.steady, Fate::Abandoned));
+        (self.abandoned..abandoned).for_each(|_| self.service.count(now.steady, CallOutcome::Abandoned));
         self.abandoned = abandoned;
         self.service.advance(now.steady);
         self.answers.advance(now.steady);
@@ -336,8 +336,12 @@
     /// How calls fare that are not for what is drained.
     fn health(&self) -> Health {
         let short = self.service.windows()[0];
-        let answered = short.answered() - short.of(Fate::Drained);
-        let good = if answered > 0 { f64::from(short.of(Fate::InAim)) / f64::from(answered) } else { 0.0 };
+        let answered = short.answered() - short.of(CallOutcome::Drained);
+        let good = if answered > 0 {
+            f64::from(short.of(CallOutcome::WithinObjective)) / f64::from(answered)
+        } else {
+            0.0
+        };
         Health { answered, good }
     }
 
@@ -624,7 +628,7 @@
             seconds: seconds as u64,
             answered: counts.answered(),
             in_aim_share: counts.in_aim(),
-            by_fate: FATES.iter().map(|f| (f.name().to_owned(), counts.of(*f))).collect(),
+            by_fate: OUTCOMES.iter().map(|f| (f.name().to_owned(), counts.of(*f))).collect(),
         });
         let q = self.answers.quantiles();
         views::Service {
