--- a/crates/metrics/src/service.rs
+++ b/crates/metrics/src/service.rs
@@ -1,6 +1,6 @@
 //! How calls fared, over three windows that end now.
 //!
-//! Counts lie in a ring of one bucket a second, for an hour. The sum of each window is kept beside it, and brought
+//! OutcomeCounts lie in a ring of one bucket a second, for an hour. The sum of each window is kept beside it, and brought
 //! up to date as seconds pass: to read a window costs nothing, and to pass a second costs three subtractions for
 //! each kind, however many calls there were.
 
@@ -79,47 +79,47 @@
 pub const WINDOWS: [usize; 3] = [10, 60, 3600];
 const RING: usize = WINDOWS[2];
 
-/// Counts by outcome.
+/// OutcomeCounts by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts([u32; OUTCOMES.len()]);
+pub struct OutcomeCounts([u32; OUTCOMES.len()]);
 
-impl Counts {
+impl OutcomeCounts {
     /// How many had this outcome.
-    pub fn of(&self, outcome: CallOutcome) -> u32 {
+    pub fn get(&self, outcome: CallOutcome) -> u32 {
         self.0[outcome as usize]
     }
 
     /// All calls that were answered.
     pub fn answered(&self) -> u32 {
-        OUTCOMES.iter().filter(|f| **f != CallOutcome::Abandoned).map(|f| self.of(*f)).sum()
+        OUTCOMES.iter().filter(|f| **f != CallOutcome::Abandoned).map(|f| self.get(*f)).sum()
     }
 
     /// Refused ones.
     pub fn refused(&self) -> u32 {
-        OUTCOMES.iter().filter(|f| f.refused()).map(|f| self.of(*f)).sum()
+        OUTCOMES.iter().filter(|f| f.refused()).map(|f| self.get(*f)).sum()
     }
 
     /// Share of the answered ones that stand within the aim; `None` if there were none.
-    pub fn in_aim(&self) -> Option<f64> {
+    pub fn share_within_objective(&self) -> Option<f64> {
         let all = self.answered();
-        (all > 0).then(|| f64::from(self.of(CallOutcome::WithinObjective)) / f64::from(all))
+        (all > 0).then(|| f64::from(self.get(CallOutcome::WithinObjective)) / f64::from(all))
     }
 }
 
 /// The ring and its windows.
 #[derive(Clone, Debug)]
-pub struct Service {
-    ring: Box<[Counts]>,
-    sums: [Counts; WINDOWS.len()],
+pub struct ServiceWindows {
+    ring: Box<[OutcomeCounts]>,
+    sums: [OutcomeCounts; WINDOWS.len()],
     /// The second that is being counted.
     second: i64,
 }
 
-impl Service {
+impl ServiceWindows {
     /// Nothing was counted before `now`.
-    pub fn new(now: Micros) -> Service {
-        let ring = vec![Counts::default(); RING].into();
-        Service { ring, sums: Default::default(), second: now.div_euclid(SECOND) }
+    pub fn new(now: Micros) -> ServiceWindows {
+        let ring = vec![OutcomeCounts::default(); RING].into();
+        ServiceWindows { ring, sums: Default::default(), second: now.div_euclid(SECOND) }
     }
 
     fn at(second: i64) -> usize {
@@ -130,7 +130,7 @@
     pub fn advance(&mut self, now: Micros) {
         let second = now.div_euclid(SECOND);
         if second - self.second >= RING as i64 {
-            *self = Service::new(now);
+            *self = ServiceWindows::new(now);
         }
         while self.second < second {
             self.second += 1;
@@ -138,19 +138,19 @@
                 let left = self.ring[Self::at(self.second - length as i64)];
                 sum.0.iter_mut().zip(left.0).for_each(|(s, l)| *s -= l);
             }
-            self.ring[Self::at(self.second)] = Counts::default();
+            self.ring[Self::at(self.second)] = OutcomeCounts::default();
         }
     }
 
-    /// Counts a call.
-    pub fn count(&mut self, now: Micros, outcome: CallOutcome) {
+    /// OutcomeCounts a call.
+    pub fn record(&mut self, now: Micros, outcome: CallOutcome) {
         self.advance(now);
         self.ring[Self::at(self.second)].0[outcome as usize] += 1;
         self.sums.iter_mut().for_each(|s| s.0[outcome as usize] += 1);
     }
 
-    /// The windows as of the last [`Service::advance`], in the order of [`WINDOWS`].
-    pub fn windows(&self) -> &[Counts; WINDOWS.len()] {
+    /// The windows as of the last [`ServiceWindows::advance`], in the order of [`WINDOWS`].
+    pub fn windows(&self) -> &[OutcomeCounts; WINDOWS.len()] {
         &self.sums
     }
 
@@ -172,16 +172,16 @@
         #[test]
         fn each_window_has_what_a_plain_count_has(steps in prop::collection::vec((0i64..900_000_000, 0usize..11), 1..60)) {
             let (mut now, mut all) = (5 * SECOND, Vec::new());
-            let mut service = Service::new(now);
+            let mut service = ServiceWindows::new(now);
             for (pass, outcome) in steps {
                 now += pass / (1 + outcome as i64 * outcome as i64);
-                service.count(now, OUTCOMES[outcome]);
+                service.record(now, OUTCOMES[outcome]);
                 all.push((now.div_euclid(SECOND), OUTCOMES[outcome]));
                 for (sum, length) in service.windows().iter().zip(WINDOWS) {
                     let since = now.div_euclid(SECOND) - length as i64;
                     for f in OUTCOMES {
                         let plain = all.iter().filter(|c| c.0 > since && c.1 == f).count();
-                        prop_assert_eq!(sum.of(f) as usize, plain);
+                        prop_assert_eq!(sum.get(f) as usize, plain);
                     }
                 }
             }
@@ -190,8 +190,8 @@
 
     #[test]
     fn shares_are_of_what_was_answered() {
-        let mut s = Service::new(0);
-        assert_eq!(s.windows()[0].in_aim(), None);
+        let mut s = ServiceWindows::new(0);
+        assert_eq!(s.windows()[0].share_within_objective(), None);
         for f in [
             CallOutcome::WithinObjective,
             CallOutcome::WithinObjective,
@@ -199,10 +199,10 @@
             CallOutcome::Failed,
             CallOutcome::Abandoned,
         ] {
-            s.count(SECOND, f);
+            s.record(SECOND, f);
         }
         let w = s.windows()[0];
-        assert_eq!((w.in_aim(), w.refused(), w.answered()), (Some(0.5), 1, 4));
+        assert_eq!((w.share_within_objective(), w.refused(), w.answered()), (Some(0.5), 1, 4));
         assert_eq!(s.history::<2>(), [0, 4]);
         s.advance(12 * SECOND);
         assert_eq!((s.windows()[0].answered(), s.windows()[1].answered()), (0, 4));
--- a/src/program/alarms.rs
+++ b/src/program/alarms.rs
@@ -7,7 +7,7 @@
 use walnuthatch_drains::drain::State;
 use walnuthatch_drains::plan::Stage;
 use walnuthatch_metrics::alarms::{Key, Rule, Severity};
-use walnuthatch_metrics::service::Service;
+use walnuthatch_metrics::service::ServiceWindows;
 
 /// When alarms are raised.
 pub type Marks = AlarmMarks;
@@ -28,7 +28,13 @@
 }
 
 /// All values as they are now.
-pub fn looks(marks: &Marks, scene: &Scene<'_>, service: &Service, book: &Book, wall: Micros) -> Vec<Look> {
+pub fn looks(
+    marks: &Marks,
+    scene: &Scene<'_>,
+    service: &ServiceWindows,
+    book: &Book,
+    wall: Micros,
+) -> Vec<Look> {
     let mut out = Vec::new();
     let rule = |raise: f64, clear: f64, severity| Rule {
         raise,
@@ -43,7 +49,8 @@
         out.push(Look { key: Key { kind, subject }, value, rule, text });
     };
     let [short, minute, _] = service.windows();
-    let missed = minute.in_aim().filter(|_| minute.answered() >= FEW).map_or(0.0, |share| 1.0 - share);
+    let missed =
+        minute.share_within_objective().filter(|_| minute.answered() >= FEW).map_or(0.0, |share| 1.0 - share);
     let mark = 1.0 - marks.in_aim_under;
     let text = format!("{:.0}% of the last minute's calls stand within the aim", (1.0 - missed) * 100.0);
     add("service", String::new(), missed, rule(mark.max(0.001), mark * 0.7, Severity::Critical), text);
--- a/src/program/appliance.rs
+++ b/src/program/appliance.rs
@@ -27,7 +27,7 @@
 use walnuthatch_drains::SECOND;
 use walnuthatch_metrics::alarms::{Alarms, Change};
 use walnuthatch_metrics::delays::{Delays, Exchanges, Quantiles};
-use walnuthatch_metrics::service::{CallOutcome, Service, OUTCOMES, WINDOWS};
+use walnuthatch_metrics::service::{CallOutcome, ServiceWindows, OUTCOMES, WINDOWS};
 
 /// Events kept for whoever asks later.
 const EVENTS: usize = 512;
@@ -57,7 +57,7 @@
 pub struct Appliance {
     book: Book,
     traffic: Traffic,
-    service: Service,
+    service: ServiceWindows,
     answers: Delays,
     exchanges: Exchanges,
     alarms: Alarms,
@@ -118,7 +118,7 @@
         let mut appliance = Appliance {
             book,
             traffic: Traffic::default(),
-            service: Service::new(now.steady),
+            service: ServiceWindows::new(now.steady),
             answers: Delays::default(),
             exchanges: Exchanges::default(),
             alarms: Alarms::default(),
@@ -220,7 +220,7 @@
                         }
                     }
                 };
-                self.service.count(now, outcome);
+                self.service.record(now, outcome);
             }
             _ => {}
         }
@@ -302,7 +302,7 @@
             self.traffic.held(now.steady, Exchange(to.0), Exchange(leg.0), calls, span);
         }
         let abandoned = scene.ledger.tally().abandoned;
-        (self.abandoned..abandoned).for_each(|_| self.service.count(now.steady, CallOutcome::Abandoned));
+        (self.abandoned..abandoned).for_each(|_| self.service.record(now.steady, CallOutcome::Abandoned));
         self.abandoned = abandoned;
         self.service.advance(now.steady);
         self.answers.advance(now.steady);
@@ -336,9 +336,9 @@
     /// How calls fare that are not for what is drained.
     fn health(&self) -> Health {
         let short = self.service.windows()[0];
-        let answered = short.answered() - short.of(CallOutcome::Drained);
+        let answered = short.answered() - short.get(CallOutcome::Drained);
         let good = if answered > 0 {
-            f64::from(short.of(CallOutcome::WithinObjective)) / f64::from(answered)
+            f64::from(short.get(CallOutcome::WithinObjective)) / f64::from(answered)
         } else {
             0.0
         };
@@ -627,8 +627,8 @@
         let spans = self.service.windows().iter().zip(WINDOWS).map(|(counts, seconds)| views::Span {
             seconds: seconds as u64,
             answered: counts.answered(),
-            in_aim_share: counts.in_aim(),
-            by_fate: OUTCOMES.iter().map(|f| (f.name().to_owned(), counts.of(*f))).collect(),
+            in_aim_share: counts.share_within_objective(),
+            by_fate: OUTCOMES.iter().map(|f| (f.name().to_owned(), counts.get(*f))).collect(),
         });
         let q = self.answers.quantiles();
         views::Service {
