--- a/src/program/appliance.rs
+++ b/src/program/appliance.rs
@@ -26,7 +26,7 @@
 use walnuthatch_drains::target::{Exchange, Health, Now, Site, Target};
 use walnuthatch_drains::SECOND;
 use walnuthatch_metrics::alarms::{Alarms, Change};
-use walnuthatch_metrics::delays::{Delays, Exchanges, Quantiles};
+use walnuthatch_metrics::delays::{MetricsByExchange, Quantiles, RollingHistogram};
 use walnuthatch_metrics::service::{CallOutcome, ServiceWindows, OUTCOMES, WINDOWS};
 
 /// Events kept for whoever asks later.
@@ -58,8 +58,8 @@
     book: Book,
     traffic: Traffic,
     service: ServiceWindows,
-    answers: Delays,
-    exchanges: Exchanges,
+    answers: RollingHistogram,
+    exchanges: MetricsByExchange,
     alarms: Alarms,
     marks: Marks,
     links: BTreeSet<(ExchangeNo, ExchangeNo)>,
@@ -119,8 +119,8 @@
             book,
             traffic: Traffic::default(),
             service: ServiceWindows::new(now.steady),
-            answers: Delays::default(),
-            exchanges: Exchanges::default(),
+            answers: RollingHistogram::default(),
+            exchanges: MetricsByExchange::default(),
             alarms: Alarms::default(),
             marks: config.alarms,
             links: config.links.clone(),
@@ -190,25 +190,25 @@
                 let leg = ledger.withdrawals().exchange_of(*office);
                 let Some((leg, offer)) = leg.zip(ledger.offer_of(*call)) else { return };
                 self.traffic.sent(now, Exchange(offer.ask.destination.0), Exchange(leg.0));
-                if let Some(e) = self.exchanges.of(leg.0) {
-                    e.sent(now);
+                if let Some(e) = self.exchanges.entry(leg.0) {
+                    e.record_attempt(now);
                 }
             }
             LedgerOutput::AttemptEnded { leg: Some(leg), .. } => {
-                if let Some(e) = self.exchanges.of(leg.0) {
-                    e.turned_away += 1;
+                if let Some(e) = self.exchanges.entry(leg.0) {
+                    e.unsuccessful_attempts += 1;
                 }
             }
             LedgerOutput::Answer { call, answer, taken, destination, last, .. } => {
-                self.answers.count(now, now - taken);
+                self.answers.record(now, now - taken);
                 let outcome = match answer {
                     Answer::Failed => CallOutcome::Failed,
                     Answer::Refused { .. } => self.refusal(*destination, *last),
                     Answer::Stands(_) => {
                         if let Some(Last { leg: Some(leg), took, .. }) = last {
                             self.traffic.stood(now, Exchange(destination.0), Exchange(leg.0));
-                            if let Some(e) = self.exchanges.of(leg.0) {
-                                e.set_ups.count(now, *took);
+                            if let Some(e) = self.exchanges.entry(leg.0) {
+                                e.setup_times.record(now, *took);
                             }
                         }
                         let class = ledger.offer_of(*call).map_or(0, |o| o.ask.class);
@@ -306,7 +306,7 @@
         self.abandoned = abandoned;
         self.service.advance(now.steady);
         self.answers.advance(now.steady);
-        self.exchanges.pass(now.steady);
+        self.exchanges.advance(now.steady);
         let list: BTreeSet<u16> = site.neighbours().iter().map(|n| n.exchange.0).collect();
         self.exchanges.retain(|e| list.contains(&e));
         let lost = self.log.as_ref().map_or(0, |l| l.lost());
@@ -614,9 +614,9 @@
                 format!("{group}{}", d.state.name())
             });
             if let Some(f) = self.exchanges.get(e.exchange) {
-                let Quantiles { count, p50, p99, .. } = f.set_ups.quantiles();
+                let Quantiles { count, p50, p99, .. } = f.setup_times.quantiles();
                 (e.stood, e.p50_ms, e.p99_ms) = (count, millis(p50), millis(p99));
-                e.turned_away = f.turned_away;
+                e.turned_away = f.unsuccessful_attempts;
                 e.history = f.history().to_vec();
             }
         }
