--- a/crates/metrics/src/alarms.rs
+++ b/crates/metrics/src/alarms.rs
@@ -6,7 +6,7 @@
 use std::fmt;
 
 /// Alarms kept at once. Guards memory against subjects that never end; more are counted.
-pub const MOST: usize = 256;
+pub const MAX_ALARMS: usize = 256;
 
 /// How grave it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -29,29 +29,29 @@
 
 /// When an alarm is raised and cleared.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Rule {
+pub struct AlarmRule {
     /// Raised at this value or over.
     pub raise: f64,
     /// Cleared at this value or under.
     pub clear: f64,
     /// It must be over for so long (µs).
-    pub hold: Micros,
+    pub raise_delay: Micros,
     /// It must be under for so long (µs).
-    pub calm: Micros,
+    pub clear_delay: Micros,
     /// How grave it is.
     pub severity: Severity,
 }
 
 /// What an alarm is of.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Key {
+pub struct AlarmKey {
     /// The kind.
     pub kind: &'static str,
     /// Of what; empty: of the whole.
     pub subject: String,
 }
 
-impl fmt::Display for Key {
+impl fmt::Display for AlarmKey {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.subject.is_empty() {
             true => f.write_str(self.kind),
@@ -75,7 +75,7 @@
 pub struct Alarm {
     state: State,
     /// The rule that it is judged by.
-    pub rule: Rule,
+    pub rule: AlarmRule,
     /// When it was raised.
     pub since: Micros,
     /// The value at the last look.
@@ -85,63 +85,63 @@
     /// What it says.
     pub text: String,
     /// Who has seen it.
-    pub seen_by: Option<String>,
+    pub acknowledged_by: Option<String>,
 }
 
 /// What became of an alarm.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Change {
+pub enum AlarmChange {
     /// It was raised.
-    Raised(Key, Alarm),
+    Raised(AlarmKey, Alarm),
     /// It was cleared, after so long.
-    Cleared(Key, Micros),
+    Cleared(AlarmKey, Micros),
 }
 
 /// All alarms.
 #[derive(Debug, Default)]
 pub struct Alarms {
-    all: BTreeMap<Key, Alarm>,
+    all: BTreeMap<AlarmKey, Alarm>,
     /// Raised ones that found no place.
-    pub lost: u64,
+    pub dropped: u64,
 }
 
 impl Alarms {
     /// Looks at a value. `text` is only asked for when it is shown.
-    pub fn look(
+    pub fn evaluate(
         &mut self,
         now: Micros,
-        key: Key,
+        key: AlarmKey,
         value: f64,
-        rule: Rule,
+        rule: AlarmRule,
         text: impl FnOnce() -> String,
-    ) -> Option<Change> {
+    ) -> Option<AlarmChange> {
         let (over, under) = (value >= rule.raise, value <= rule.clear);
         if !self.all.contains_key(&key) {
             if !over {
                 return None;
             }
-            if self.all.len() >= MOST {
-                self.lost += 1;
+            if self.all.len() >= MAX_ALARMS {
+                self.dropped += 1;
                 return None;
             }
         }
-        let fresh = Alarm {
+        let new_alarm = Alarm {
             state: State::Pending(now),
             rule,
             since: now,
             value,
             worst: value,
             text: String::new(),
-            seen_by: None,
+            acknowledged_by: None,
         };
-        let alarm = self.all.entry(key.clone()).or_insert(fresh);
+        let alarm = self.all.entry(key.clone()).or_insert(new_alarm);
         (alarm.value, alarm.rule) = (value, rule);
         match alarm.state {
             State::Pending(_) if !over => drop(self.all.remove(&key)),
-            State::Pending(since) if now - since >= rule.hold => {
+            State::Pending(since) if now - since >= rule.raise_delay => {
                 (alarm.state, alarm.since, alarm.worst) = (State::Raised, now, value);
                 alarm.text = text();
-                return Some(Change::Raised(key, alarm.clone()));
+                return Some(AlarmChange::Raised(key, alarm.clone()));
             }
             State::Pending(_) => {}
             State::Raised | State::Clearing(_) => {
@@ -152,10 +152,10 @@
                     _ => now,
                 };
                 alarm.state = if under { State::Clearing(since) } else { State::Raised };
-                if under && now - since >= rule.calm {
-                    let raised = now - alarm.since;
+                if under && now - since >= rule.clear_delay {
+                    let raised_for = now - alarm.since;
                     self.all.remove(&key);
-                    return Some(Change::Cleared(key, raised));
+                    return Some(AlarmChange::Cleared(key, raised_for));
                 }
             }
         }
@@ -163,24 +163,24 @@
     }
 
     /// Forgets alarms whose subject is no longer there; those that were raised are cleared.
-    pub fn retain(&mut self, now: Micros, there: impl Fn(&Key) -> bool) -> Vec<Change> {
-        let gone: Vec<Key> = self.all.keys().filter(|k| !there(k)).cloned().collect();
-        let clear = |key: Key| {
+    pub fn retain(&mut self, now: Micros, is_current: impl Fn(&AlarmKey) -> bool) -> Vec<AlarmChange> {
+        let removed: Vec<AlarmKey> = self.all.keys().filter(|k| !is_current(k)).cloned().collect();
+        let clear = |key: AlarmKey| {
             let alarm = self.all.remove(&key)?;
             let raised = !matches!(alarm.state, State::Pending(_));
-            raised.then(|| Change::Cleared(key, now - alarm.since))
+            raised.then(|| AlarmChange::Cleared(key, now - alarm.since))
         };
-        gone.into_iter().filter_map(clear).collect()
+        removed.into_iter().filter_map(clear).collect()
     }
 
     /// Somebody has seen an alarm. `false`: there is none of this name.
-    pub fn seen(&mut self, name: &str, who: &str) -> bool {
+    pub fn acknowledge(&mut self, name: &str, operator: &str) -> bool {
         let found = self.all.iter_mut().find(|(k, a)| a.raised() && k.to_string() == name);
-        found.map(|(_, a)| a.seen_by = Some(who.to_owned())).is_some()
+        found.map(|(_, a)| a.acknowledged_by = Some(operator.to_owned())).is_some()
     }
 
     /// Those that are raised, the gravest first, then the oldest.
-    pub fn raised(&self) -> Vec<(&Key, &Alarm)> {
+    pub fn raised(&self) -> Vec<(&AlarmKey, &Alarm)> {
         let mut raised: Vec<_> = self.all.iter().filter(|a| a.1.raised()).collect();
         raised.sort_by_key(|(_, a)| (std::cmp::Reverse(a.rule.severity), a.since));
         raised
@@ -199,20 +199,25 @@
     use super::*;
     use crate::SECOND;
 
-    const RULE: Rule =
-        Rule { raise: 0.2, clear: 0.1, hold: 5 * SECOND, calm: 10 * SECOND, severity: Severity::Warning };
+    const RULE: AlarmRule = AlarmRule {
+        raise: 0.2,
+        clear: 0.1,
+        raise_delay: 5 * SECOND,
+        clear_delay: 10 * SECOND,
+        severity: Severity::Warning,
+    };
 
     fn run(values: impl Iterator<Item = (Micros, f64)>) -> Vec<(Micros, bool)> {
-        let (mut alarms, mut out) = (Alarms::default(), Vec::new());
+        let (mut alarms, mut changes) = (Alarms::default(), Vec::new());
         for (now, v) in values {
-            let key = Key { kind: "refusals", subject: String::new() };
-            match alarms.look(now, key, v, RULE, String::new) {
-                Some(Change::Raised(..)) => out.push((now / SECOND, true)),
-                Some(Change::Cleared(..)) => out.push((now / SECOND, false)),
+            let key = AlarmKey { kind: "refusals", subject: String::new() };
+            match alarms.evaluate(now, key, v, RULE, String::new) {
+                Some(AlarmChange::Raised(..)) => changes.push((now / SECOND, true)),
+                Some(AlarmChange::Cleared(..)) => changes.push((now / SECOND, false)),
                 None => {}
             }
         }
-        out
+        changes
     }
 
     #[test]
@@ -230,13 +235,13 @@
     #[test]
     fn alarms_are_bounded_seen_and_cleared_with_their_subject() {
         let mut a = Alarms::default();
-        let key = |n: usize| Key { kind: "silent", subject: format!("exchange:{n}") };
+        let key = |n: usize| AlarmKey { kind: "silent", subject: format!("exchange:{n}") };
         for s in 0..=5 {
-            (0..MOST + 9).for_each(|n| drop(a.look(s * SECOND, key(n), 1.0, RULE, || "x".into())));
+            (0..MAX_ALARMS + 9).for_each(|n| drop(a.evaluate(s * SECOND, key(n), 1.0, RULE, || "x".into())));
         }
-        assert_eq!((a.raised().len(), a.lost), (MOST, 9 * 6));
-        assert!(a.seen("silent exchange:3", "t") && !a.seen("silent exchange:9999", "t"));
-        assert_eq!(a.retain(9 * SECOND, |k| k.subject == "exchange:3").len(), MOST - 1);
-        assert_eq!(a.raised()[0].1.seen_by.as_deref(), Some("t"));
+        assert_eq!((a.raised().len(), a.dropped), (MAX_ALARMS, 9 * 6));
+        assert!(a.acknowledge("silent exchange:3", "t") && !a.acknowledge("silent exchange:9999", "t"));
+        assert_eq!(a.retain(9 * SECOND, |k| k.subject == "exchange:3").len(), MAX_ALARMS - 1);
+        assert_eq!(a.raised()[0].1.acknowledged_by.as_deref(), Some("t"));
     }
 }
--- a/src/program/alarms.rs
+++ b/src/program/alarms.rs
@@ -6,7 +6,7 @@
 use walnuthatch_drains::book::Book;
 use walnuthatch_drains::drain::State;
 use walnuthatch_drains::plan::Stage;
-use walnuthatch_metrics::alarms::{Key, Rule, Severity};
+use walnuthatch_metrics::alarms::{AlarmKey, AlarmRule, Severity};
 use walnuthatch_metrics::service::ServiceWindows;
 
 /// When alarms are raised.
@@ -18,11 +18,11 @@
 /// A value to be looked at.
 pub struct Look {
     /// What it is of.
-    pub key: Key,
+    pub key: AlarmKey,
     /// The value.
     pub value: f64,
     /// How it is judged.
-    pub rule: Rule,
+    pub rule: AlarmRule,
     /// What an alarm would say.
     pub text: String,
 }
@@ -36,17 +36,17 @@
     wall: Micros,
 ) -> Vec<Look> {
     let mut out = Vec::new();
-    let rule = |raise: f64, clear: f64, severity| Rule {
+    let rule = |raise: f64, clear: f64, severity| AlarmRule {
         raise,
         clear,
-        hold: marks.hold,
-        calm: marks.calm,
+        raise_delay: marks.hold,
+        clear_delay: marks.calm,
         severity,
     };
     // A state that is so or not; the holds are for values that swing.
-    let at_once = |severity| Rule { raise: 1.0, clear: 0.0, hold: 0, calm: 0, severity };
+    let at_once = |severity| AlarmRule { raise: 1.0, clear: 0.0, raise_delay: 0, clear_delay: 0, severity };
     let mut add = |kind, subject: String, value: f64, rule, text: String| {
-        out.push(Look { key: Key { kind, subject }, value, rule, text });
+        out.push(Look { key: AlarmKey { kind, subject }, value, rule, text });
     };
     let [short, minute, _] = service.windows();
     let missed =
@@ -68,7 +68,7 @@
             let age = e.report_age_ms.map(|ms| ms as f64 * 1000.0);
             let quiet = if e.connected { 0.0 } else { age.unwrap_or((scene.now - scene.born) as f64) };
             let text = format!("no connection to {} at {} for {:.0} s", e.member, e.address, quiet / 1e6);
-            let silent = Rule { hold: 0, ..rule(marks.silent as f64, 0.0, Severity::Critical) };
+            let silent = AlarmRule { raise_delay: 0, ..rule(marks.silent as f64, 0.0, Severity::Critical) };
             add("unreachable", format!("{name} {}", e.member), quiet, silent, text);
         }
         if let (Some(free), Some(size)) = (e.free, e.size.filter(|s| *s >= 1.0)) {
--- a/src/program/appliance.rs
+++ b/src/program/appliance.rs
@@ -25,7 +25,7 @@
 use walnuthatch_drains::saved::Saved;
 use walnuthatch_drains::target::{Exchange, Health, Now, Site, Target};
 use walnuthatch_drains::SECOND;
-use walnuthatch_metrics::alarms::{Alarms, Change};
+use walnuthatch_metrics::alarms::{AlarmChange, Alarms};
 use walnuthatch_metrics::delays::{MetricsByExchange, Quantiles, RollingHistogram};
 use walnuthatch_metrics::service::{CallOutcome, ServiceWindows, OUTCOMES, WINDOWS};
 
@@ -175,7 +175,7 @@
             ("control.cut", c.cut),
             ("log.lost", self.log.as_ref().map_or(0, |l| l.lost())),
             ("traffic.not_told_apart", self.traffic.lost),
-            ("alarms.lost", self.alarms.lost),
+            ("alarms.lost", self.alarms.dropped),
         ]
         .map(|(name, n)| (name.to_owned(), n))
         .to_vec()
@@ -318,14 +318,14 @@
         let keys: BTreeSet<_> = looks.iter().map(|l| l.key.clone()).collect();
         let mut changes = self.alarms.retain(now.steady, |k| keys.contains(k));
         for l in looks {
-            changes.extend(self.alarms.look(now.steady, l.key, l.value, l.rule, || l.text));
+            changes.extend(self.alarms.evaluate(now.steady, l.key, l.value, l.rule, || l.text));
         }
         for change in changes {
             match change {
-                Change::Raised(key, alarm) => {
+                AlarmChange::Raised(key, alarm) => {
                     self.event(now, "alarm", format!("raised: {key}: {}", alarm.text));
                 }
-                Change::Cleared(key, after) => {
+                AlarmChange::Cleared(key, after) => {
                     self.event(now, "alarm", format!("cleared: {key}, after {} s", seconds(after)));
                 }
             }
@@ -460,7 +460,7 @@
             Ask::Config => Ok(Body::Text { text: scene.config.summary() }),
             Ask::Cost { target: text } => target(&text).map(|t| self.cost(now, t, scene)),
             Ask::Log { filter } => self.set_log(now, &who, filter),
-            Ask::Seen { alarm } => match self.alarms.seen(&alarm, &who) {
+            Ask::Seen { alarm } => match self.alarms.acknowledge(&alarm, &who) {
                 true => {
                     self.event(now, "alarm", format!("seen by {who}: {alarm}"));
                     Ok(Body::Text { text: format!("{alarm}: seen by {who}") })
@@ -555,16 +555,18 @@
                 round: self.book.plan().map(|p| round_view(now, p)),
             },
             Topic::Alarms => {
-                let of =
-                    |(key, a): (&walnuthatch_metrics::alarms::Key, &walnuthatch_metrics::alarms::Alarm)| {
-                        views::Alarm {
-                            alarm: key.to_string(),
-                            severity: a.rule.severity.name().to_owned(),
-                            for_s: seconds(now.steady - a.since),
-                            text: a.text.clone(),
-                            seen_by: a.seen_by.clone(),
-                        }
-                    };
+                let of = |(key, a): (
+                    &walnuthatch_metrics::alarms::AlarmKey,
+                    &walnuthatch_metrics::alarms::Alarm,
+                )| {
+                    views::Alarm {
+                        alarm: key.to_string(),
+                        severity: a.rule.severity.name().to_owned(),
+                        for_s: seconds(now.steady - a.since),
+                        text: a.text.clone(),
+                        seen_by: a.acknowledged_by.clone(),
+                    }
+                };
                 Body::Alarms { alarms: self.alarms.raised().into_iter().map(of).collect() }
             }
             Topic::Counters => {
