--- a/crates/console/src/app.rs
+++ b/crates/console/src/app.rs
@@ -3,7 +3,7 @@
 use crate::command::{self, Command};
 use crossterm::event::{KeyCode, KeyEvent, KeyModifiers};
 use std::collections::{BTreeMap, VecDeque};
-use walnuthatch_control::frames::{Ask, AtLimit, Body, Frame, Topic, TOPICS};
+use walnuthatch_control::frames::{AtLimit, Body, Frame, Operation, Topic, TOPICS};
 use walnuthatch_control::views::*;
 
 /// Events kept.
@@ -62,7 +62,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Confirm {
     /// The order.
-    pub ask: Ask,
+    pub ask: Operation,
     /// What it would cost, once that is known.
     pub cost: Option<Cost>,
     /// The word that sends it.
@@ -75,7 +75,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Send a request.
-    Send(String, Ask),
+    Send(String, Operation),
     /// Leave.
     Quit,
 }
@@ -134,7 +134,7 @@
     pub search: String,
     history: Vec<String>,
     /// Requests whose answers have not come, by their ids: they go out again on the next connection, and act once.
-    pending: BTreeMap<String, Ask>,
+    pending: BTreeMap<String, Operation>,
     prefix: String,
     next: u64,
 }
@@ -179,7 +179,7 @@
     pub fn watch(&mut self) -> Effect {
         // Counters are long, and for scripts.
         let topics = TOPICS.into_iter().filter(|t| *t != Topic::Counters).collect();
-        Effect::Send(self.id(), Ask::Watch { topics, every_ms: 500, search: self.search.clone() })
+        Effect::Send(self.id(), Operation::Watch { topics, every_ms: 500, search: self.search.clone() })
     }
 
     /// The connection came up, or was lost.
@@ -189,7 +189,8 @@
         if !up {
             return Vec::new();
         }
-        let history = Effect::Send(self.id(), Ask::Show { topic: Topic::Events, search: String::new() });
+        let history =
+            Effect::Send(self.id(), Operation::Show { topic: Topic::Events, search: String::new() });
         let again = self.pending.iter().map(|(id, ask)| Effect::Send(id.clone(), ask.clone()));
         let again: Vec<Effect> = again.collect();
         [self.watch(), history].into_iter().chain(again).collect()
@@ -249,8 +250,9 @@
 
     fn cost(&mut self, cost: Cost) {
         match &mut self.mode {
-            Mode::Confirm(c) if matches!(&c.ask, Ask::Drain { target, .. } if *target == cost.target) => {
-                if let (Some(_), Ask::Drain { force: true, .. }) = (&cost.denied, &c.ask) {
+            Mode::Confirm(c) if matches!(&c.ask, Operation::Drain { target, .. } if *target == cost.target) =>
+            {
+                if let (Some(_), Operation::Drain { force: true, .. }) = (&cost.denied, &c.ask) {
                     c.word = "force";
                 }
                 c.cost = Some(cost);
@@ -330,12 +332,12 @@
             }
             KeyCode::Char('u') => {
                 if let Some(target) = self.chosen() {
-                    return self.send(Ask::Undrain { target });
+                    return self.send(Operation::Undrain { target });
                 }
             }
             KeyCode::Char('s') if self.page == Page::Alarms => {
                 if let Some(a) = self.alarms.get(self.row) {
-                    return self.send(Ask::Seen { alarm: a.alarm.clone() });
+                    return self.send(Operation::Seen { alarm: a.alarm.clone() });
                 }
             }
             KeyCode::Esc => self.message = None,
@@ -363,21 +365,22 @@
     }
 
     fn ask_drain(&mut self, target: String, force: bool) -> Vec<Effect> {
-        let ask = Ask::Drain { target, reason: String::new(), limit_s: None, at_limit: AtLimit::Keep, force };
+        let ask =
+            Operation::Drain { target, reason: String::new(), limit_s: None, at_limit: AtLimit::Keep, force };
         self.dangerous(ask)
     }
 
     /// Has an order confirmed; for a drain its cost is asked for.
-    fn dangerous(&mut self, ask: Ask) -> Vec<Effect> {
+    fn dangerous(&mut self, ask: Operation) -> Vec<Effect> {
         let cost = match &ask {
-            Ask::Drain { target, .. } => Some(Ask::Cost { target: target.clone() }),
+            Operation::Drain { target, .. } => Some(Operation::Cost { target: target.clone() }),
             _ => None,
         };
         self.mode = Mode::Confirm(Box::new(Confirm { ask, cost: None, word: "yes", written: String::new() }));
         cost.map_or_else(Vec::new, |cost| self.send(cost))
     }
 
-    fn send(&mut self, ask: Ask) -> Vec<Effect> {
+    fn send(&mut self, ask: Operation) -> Vec<Effect> {
         if self.pending.len() >= PENDING {
             self.message = Some((false, format!("{PENDING} requests wait for their answers")));
             return Vec::new();
@@ -439,7 +442,7 @@
     fn carry_out(&mut self, line: &str) -> Vec<Effect> {
         match command::parse(line) {
             Err(why) => self.message = Some((false, why)),
-            Ok(Command::Ask(ask)) => return self.send(ask),
+            Ok(Command::Run(ask)) => return self.send(ask),
             Ok(Command::Drain(ask) | Command::Confirm(ask)) => return self.dangerous(ask),
             Ok(Command::Search(text)) => {
                 self.turn_to('3');
--- a/crates/console/src/command.rs
+++ b/crates/console/src/command.rs
@@ -1,16 +1,16 @@
 //! The command line: reading it, and completing it.
 
-use walnuthatch_control::frames::{Ask, AtLimit};
+use walnuthatch_control::frames::{AtLimit, Operation};
 
 /// What a line says.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
     /// Send this.
-    Ask(Ask),
-    /// Ask what a drain would cost, then have it confirmed.
-    Drain(Ask),
+    Run(Operation),
+    /// Operation what a drain would cost, then have it confirmed.
+    Drain(Operation),
     /// Have this confirmed first.
-    Confirm(Ask),
+    Confirm(Operation),
     /// Show only calls with this text.
     Search(String),
     /// Go to the page with this key.
@@ -83,10 +83,10 @@
                 }
             }
             let reason = reason.join(" ");
-            Ok(Command::Drain(Ask::Drain { target, reason, limit_s, at_limit, force }))
+            Ok(Command::Drain(Operation::Drain { target, reason, limit_s, at_limit, force }))
         }
-        "undrain" => Ok(Command::Ask(Ask::Undrain { target: target()? })),
-        "cost" => Ok(Command::Ask(Ask::Cost { target: target()? })),
+        "undrain" => Ok(Command::Run(Operation::Undrain { target: target()? })),
+        "cost" => Ok(Command::Run(Operation::Cost { target: target()? })),
         "round" => {
             let (mut targets, mut pause_s) = (Vec::new(), None);
             for word in words {
@@ -100,18 +100,18 @@
             if targets.is_empty() {
                 return Err(format!("TARGET is missing: {form}"));
             }
-            Ok(Command::Confirm(Ask::Round { targets, reason: String::new(), pause_s }))
+            Ok(Command::Confirm(Operation::Round { targets, reason: String::new(), pause_s }))
         }
-        "next" => Ok(Command::Ask(Ask::Next)),
-        "halt" => Ok(Command::Ask(Ask::Halt)),
-        "seen" => Ok(Command::Ask(Ask::Seen { alarm: words.collect::<Vec<_>>().join(" ") })),
-        "log" => Ok(Command::Ask(Ask::Log { filter: words.next().map(str::to_owned) })),
+        "next" => Ok(Command::Run(Operation::Next)),
+        "halt" => Ok(Command::Run(Operation::Halt)),
+        "seen" => Ok(Command::Run(Operation::Seen { alarm: words.collect::<Vec<_>>().join(" ") })),
+        "log" => Ok(Command::Run(Operation::Log { filter: words.next().map(str::to_owned) })),
         "search" => Ok(Command::Search(words.collect::<Vec<_>>().join(" "))),
         "page" => match words.next().and_then(|w| w.chars().next()) {
             Some(c @ '1'..='7') => Ok(Command::Page(c)),
             _ => Err(format!("expected {form}")),
         },
-        "stop" => Ok(Command::Confirm(Ask::Stop)),
+        "stop" => Ok(Command::Confirm(Operation::Stop)),
         _ => Ok(Command::Quit),
     }
 }
@@ -151,7 +151,7 @@
 
     #[test]
     fn lines_are_read_and_faults_named() {
-        let Ok(Command::Drain(Ask::Drain { target, reason, limit_s, at_limit, force })) =
+        let Ok(Command::Drain(Operation::Drain { target, reason, limit_s, at_limit, force })) =
             parse("drain exchange:4 limit=30m then=cut new power supply force")
         else {
             panic!()
@@ -161,7 +161,7 @@
             ("exchange:4", "new power supply", Some(1800))
         );
         assert!(force && at_limit == AtLimit::Cut);
-        assert_eq!(parse("stop"), Ok(Command::Confirm(Ask::Stop)));
+        assert_eq!(parse("stop"), Ok(Command::Confirm(Operation::Stop)));
         for (line, want) in [
             ("", "nothing"),
             ("dran x", "expected one of drain, undrain"),
--- a/crates/console/src/link.rs
+++ b/crates/console/src/link.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 use walnuthatch_control::client::Connection;
-use walnuthatch_control::frames::{Ask, Frame, Topic};
+use walnuthatch_control::frames::{Frame, Operation, Topic};
 
 /// Wait before a connection that was lost is tried again.
 const AGAIN: Duration = Duration::from_millis(500);
@@ -67,7 +67,7 @@
     }
 
     /// Sends a request; without a connection it goes out with the next one.
-    pub fn send(&self, id: &str, ask: Ask) {
+    pub fn send(&self, id: &str, ask: Operation) {
         if let Some(pen) = &mut lock(&self.inbox).pen {
             // A connection that breaks here is found broken by the reader.
             drop(pen.send(id, ask));
--- a/crates/console/src/screen.rs
+++ b/crates/console/src/screen.rs
@@ -7,7 +7,7 @@
 use ratatui::text::{Line, Span, Text};
 use ratatui::widgets::{Block, Cell, Clear, Paragraph, Row, Table, TableState, Wrap};
 use ratatui::Frame;
-use walnuthatch_control::frames::Ask;
+use walnuthatch_control::frames::Operation;
 use walnuthatch_control::views::{Drain, Exchange};
 
 /// How it may look.
@@ -402,20 +402,24 @@
 fn confirm(c: &Confirm) -> Vec<Line<'static>> {
     let mut lines = Vec::new();
     match &c.ask {
-        Ask::Drain { target, reason, limit_s, at_limit, force } => {
+        Operation::Drain { target, reason, limit_s, at_limit, force } => {
             let limit =
                 limit_s.map_or("no limit".to_owned(), |s| format!("{} then {at_limit:?}", long(s.into())));
             let force = if *force { ", by force" } else { "" };
             lines.push(Line::styled(format!("drain {target}: {limit}{force} {reason}"), HEAD));
         }
-        Ask::Round { targets, .. } => {
+        Operation::Round { targets, .. } => {
             lines.push(Line::styled(format!("drain one after the other: {}", targets.join(" ")), HEAD));
         }
-        Ask::Stop => lines.push(Line::styled("stop the controller, once all calls have their answer", HEAD)),
+        Operation::Stop => {
+            lines.push(Line::styled("stop the controller, once all calls have their answer", HEAD))
+        }
         other => lines.push(Line::raw(format!("{other:?}"))),
     }
     match &c.cost {
-        None if matches!(c.ask, Ask::Drain { .. }) => lines.push(Line::raw("its cost is being asked for")),
+        None if matches!(c.ask, Operation::Drain { .. }) => {
+            lines.push(Line::raw("its cost is being asked for"))
+        }
         None => {}
         Some(cost) => {
             lines.push(Line::raw(format!("by the traffic of the last {}:", long(cost.over_s))));
--- a/crates/console/tests/screens.rs
+++ b/crates/console/tests/screens.rs
@@ -5,7 +5,7 @@
 use ratatui::Terminal;
 use walnuthatch_console::app::{App, Effect, LinkState, Mode, Page};
 use walnuthatch_console::screen::{draw, Look};
-use walnuthatch_control::frames::{Ask, Body, Frame, Topic};
+use walnuthatch_control::frames::{Body, Frame, Operation, Topic};
 use walnuthatch_control::views::*;
 
 const PLAIN: Look = Look { colours: false, unicode: false };
@@ -160,7 +160,7 @@
 fn a_drain_shows_its_cost_and_wants_its_word() {
     let mut a = app();
     let got = press(&mut a, "jd");
-    let [Effect::Send(id, Ask::Cost { target })] = got.as_slice() else { panic!("{got:?}") };
+    let [Effect::Send(id, Operation::Cost { target })] = got.as_slice() else { panic!("{got:?}") };
     assert_eq!(target, "exchange:2");
     let cost = Cost {
         target: target.clone(),
@@ -174,7 +174,7 @@
     assert!(press(&mut a, "no\n").is_empty() && a.message.as_ref().is_some_and(|m| !m.0));
     press(&mut a, "d");
     let got = press(&mut a, "yes\n");
-    assert!(matches!(got.as_slice(), [Effect::Send(_, Ask::Drain { force: false, .. })]), "{got:?}");
+    assert!(matches!(got.as_slice(), [Effect::Send(_, Operation::Drain { force: false, .. })]), "{got:?}");
 }
 
 #[test]
@@ -205,11 +205,11 @@
     let mut a = app();
     press(&mut a, ":un\texchange:2\t");
     assert_eq!(a.mode, Mode::Line("undrain exchange:2 ".into()));
-    assert!(matches!(press(&mut a, "\n").as_slice(), [Effect::Send(_, Ask::Undrain { .. })]));
+    assert!(matches!(press(&mut a, "\n").as_slice(), [Effect::Send(_, Operation::Undrain { .. })]));
     assert!(press(&mut a, ":dance\n").is_empty());
     assert!(a.message.as_ref().is_some_and(|m| m.1.contains("expected one of drain")));
     let got = press(&mut a, "/4711\n");
-    assert!(matches!(got.as_slice(), [Effect::Send(_, Ask::Watch { search, .. })] if search == "4711"));
+    assert!(matches!(got.as_slice(), [Effect::Send(_, Operation::Watch { search, .. })] if search == "4711"));
     assert_eq!(a.page, Page::Calls);
     press(&mut a, ":stop\n");
     assert!(matches!(a.mode, Mode::Confirm(_)));
--- a/crates/control/src/client.rs
+++ b/crates/control/src/client.rs
@@ -1,6 +1,6 @@
 //! The other end of the control socket, for programs that operators start.
 
-use crate::frames::{line, Ask, Body, Frame, Request, LONGEST_REPLY, VERSION};
+use crate::frames::{line, Body, Frame, Operation, Request, LONGEST_REPLY, VERSION};
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::os::unix::net::UnixStream;
 use std::path::{Path, PathBuf};
@@ -63,8 +63,8 @@
     ///
     /// # Errors
     /// If the connection broke.
-    pub fn send(&mut self, id: &str, ask: Ask) -> Result<(), ClientError> {
-        let request = Request { v: VERSION, id: id.to_owned(), who: self.who.clone(), ask };
+    pub fn send(&mut self, id: &str, operation: Operation) -> Result<(), ClientError> {
+        let request = Request { v: VERSION, id: id.to_owned(), who: self.who.clone(), operation };
         Ok(self.stream.write_all(&line(&request))?)
     }
 
@@ -85,8 +85,8 @@
     ///
     /// # Errors
     /// If the connection broke, or the request was turned down.
-    pub fn ask(&mut self, id: &str, ask: Ask) -> Result<Body, ClientError> {
-        self.send(id, ask)?;
+    pub fn ask(&mut self, id: &str, operation: Operation) -> Result<Body, ClientError> {
+        self.send(id, operation)?;
         loop {
             if let Frame::Reply { reply, ok, error, body, .. } = self.receive()? {
                 // An answer to nothing is the controller's last word.
--- a/crates/control/src/frames.rs
+++ b/crates/control/src/frames.rs
@@ -74,7 +74,7 @@
 /// What is asked for.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(tag = "do", rename_all = "lowercase", deny_unknown_fields)]
-pub enum Ask {
+pub enum Operation {
     /// A topic as it is now.
     Show {
         /// Which.
@@ -173,7 +173,7 @@
     pub who: String,
     /// What for.
     #[serde(flatten)]
-    pub ask: Ask,
+    pub operation: Operation,
 }
 
 /// What a reply or a view has.
@@ -346,7 +346,7 @@
             return Err((id, BadRequest::Field("do: missing".into())));
         }
         match serde_json::from_value(serde_json::Value::Object(fields)) {
-            Ok(ask) => Ok(Request { v: VERSION, id, who, ask }),
+            Ok(operation) => Ok(Request { v: VERSION, id, who, operation }),
             Err(e) => Err((id, BadRequest::Field(e.to_string()))),
         }
     }
@@ -385,14 +385,14 @@
 
     #[test]
     fn requests_are_read_as_they_are_written_and_faults_named() {
-        let ask = Ask::Drain {
+        let operation = Operation::Drain {
             target: "exchange:4".into(),
             reason: "é\n".into(),
             limit_s: Some(9),
             at_limit: AtLimit::Cut,
             force: true,
         };
-        let r = Request { v: VERSION, id: "a".into(), who: "b".into(), ask };
+        let r = Request { v: VERSION, id: "a".into(), who: "b".into(), operation };
         assert_eq!(Request::parse(&line(&r)), Ok(r));
         for (text, id, want) in [
             ("", "", "not a JSON object"),
--- a/crates/control/src/sessions.rs
+++ b/crates/control/src/sessions.rs
@@ -3,7 +3,7 @@
 //! A program that sends what is no message is told so, and may go on; after [`FAULTS`] such lines it is sent away,
 //! and so is one whose line has no end. One that is silent keeps its place only while nobody needs it.
 
-use crate::frames::{line, Ask, BadRequest, Body, Frame, Request, Topic, LONGEST_REQUEST, VERSION};
+use crate::frames::{line, BadRequest, Body, Frame, Operation, Request, Topic, LONGEST_REQUEST, VERSION};
 use crate::mailbox::Mailbox;
 use crate::Micros;
 use std::collections::{BTreeMap, BTreeSet};
@@ -185,8 +185,8 @@
     fn request(&mut self, now: Micros, client: Client, request: Request) -> Option<Asked> {
         self.counts.requests += 1;
         let s = self.all.get_mut(&client)?;
-        match &request.ask {
-            Ask::Watch { topics, every_ms, search } => {
+        match &request.operation {
+            Operation::Watch { topics, every_ms, search } => {
                 s.topics = topics.iter().copied().collect();
                 s.every = Micros::from((*every_ms).max(FASTEST_MS)) * 1000;
                 s.search.clone_from(search);
@@ -194,7 +194,7 @@
                 self.answer(client, request.id, Ok(Body::Text { text: "watching".into() }), false);
                 None
             }
-            Ask::Unwatch => {
+            Operation::Unwatch => {
                 s.topics.clear();
                 self.answer(client, request.id, Ok(Body::Text { text: "no longer watching".into() }), false);
                 None
--- a/examples/console_cost.rs
+++ b/examples/console_cost.rs
@@ -12,7 +12,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 use walnuthatch_control::client::Connection;
-use walnuthatch_control::frames::{Ask, TOPICS};
+use walnuthatch_control::frames::{Operation, TOPICS};
 use walnuthatch_standin::{Callers, Exchange, Load, Traits};
 
 #[derive(Parser)]
@@ -128,7 +128,7 @@
     let mut frozen = Vec::new();
     for n in 0..consoles {
         let mut c = Connection::open(&folder.join("s"), "cost")?;
-        let watch = Ask::Watch { topics: TOPICS.to_vec(), every_ms: 500, search: String::new() };
+        let watch = Operation::Watch { topics: TOPICS.to_vec(), every_ms: 500, search: String::new() };
         c.send("w", watch)?;
         if n == 7 {
             frozen.push(c);
--- a/src/program/appliance.rs
+++ b/src/program/appliance.rs
@@ -15,7 +15,7 @@
 use async_channel::Sender;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::rc::Rc;
-use walnuthatch_control::frames::{self, Ask, Body, Topic};
+use walnuthatch_control::frames::{self, Body, Operation, Topic};
 use walnuthatch_control::sessions::{self, Asked, Client, Sessions};
 use walnuthatch_control::views::{self, Event};
 use walnuthatch_drains::book::{self, Book, Command, News, Waiter};
@@ -454,25 +454,25 @@
         let who = if request.who.is_empty() { "unknown".to_owned() } else { request.who };
         let id = request.id;
         let target = |text: &str| text.parse::<Target>().map_err(|e| e.to_string());
-        let what = match request.ask {
-            Ask::Show { topic, search } => Ok(self.body(now, topic, &search, scene)),
-            Ask::Audit => Ok(self.audit()),
-            Ask::Config => Ok(Body::Text { text: scene.config.summary() }),
-            Ask::Cost { target: text } => target(&text).map(|t| self.cost(now, t, scene)),
-            Ask::Log { filter } => self.set_log(now, &who, filter),
-            Ask::Seen { alarm } => match self.alarms.acknowledge(&alarm, &who) {
+        let what = match request.operation {
+            Operation::Show { topic, search } => Ok(self.body(now, topic, &search, scene)),
+            Operation::Audit => Ok(self.audit()),
+            Operation::Config => Ok(Body::Text { text: scene.config.summary() }),
+            Operation::Cost { target: text } => target(&text).map(|t| self.cost(now, t, scene)),
+            Operation::Log { filter } => self.set_log(now, &who, filter),
+            Operation::Seen { alarm } => match self.alarms.acknowledge(&alarm, &who) {
                 true => {
                     self.event(now, "alarm", format!("seen by {who}: {alarm}"));
                     Ok(Body::Text { text: format!("{alarm}: seen by {who}") })
                 }
                 false => Err(format!("alarm: {alarm:?} is not raised")),
             },
-            Ask::Stop => {
+            Operation::Stop => {
                 self.event(now, "program", format!("{who} stops the controller"));
                 self.out.push(Output::Stop);
                 Ok(Body::Text { text: "stopping".to_owned() })
             }
-            Ask::Drain { target: text, reason, limit_s, at_limit, force } => match target(&text) {
+            Operation::Drain { target: text, reason, limit_s, at_limit, force } => match target(&text) {
                 Err(e) => Err(e),
                 Ok(target) => {
                     let limit = limit_s.map(|s| Micros::from(s) * SECOND);
@@ -485,11 +485,11 @@
                     return self.order(now, client, id, who, command, scene);
                 }
             },
-            Ask::Undrain { target: text } => match target(&text) {
+            Operation::Undrain { target: text } => match target(&text) {
                 Err(e) => Err(e),
                 Ok(target) => return self.order(now, client, id, who, Command::Undrain { target }, scene),
             },
-            Ask::Round { targets, reason, pause_s } => {
+            Operation::Round { targets, reason, pause_s } => {
                 match targets.iter().map(|t| target(t)).collect::<Result<Vec<_>, _>>() {
                     Err(e) => Err(e),
                     Ok(targets) => {
@@ -499,10 +499,10 @@
                     }
                 }
             }
-            Ask::Next => return self.order(now, client, id, who, Command::Next, scene),
-            Ask::Halt => return self.order(now, client, id, who, Command::Halt, scene),
+            Operation::Next => return self.order(now, client, id, who, Command::Next, scene),
+            Operation::Halt => return self.order(now, client, id, who, Command::Halt, scene),
             // Sessions answer these themselves.
-            Ask::Watch { .. } | Ask::Unwatch => return,
+            Operation::Watch { .. } | Operation::Unwatch => return,
         };
         self.sessions.reply(client, id, what);
     }
--- a/src/program/ctl.rs
+++ b/src/program/ctl.rs
@@ -7,7 +7,7 @@
 use std::path::PathBuf;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use walnuthatch_control::client::{ClientError, Connection};
-use walnuthatch_control::frames::{schema, Ask, AtLimit, Body, Frame, Topic};
+use walnuthatch_control::frames::{schema, AtLimit, Body, Frame, Operation, Topic};
 use walnuthatch_control::views::Event;
 use walnuthatch_drains::target::Target;
 
@@ -181,11 +181,11 @@
 }
 
 fn run(c: &mut Connection, args: &Args) -> Result<Exit, ClientError> {
-    let show = |topic| Ask::Show { topic, search: String::new() };
+    let show = |topic| Operation::Show { topic, search: String::new() };
     let ask = match args.what.clone() {
         What::Status => show(Topic::Status),
         What::Exchanges => show(Topic::Exchanges),
-        What::Calls { search } => Ask::Show { topic: Topic::Calls, search },
+        What::Calls { search } => Operation::Show { topic: Topic::Calls, search },
         What::Service => show(Topic::Service),
         What::Events { follow: true } => return follow(c, args.json),
         What::Events { follow: false } => show(Topic::Events),
@@ -194,18 +194,18 @@
         What::Alarms => show(Topic::Alarms),
         What::Peers => show(Topic::Peers),
         What::Suspicions => show(Topic::Suspicions),
-        What::Audit => Ask::Audit,
-        What::Config => Ask::Config,
-        What::Log { level } => Ask::Log { filter: level },
-        What::Seen { alarm } => Ask::Seen { alarm: alarm.join(" ") },
-        What::Stop => Ask::Stop,
+        What::Audit => Operation::Audit,
+        What::Config => Operation::Config,
+        What::Log { level } => Operation::Log { filter: level },
+        What::Seen { alarm } => Operation::Seen { alarm: alarm.join(" ") },
+        What::Stop => Operation::Stop,
         What::Round { targets, reason, pause } => {
             let targets = targets.iter().map(Target::to_string).collect();
-            Ask::Round { targets, reason, pause_s: pause.map(whole) }
+            Operation::Round { targets, reason, pause_s: pause.map(whole) }
         }
-        What::Next => Ask::Next,
-        What::Halt => Ask::Halt,
-        What::Drain { target, dry_run: true, .. } => Ask::Cost { target: target.to_string() },
+        What::Next => Operation::Next,
+        What::Halt => Operation::Halt,
+        What::Drain { target, dry_run: true, .. } => Operation::Cost { target: target.to_string() },
         What::Drain { target, reason, limit, at_limit, force, wait, id, .. } => {
             let limit_s = limit.map(whole);
             let at_limit = match at_limit {
@@ -214,13 +214,13 @@
                 Limit::Cut => AtLimit::Cut,
             };
             let target = target.to_string();
-            let ask = Ask::Drain { target: target.clone(), reason, limit_s, at_limit, force };
+            let ask = Operation::Drain { target: target.clone(), reason, limit_s, at_limit, force };
             let body = c.ask(&id.unwrap_or_else(fresh_id), ask)?;
             show_body(&body, args.json);
             return if wait { wait_for(c, &target, args.json) } else { Ok(Exit::Done) };
         }
         What::Undrain { target, id } => {
-            let ask = Ask::Undrain { target: target.to_string() };
+            let ask = Operation::Undrain { target: target.to_string() };
             let body = c.ask(&id.unwrap_or_else(fresh_id), ask)?;
             return Ok(show_body(&body, args.json));
         }
@@ -244,9 +244,9 @@
 
 /// Prints events as they come.
 fn follow(c: &mut Connection, json: bool) -> Result<Exit, ClientError> {
-    let body = c.ask(&fresh_id(), Ask::Show { topic: Topic::Events, search: String::new() })?;
+    let body = c.ask(&fresh_id(), Operation::Show { topic: Topic::Events, search: String::new() })?;
     show_body(&body, json);
-    let watch = Ask::Watch { topics: vec![Topic::Events], every_ms: 1000, search: String::new() };
+    let watch = Operation::Watch { topics: vec![Topic::Events], every_ms: 1000, search: String::new() };
     c.ask(&fresh_id(), watch)?;
     c.wait(None)?;
     loop {
@@ -266,7 +266,7 @@
 fn wait_for(c: &mut Connection, target: &str, json: bool) -> Result<Exit, ClientError> {
     let mut last = String::new();
     loop {
-        let body = c.ask(&fresh_id(), Ask::Show { topic: Topic::Drains, search: String::new() })?;
+        let body = c.ask(&fresh_id(), Operation::Show { topic: Topic::Drains, search: String::new() })?;
         let Body::Drains { drains, .. } = &body else { return Err(ClientError::Odd("no drains".into())) };
         let Some(d) = drains.iter().find(|d| d.target == target) else {
             fault(&format!("{target}: its drain was ended"));
--- a/src/program/demo.rs
+++ b/src/program/demo.rs
@@ -9,7 +9,7 @@
 use std::sync::mpsc::{channel, RecvTimeoutError};
 use std::time::{Duration, Instant};
 use walnuthatch_control::client::Connection;
-use walnuthatch_control::frames::Ask;
+use walnuthatch_control::frames::Operation;
 use walnuthatch_standin::{Callers, Exchange, Load, Table, Traits};
 
 /// The controller is up by then, or never.
@@ -97,7 +97,7 @@
 impl Drop for Controller {
     fn drop(&mut self) {
         let asked = Connection::open(&self.folder.join("control.sock"), "demo")
-            .and_then(|mut c| c.ask("stop", Ask::Stop));
+            .and_then(|mut c| c.ask("stop", Operation::Stop));
         let end = Instant::now() + if asked.is_ok() { STOP } else { Duration::ZERO };
         while Instant::now() < end && matches!(self.child.try_wait(), Ok(None)) {
             std::thread::sleep(Duration::from_millis(20));
@@ -212,7 +212,7 @@
     use walnuthatch_control::frames::{Body, Topic};
     let end = Instant::now() + Duration::from_secs(2);
     while Instant::now() < end {
-        let ask = Ask::Show { topic: Topic::Status, search: String::new() };
+        let ask = Operation::Show { topic: Topic::Status, search: String::new() };
         let got = Connection::open(socket, "demo").and_then(|mut c| c.ask("ready", ask));
         if matches!(got, Ok(Body::Status(s)) if s.state == "serving") {
             return;
--- a/tests/appliance.rs
+++ b/tests/appliance.rs
@@ -13,7 +13,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 use walnuthatch_control::client::{ClientError, Connection};
-use walnuthatch_control::frames::{Ask, AtLimit, Body, Topic, TOPICS};
+use walnuthatch_control::frames::{AtLimit, Body, Operation, Topic, TOPICS};
 use walnuthatch_control::views::{Drain, Event, Status};
 use walnuthatch_standin::{Callers, Exchange, Load, Table, Traits};
 
@@ -101,7 +101,7 @@
 }
 
 fn show(c: &mut Connection, topic: Topic) -> Body {
-    c.ask("show", Ask::Show { topic, search: String::new() }).unwrap()
+    c.ask("show", Operation::Show { topic, search: String::new() }).unwrap()
 }
 
 fn status(c: &mut Connection) -> Status {
@@ -123,13 +123,13 @@
     drains(c).iter().find(|d| d.target == target).map_or("none".into(), |d| d.state.clone())
 }
 
-fn drain(target: &str) -> Ask {
+fn drain(target: &str) -> Operation {
     let target = target.to_owned();
-    Ask::Drain { target, reason: "t".into(), limit_s: None, at_limit: AtLimit::Keep, force: false }
+    Operation::Drain { target, reason: "t".into(), limit_s: None, at_limit: AtLimit::Keep, force: false }
 }
 
-fn undrain(target: &str) -> Ask {
-    Ask::Undrain { target: target.to_owned() }
+fn undrain(target: &str) -> Operation {
+    Operation::Undrain { target: target.to_owned() }
 }
 
 /// Each call has its one answer, in time.
@@ -151,7 +151,7 @@
     let frozen: Vec<Connection> = (0..4)
         .map(|n| {
             let mut c = site.operator();
-            let watch = Ask::Watch { topics: TOPICS.to_vec(), every_ms: 100, search: String::new() };
+            let watch = Operation::Watch { topics: TOPICS.to_vec(), every_ms: 100, search: String::new() };
             c.send(&format!("w{n}"), watch).unwrap();
             c
         })
@@ -211,7 +211,7 @@
     let mut last = 1;
     for round in 0..10 {
         let (a, b) = (site.operator(), site.operator());
-        let give = |mut c: Connection, ask: Ask| {
+        let give = |mut c: Connection, ask: Operation| {
             std::thread::spawn(move || c.ask(&format!("r{round}-{ask:?}"), ask))
         };
         let (undone, done) = (give(a, undrain("exchange:1")), give(b, drain("exchange:1")));
@@ -303,7 +303,7 @@
     program.signal("HUP");
     program.said("configuration read anew");
     assert_ne!(state(&mut c, "exchange:1"), "none");
-    let bare = Ask::Drain {
+    let bare = Operation::Drain {
         target: "group:2".into(),
         reason: String::new(),
         limit_s: None,
@@ -344,7 +344,7 @@
     let callers = Callers::start(at, load(50.0, 1, &[1, 2])).unwrap();
     until("calls stand", || (callers.standing() == 50).then_some(()));
     let mut c = site.operator();
-    let cut = |target: &str| Ask::Drain {
+    let cut = |target: &str| Operation::Drain {
         target: target.into(),
         reason: String::new(),
         limit_s: Some(1),
@@ -374,7 +374,9 @@
     c.ask("g", drain("group:3")).unwrap();
     let denied = c.ask("x", drain("exchange:2")).unwrap_err().to_string();
     assert!(denied.contains("no way would be left to exchange:3"), "{denied}");
-    let Body::Cost(cost) = c.ask("c", Ask::Cost { target: "exchange:2".into() }).unwrap() else { panic!() };
+    let Body::Cost(cost) = c.ask("c", Operation::Cost { target: "exchange:2".into() }).unwrap() else {
+        panic!()
+    };
     assert_eq!((cost.no_way.as_slice(), cost.denied.is_some()), (&[3][..], true));
     c.ask("y", drain("exchange:1")).unwrap();
     let denied = c.ask("z", drain("group:2")).unwrap_err().to_string();
@@ -384,13 +386,13 @@
         (drain("exchange:0"), "own exchange"),
         (drain("exchange:x"), "expected exchange:NUMBER"),
         (undrain("exchange:2"), "not drained"),
-        (Ask::Seen { alarm: "nothing".into() }, "not raised"),
-        (Ask::Log { filter: Some("a=b=c".into()) }, "expected one as info"),
+        (Operation::Seen { alarm: "nothing".into() }, "not raised"),
+        (Operation::Log { filter: Some("a=b=c".into()) }, "expected one as info"),
     ] {
         let got = c.ask(&format!("{ask:?}"), ask).unwrap_err().to_string();
         assert!(got.contains(want), "{want}: {got}");
     }
-    let Body::Audit { audit } = c.ask("a", Ask::Audit).unwrap() else { panic!() };
+    let Body::Audit { audit } = c.ask("a", Operation::Audit).unwrap() else { panic!() };
     assert!(audit.len() >= 6 && audit.iter().all(|a| a.who == "awa"), "{audit:?}");
 }
 
@@ -464,7 +466,7 @@
     let mut c = until("an operator gets in", || {
         let mut c = Connection::open(&site.socket(), "awa").ok()?;
         c.wait(Some(Duration::from_millis(500))).ok()?;
-        c.ask("s", Ask::Show { topic: Topic::Status, search: String::new() }).is_ok().then_some(c)
+        c.ask("s", Operation::Show { topic: Topic::Status, search: String::new() }).is_ok().then_some(c)
     });
     c.ask("d", drain("exchange:1")).unwrap();
     let table = callers.finish();
@@ -554,7 +556,7 @@
     let (_program, _) = site.up();
     let mut c = site.operator();
     let targets = vec!["exchange:1".to_owned(), "exchange:2".to_owned()];
-    let round = Ask::Round { targets, reason: "update".into(), pause_s: None };
+    let round = Operation::Round { targets, reason: "update".into(), pause_s: None };
     c.ask("r", round.clone()).unwrap();
     let stage = |c: &mut Connection| {
         let Body::Drains { round, .. } = show(c, Topic::Drains) else { panic!() };
@@ -562,8 +564,8 @@
     };
     until("the first one is empty", || (stage(&mut c) == "working").then_some(()));
     assert!(c.ask("r2", round).unwrap_err().to_string().contains("under way"));
-    c.ask("n", Ask::Next).unwrap();
+    c.ask("n", Operation::Next).unwrap();
     assert_eq!((stage(&mut c).as_str(), drains(&mut c).len()), ("settling", 0));
-    c.ask("h", Ask::Halt).unwrap();
+    c.ask("h", Operation::Halt).unwrap();
     assert_eq!(stage(&mut c), "halted");
 }
--- a/tests/gossip.rs
+++ b/tests/gossip.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use walnuthatch_control::client::Connection;
-use walnuthatch_control::frames::{Ask, Body, Topic};
+use walnuthatch_control::frames::{Body, Operation, Topic};
 use walnuthatch_gossip::bucket::Ceiling;
 use walnuthatch_gossip::node::{Config, Node, Output};
 use walnuthatch_gossip::seal::Ring;
@@ -63,7 +63,7 @@
     fn show(&self, topic: Topic) -> Body {
         let mut c = Connection::open(&self.socket, "t").unwrap();
         c.wait(Some(common::WAIT)).unwrap();
-        c.ask("s", Ask::Show { topic, search: String::new() }).unwrap()
+        c.ask("s", Operation::Show { topic, search: String::new() }).unwrap()
     }
 
     fn alive(&self) -> usize {
