--- a/crates/console/src/link.rs
+++ b/crates/console/src/link.rs
@@ -83,7 +83,7 @@
 
 /// Reads a connection to its end, and tells why it ended.
 fn follow(path: &std::path::Path, who: &str, inbox: &Mutex<Inbox>) -> String {
-    let opened = Connection::open(path, who).and_then(|c| Ok((c.pen()?, c)));
+    let opened = Connection::open(path, who).and_then(|c| Ok((c.try_clone()?, c)));
     let (pen, mut reader) = match opened {
         Ok(both) => both,
         Err(e) => return e.to_string(),
--- a/crates/control/src/client.rs
+++ b/crates/control/src/client.rs
@@ -55,7 +55,7 @@
     ///
     /// # Errors
     /// If the system refuses.
-    pub fn wait(&self, span: Option<Duration>) -> io::Result<()> {
+    pub fn set_read_timeout(&self, span: Option<Duration>) -> io::Result<()> {
         self.stream.set_read_timeout(span)
     }
 
@@ -85,7 +85,7 @@
     ///
     /// # Errors
     /// If the connection broke, or the request was turned down.
-    pub fn ask(&mut self, id: &str, operation: Operation) -> Result<Body, ClientError> {
+    pub fn request(&mut self, id: &str, operation: Operation) -> Result<Body, ClientError> {
         self.send(id, operation)?;
         loop {
             if let Frame::Reply { reply, ok, error, body, .. } = self.receive()? {
@@ -106,7 +106,7 @@
     ///
     /// # Errors
     /// If the system refuses.
-    pub fn pen(&self) -> io::Result<Connection> {
+    pub fn try_clone(&self) -> io::Result<Connection> {
         let stream = self.stream.try_clone()?;
         Ok(Connection { reader: BufReader::new(stream.try_clone()?), stream, who: self.who.clone() })
     }
--- a/src/program/ctl.rs
+++ b/src/program/ctl.rs
@@ -153,7 +153,7 @@
     };
     let who = std::env::var("USER").unwrap_or_else(|_| "unknown".to_owned());
     let ran = Connection::open(&path, &who).and_then(|mut c| {
-        c.wait(Some(PATIENCE))?;
+        c.set_read_timeout(Some(PATIENCE))?;
         run(&mut c, &args)
     });
     match ran {
@@ -215,19 +215,19 @@
             };
             let target = target.to_string();
             let ask = Operation::Drain { target: target.clone(), reason, limit_s, at_limit, force };
-            let body = c.ask(&id.unwrap_or_else(fresh_id), ask)?;
+            let body = c.request(&id.unwrap_or_else(fresh_id), ask)?;
             show_body(&body, args.json);
             return if wait { wait_for(c, &target, args.json) } else { Ok(Exit::Done) };
         }
         What::Undrain { target, id } => {
             let ask = Operation::Undrain { target: target.to_string() };
-            let body = c.ask(&id.unwrap_or_else(fresh_id), ask)?;
+            let body = c.request(&id.unwrap_or_else(fresh_id), ask)?;
             return Ok(show_body(&body, args.json));
         }
         What::Schema => return Ok(Exit::Done),
     };
     loop {
-        let body = c.ask(&fresh_id(), ask.clone())?;
+        let body = c.request(&fresh_id(), ask.clone())?;
         let denied = matches!(&body, Body::Cost(cost) if cost.denied.is_some());
         let Some(every) = args.watch else {
             show_body(&body, args.json);
@@ -244,11 +244,11 @@
 
 /// Prints events as they come.
 fn follow(c: &mut Connection, json: bool) -> Result<Exit, ClientError> {
-    let body = c.ask(&fresh_id(), Operation::Show { topic: Topic::Events, search: String::new() })?;
+    let body = c.request(&fresh_id(), Operation::Show { topic: Topic::Events, search: String::new() })?;
     show_body(&body, json);
     let watch = Operation::Watch { topics: vec![Topic::Events], every_ms: 1000, search: String::new() };
-    c.ask(&fresh_id(), watch)?;
-    c.wait(None)?;
+    c.request(&fresh_id(), watch)?;
+    c.set_read_timeout(None)?;
     loop {
         match c.receive()? {
             Frame::View { body, .. } => {
@@ -266,7 +266,7 @@
 fn wait_for(c: &mut Connection, target: &str, json: bool) -> Result<Exit, ClientError> {
     let mut last = String::new();
     loop {
-        let body = c.ask(&fresh_id(), Operation::Show { topic: Topic::Drains, search: String::new() })?;
+        let body = c.request(&fresh_id(), Operation::Show { topic: Topic::Drains, search: String::new() })?;
         let Body::Drains { drains, .. } = &body else { return Err(ClientError::Odd("no drains".into())) };
         let Some(d) = drains.iter().find(|d| d.target == target) else {
             fault(&format!("{target}: its drain was ended"));
--- a/src/program/demo.rs
+++ b/src/program/demo.rs
@@ -97,7 +97,7 @@
 impl Drop for Controller {
     fn drop(&mut self) {
         let asked = Connection::open(&self.folder.join("control.sock"), "demo")
-            .and_then(|mut c| c.ask("stop", Operation::Stop));
+            .and_then(|mut c| c.request("stop", Operation::Stop));
         let end = Instant::now() + if asked.is_ok() { STOP } else { Duration::ZERO };
         while Instant::now() < end && matches!(self.child.try_wait(), Ok(None)) {
             std::thread::sleep(Duration::from_millis(20));
@@ -213,7 +213,7 @@
     let end = Instant::now() + Duration::from_secs(2);
     while Instant::now() < end {
         let ask = Operation::Show { topic: Topic::Status, search: String::new() };
-        let got = Connection::open(socket, "demo").and_then(|mut c| c.ask("ready", ask));
+        let got = Connection::open(socket, "demo").and_then(|mut c| c.request("ready", ask));
         if matches!(got, Ok(Body::Status(s)) if s.state == "serving") {
             return;
         }
--- a/tests/appliance.rs
+++ b/tests/appliance.rs
@@ -76,7 +76,7 @@
 
     fn operator(&self) -> Connection {
         let c = Connection::open(&self.socket(), "awa").unwrap();
-        c.wait(Some(common::WAIT)).unwrap();
+        c.set_read_timeout(Some(common::WAIT)).unwrap();
         c
     }
 }
@@ -101,7 +101,7 @@
 }
 
 fn show(c: &mut Connection, topic: Topic) -> Body {
-    c.ask("show", Operation::Show { topic, search: String::new() }).unwrap()
+    c.request("show", Operation::Show { topic, search: String::new() }).unwrap()
 }
 
 fn status(c: &mut Connection) -> Status {
@@ -187,7 +187,7 @@
     let last = site.exchanges[0].last_set_up().unwrap();
     assert!(last <= told + Duration::from_millis(250 + 50), "{:?} after the drain was in force", last - told);
     let before = site.exchanges[0].set_ups();
-    let answer = c.ask("u1", undrain("exchange:1")).unwrap();
+    let answer = c.request("u1", undrain("exchange:1")).unwrap();
     assert!(matches!(answer, Body::Done { order: 2, .. }), "{answer:?}");
     until("it is used again", || (site.exchanges[0].set_ups() > before).then_some(()));
     let table = callers.finish();
@@ -204,7 +204,7 @@
     let site = Site::new(2, Duration::from_secs(1), "");
     let (_program, _) = site.up();
     let answers: Vec<Body> =
-        (0..3).map(|_| site.operator().ask("same", drain("exchange:1")).unwrap()).collect();
+        (0..3).map(|_| site.operator().request("same", drain("exchange:1")).unwrap()).collect();
     assert!(answers.windows(2).all(|w| w[0] == w[1]), "{answers:?}");
     assert_eq!(drains(&mut site.operator()).len(), 1);
     // Two operators at the same instant, again and again; each is answered, and one order comes after the other.
@@ -212,7 +212,7 @@
     for round in 0..10 {
         let (a, b) = (site.operator(), site.operator());
         let give = |mut c: Connection, ask: Operation| {
-            std::thread::spawn(move || c.ask(&format!("r{round}-{ask:?}"), ask))
+            std::thread::spawn(move || c.request(&format!("r{round}-{ask:?}"), ask))
         };
         let (undone, done) = (give(a, undrain("exchange:1")), give(b, drain("exchange:1")));
         let answers = [undone.join().unwrap(), done.join().unwrap()];
@@ -235,7 +235,7 @@
         // One of the two holds, whichever came last; for the next round it is drained.
         let mut c = site.operator();
         if state(&mut c, "exchange:1") == "none" {
-            let Body::Done { order, .. } = c.ask(&format!("again{round}"), drain("exchange:1")).unwrap()
+            let Body::Done { order, .. } = c.request(&format!("again{round}"), drain("exchange:1")).unwrap()
             else {
                 panic!()
             };
@@ -253,12 +253,12 @@
     };
     // Asked and answered; at once killed. The same request after the restart acts no more.
     let (p, _) = site.up();
-    let first = site.operator().ask("k1", drain("exchange:1")).unwrap();
+    let first = site.operator().request("k1", drain("exchange:1")).unwrap();
     kill(p);
     let (p, _) = site.up();
     let mut c = site.operator();
     assert_eq!(drains(&mut c).len(), 1);
-    assert_eq!(c.ask("k1", drain("exchange:1")).unwrap(), first);
+    assert_eq!(c.request("k1", drain("exchange:1")).unwrap(), first);
     assert!(site.exchanges[0].set_ups() == 0 && drains(&mut c).len() == 1);
     // While it empties, and when it is empty: the state comes with time, the drain is there at once.
     for want in ["shedding", "emptying", "empty"] {
@@ -272,7 +272,7 @@
     let mut c = site.operator();
     assert_eq!(drains(&mut c)[0].order, 1);
     // Restored, and answered: it stays so.
-    c.ask("k2", undrain("exchange:1")).unwrap();
+    c.request("k2", undrain("exchange:1")).unwrap();
     kill(p);
     let (p, _) = site.up();
     let mut c = site.operator();
@@ -283,7 +283,7 @@
     let (_p, at) = site.up();
     let mut c = site.operator();
     let there = state(&mut c, "exchange:2") != "none";
-    c.ask("k3", drain("exchange:2")).unwrap();
+    c.request("k3", drain("exchange:2")).unwrap();
     assert_eq!(drains(&mut c).len(), 1, "there before the repeat: {there}");
     let table = Callers::start(at, load(50.0, 1, &[2])).unwrap().finish();
     all_answered(&table);
@@ -296,7 +296,7 @@
     let (mut program, at) = site.up();
     let callers = Callers::start(at, load(60.0, 3, &[1, 2])).unwrap();
     let mut c = site.operator();
-    c.ask("d", drain("exchange:1")).unwrap();
+    c.request("d", drain("exchange:1")).unwrap();
     // A reload with other rules keeps the drain, and one with a fault keeps the rules.
     let good = fs::read_to_string(&site.file).unwrap();
     fs::write(&site.file, format!("{good}[drains]\nreason_needed = true\n")).unwrap();
@@ -310,7 +310,7 @@
         at_limit: AtLimit::Keep,
         force: true,
     };
-    assert!(c.ask("n", bare).unwrap_err().to_string().contains("reason: missing"));
+    assert!(c.request("n", bare).unwrap_err().to_string().contains("reason: missing"));
     fs::write(&site.file, good.replace("aim_ms = 1200", "aim_ms = 0")).unwrap();
     program.signal("HUP");
     assert!(program.said("warning: configuration kept: ").contains("fault"));
@@ -331,7 +331,7 @@
     let table = callers.so_far();
     assert_eq!(table.failed, 0);
     let mut c = site.operator();
-    c.ask("d", drain("exchange:1")).unwrap();
+    c.request("d", drain("exchange:1")).unwrap();
     until("it empties", || (state(&mut c, "exchange:1") == "emptying").then_some(()));
     drop(site.exchanges.remove(0));
     until("it is empty", || (state(&mut c, "exchange:1") == "empty").then_some(()));
@@ -351,15 +351,15 @@
         at_limit: AtLimit::Cut,
         force: false,
     };
-    c.ask("a", cut("exchange:1")).unwrap();
+    c.request("a", cut("exchange:1")).unwrap();
     until("it is empty", || (state(&mut c, "exchange:1") == "empty").then_some(()));
     until("the callers heard it", || (callers.standing() == 25).then_some(()));
-    c.ask("b", cut("controller")).unwrap();
+    c.request("b", cut("controller")).unwrap();
     until("it is drained", || (status(&mut c).state == "drained").then_some(()));
     let refused = Callers::start(at, load(50.0, 1, &[2])).unwrap().finish();
     all_answered(&refused);
     assert_eq!(refused.refused, refused.offered);
-    c.ask("c", undrain("controller")).unwrap();
+    c.request("c", undrain("controller")).unwrap();
     assert_eq!(status(&mut c).state, "serving");
     all_answered(&callers.finish());
 }
@@ -371,15 +371,15 @@
     let (_program, _) = site.up();
     let mut c = site.operator();
     // The group to 3 goes: from now on the only way to 3 is over 2.
-    c.ask("g", drain("group:3")).unwrap();
-    let denied = c.ask("x", drain("exchange:2")).unwrap_err().to_string();
+    c.request("g", drain("group:3")).unwrap();
+    let denied = c.request("x", drain("exchange:2")).unwrap_err().to_string();
     assert!(denied.contains("no way would be left to exchange:3"), "{denied}");
-    let Body::Cost(cost) = c.ask("c", Operation::Cost { target: "exchange:2".into() }).unwrap() else {
+    let Body::Cost(cost) = c.request("c", Operation::Cost { target: "exchange:2".into() }).unwrap() else {
         panic!()
     };
     assert_eq!((cost.no_way.as_slice(), cost.denied.is_some()), (&[3][..], true));
-    c.ask("y", drain("exchange:1")).unwrap();
-    let denied = c.ask("z", drain("group:2")).unwrap_err().to_string();
+    c.request("y", drain("exchange:1")).unwrap();
+    let denied = c.request("z", drain("group:2")).unwrap_err().to_string();
     assert!(denied.contains("2 drained at once already") && denied.contains("force overrides"), "{denied}");
     for (ask, want) in [
         (drain("exchange:9"), "not on the list"),
@@ -389,10 +389,10 @@
         (Operation::Seen { alarm: "nothing".into() }, "not raised"),
         (Operation::Log { filter: Some("a=b=c".into()) }, "expected one as info"),
     ] {
-        let got = c.ask(&format!("{ask:?}"), ask).unwrap_err().to_string();
+        let got = c.request(&format!("{ask:?}"), ask).unwrap_err().to_string();
         assert!(got.contains(want), "{want}: {got}");
     }
-    let Body::Audit { audit } = c.ask("a", Operation::Audit).unwrap() else { panic!() };
+    let Body::Audit { audit } = c.request("a", Operation::Audit).unwrap() else { panic!() };
     assert!(audit.len() >= 6 && audit.iter().all(|a| a.who == "awa"), "{audit:?}");
 }
 
@@ -400,7 +400,7 @@
 fn serves_with(site: &Site, said: &str) {
     let (program, at) = site.up();
     let mut c = site.operator();
-    let Body::Done { text, .. } = c.ask("d", drain("exchange:1")).unwrap() else { panic!() };
+    let Body::Done { text, .. } = c.request("d", drain("exchange:1")).unwrap() else { panic!() };
     assert!(text.contains("not saved"), "{text}");
     until("the drain is in force", || (state(&mut c, "exchange:1") == "empty").then_some(()));
     assert_eq!(status(&mut c).state_folder, "unsaved");
@@ -465,10 +465,10 @@
     });
     let mut c = until("an operator gets in", || {
         let mut c = Connection::open(&site.socket(), "awa").ok()?;
-        c.wait(Some(Duration::from_millis(500))).ok()?;
-        c.ask("s", Operation::Show { topic: Topic::Status, search: String::new() }).is_ok().then_some(c)
+        c.set_read_timeout(Some(Duration::from_millis(500))).ok()?;
+        c.request("s", Operation::Show { topic: Topic::Status, search: String::new() }).is_ok().then_some(c)
     });
-    c.ask("d", drain("exchange:1")).unwrap();
+    c.request("d", drain("exchange:1")).unwrap();
     let table = callers.finish();
     all_answered(&table);
     assert_eq!(table.late, 0, "{table}");
@@ -557,15 +557,15 @@
     let mut c = site.operator();
     let targets = vec!["exchange:1".to_owned(), "exchange:2".to_owned()];
     let round = Operation::Round { targets, reason: "update".into(), pause_s: None };
-    c.ask("r", round.clone()).unwrap();
+    c.request("r", round.clone()).unwrap();
     let stage = |c: &mut Connection| {
         let Body::Drains { round, .. } = show(c, Topic::Drains) else { panic!() };
         round.unwrap().stage
     };
     until("the first one is empty", || (stage(&mut c) == "working").then_some(()));
-    assert!(c.ask("r2", round).unwrap_err().to_string().contains("under way"));
-    c.ask("n", Operation::Next).unwrap();
+    assert!(c.request("r2", round).unwrap_err().to_string().contains("under way"));
+    c.request("n", Operation::Next).unwrap();
     assert_eq!((stage(&mut c).as_str(), drains(&mut c).len()), ("settling", 0));
-    c.ask("h", Operation::Halt).unwrap();
+    c.request("h", Operation::Halt).unwrap();
     assert_eq!(stage(&mut c), "halted");
 }
--- a/tests/gossip.rs
+++ b/tests/gossip.rs
@@ -62,8 +62,8 @@
 
     fn show(&self, topic: Topic) -> Body {
         let mut c = Connection::open(&self.socket, "t").unwrap();
-        c.wait(Some(common::WAIT)).unwrap();
-        c.ask("s", Operation::Show { topic, search: String::new() }).unwrap()
+        c.set_read_timeout(Some(common::WAIT)).unwrap();
+        c.request("s", Operation::Show { topic, search: String::new() }).unwrap()
     }
 
     fn alive(&self) -> usize {
