--- a/crates/control/src/client.rs
+++ b/crates/control/src/client.rs
@@ -10,25 +10,25 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ClientError {
     /// There is no program at the socket.
-    #[error("{path}: {why} (is the controller running, with [control] socket in its appliance file?)")]
+    #[error("{path}: {error} (is the controller running, with [control] socket in its appliance file?)")]
     Connect {
         /// The socket.
         path: PathBuf,
         /// Why.
-        why: io::Error,
+        error: io::Error,
     },
     /// The connection broke.
     #[error("the connection broke: {0}")]
-    Broken(#[from] io::Error),
+    Io(#[from] io::Error),
     /// It ended before the answer came.
     #[error("the controller ended the connection before its answer")]
-    Ended,
+    Closed,
     /// What came is no message.
     #[error("what came is no message: {0}")]
-    Odd(String),
+    InvalidMessage(String),
     /// The controller turned it down.
     #[error("{0}")]
-    TurnedDown(String),
+    Rejected(String),
 }
 
 /// A connection to a controller.
@@ -45,9 +45,9 @@
     /// # Errors
     /// If there is no program at the socket.
     pub fn open(path: &Path, who: &str) -> Result<Connection, ClientError> {
-        let fault = |why| ClientError::Connect { path: path.to_owned(), why };
-        let stream = UnixStream::connect(path).map_err(fault)?;
-        let reader = BufReader::new(stream.try_clone().map_err(fault)?);
+        let connect_error = |error| ClientError::Connect { path: path.to_owned(), error };
+        let stream = UnixStream::connect(path).map_err(connect_error)?;
+        let reader = BufReader::new(stream.try_clone().map_err(connect_error)?);
         Ok(Connection { reader, stream, who: who.to_owned() })
     }
 
@@ -76,9 +76,9 @@
         let mut text = Vec::new();
         let n = self.reader.by_ref().take(LONGEST_REPLY as u64).read_until(b'\n', &mut text)?;
         if n == 0 {
-            return Err(ClientError::Ended);
+            return Err(ClientError::Closed);
         }
-        serde_json::from_slice(&text).map_err(|e| ClientError::Odd(e.to_string()))
+        serde_json::from_slice(&text).map_err(|e| ClientError::InvalidMessage(e.to_string()))
     }
 
     /// Sends a request and waits for its answer; views and events that come before it are passed over.
@@ -95,8 +95,8 @@
                 }
                 return match (ok, body) {
                     (true, Some(body)) => Ok(body),
-                    (true, None) => Err(ClientError::Odd("an answer without contents".into())),
-                    (false, _) => Err(ClientError::TurnedDown(error.unwrap_or_default())),
+                    (true, None) => Err(ClientError::InvalidMessage("an answer without contents".into())),
+                    (false, _) => Err(ClientError::Rejected(error.unwrap_or_default())),
                 };
             }
         }
--- a/src/program/ctl.rs
+++ b/src/program/ctl.rs
@@ -162,7 +162,7 @@
             fault(&e);
             match e {
                 ClientError::Connect { .. } => Exit::NoController,
-                ClientError::TurnedDown(_) => Exit::TurnedDown,
+                ClientError::Rejected(_) => Exit::TurnedDown,
                 _ => Exit::Failed,
             }
         }
@@ -267,7 +267,9 @@
     let mut last = String::new();
     loop {
         let body = c.request(&fresh_id(), Operation::Show { topic: Topic::Drains, search: String::new() })?;
-        let Body::Drains { drains, .. } = &body else { return Err(ClientError::Odd("no drains".into())) };
+        let Body::Drains { drains, .. } = &body else {
+            return Err(ClientError::InvalidMessage("no drains".into()));
+        };
         let Some(d) = drains.iter().find(|d| d.target == target) else {
             fault(&format!("{target}: its drain was ended"));
             return Ok(Exit::Failed);
--- a/tests/appliance.rs
+++ b/tests/appliance.rs
@@ -220,7 +220,7 @@
         for answer in answers {
             match answer {
                 Ok(Body::Done { order, .. }) => orders.push(order),
-                Err(ClientError::TurnedDown(why)) => {
+                Err(ClientError::Rejected(why)) => {
                     assert!(why.contains("drained") || why.contains("came after"), "{why}")
                 }
                 other => panic!("{other:?}"),
