--- a/crates/control/src/sessions.rs
+++ b/crates/control/src/sessions.rs
@@ -1,6 +1,6 @@
 //! The states of the connections of operators' programs.
 //!
-//! A program that sends what is no message is told so, and may go on; after [`FAULTS`] such lines it is sent away,
+//! A program that sends what is no message is told so, and may go on; after [`MAX_INVALID_LINES`] such lines it is sent away,
 //! and so is one whose line has no end. One that is silent keeps its place only while nobody needs it.
 
 use crate::frames::{line, BadRequest, Body, Frame, Operation, Request, Topic, LONGEST_REQUEST, VERSION};
@@ -9,23 +9,23 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Programs that may be connected at once. A technician has a console or two, and some scripts.
-pub const MOST: usize = 16;
+pub const MAX_CLIENTS: usize = 16;
 /// Lines that were no messages before a program is sent away.
-pub const FAULTS: u32 = 8;
+pub const MAX_INVALID_LINES: u32 = 8;
 /// Requests of one program that may wait for their answers; more are turned down.
-pub const WAITING: usize = 32;
+pub const MAX_PENDING: usize = 32;
 /// The shortest time between two views of a topic (ms): a screen shows no more.
-pub const FASTEST_MS: u32 = 100;
+pub const MIN_VIEW_INTERVAL_MS: u32 = 100;
 
 /// Names one connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Client(pub u64);
+pub struct ClientId(pub u64);
 
 /// What a program asks for.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Asked {
+pub struct PendingRequest {
     /// Who is owed the answer.
-    pub client: Client,
+    pub client: ClientId,
     /// The request.
     pub request: Request,
 }
@@ -34,11 +34,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
     /// Something waits in this mailbox.
-    Ready(Client),
+    Ready(ClientId),
     /// End it once all that waits has been sent.
-    End(Client),
+    Close(ClientId),
     /// End it at once: it does not take its replies.
-    Cut(Client),
+    Abort(ClientId),
 }
 
 /// What is counted.
@@ -47,13 +47,13 @@
     /// Connections taken in.
     pub accepted: u64,
     /// Connections turned away, since there were too many.
-    pub turned_away: u64,
+    pub rejected: u64,
     /// Lines that were no messages.
-    pub unusable: u64,
+    pub malformed: u64,
     /// Requests.
     pub requests: u64,
     /// Programs cut off since they did not read their replies.
-    pub cut: u64,
+    pub aborted: u64,
 }
 
 #[derive(Debug)]
@@ -75,24 +75,24 @@
 /// All connections.
 #[derive(Debug, Default)]
 pub struct Sessions {
-    all: BTreeMap<Client, Session>,
+    all: BTreeMap<ClientId, Session>,
     out: Vec<Output>,
     counts: Counts,
 }
 
 impl Sessions {
     /// A program connected.
-    pub fn opened(&mut self, now: Micros, client: Client) {
-        if self.all.values().filter(|s| !s.ending).count() >= MOST {
+    pub fn opened(&mut self, now: Micros, client: ClientId) {
+        if self.all.values().filter(|s| !s.ending).count() >= MAX_CLIENTS {
             // Guards the technician: connections that do nothing must not keep the console out.
             let idle = |s: &Session| s.topics.is_empty() && s.waiting == 0 && !s.ending;
             let longest = self.all.iter().filter(|s| idle(s.1)).min_by_key(|s| s.1.heard).map(|s| *s.0);
             match longest {
                 Some(idle) => self.end(idle, "made room for another program"),
                 None => {
-                    self.counts.turned_away += 1;
+                    self.counts.rejected += 1;
                     self.add(now, client);
-                    return self.end(client, &format!("{MOST} programs are connected already"));
+                    return self.end(client, &format!("{MAX_CLIENTS} programs are connected already"));
                 }
             }
         }
@@ -100,7 +100,7 @@
         self.add(now, client);
     }
 
-    fn add(&mut self, now: Micros, client: Client) {
+    fn add(&mut self, now: Micros, client: ClientId) {
         let session = Session {
             mailbox: Mailbox::default(),
             topics: BTreeSet::new(),
@@ -118,7 +118,7 @@
     }
 
     /// Says why, and ends a connection.
-    fn end(&mut self, client: Client, why: &str) {
+    fn end(&mut self, client: ClientId, why: &str) {
         let text = why.to_owned();
         self.send(
             client,
@@ -126,17 +126,17 @@
         );
         if let Some(s) = self.all.get_mut(&client) {
             s.ending = true;
-            self.out.push(Output::End(client));
+            self.out.push(Output::Close(client));
         }
     }
 
     /// A connection is no more. Orders that it gave go on.
-    pub fn closed(&mut self, client: Client) {
+    pub fn closed(&mut self, client: ClientId) {
         self.all.remove(&client);
     }
 
     /// Takes bytes, in whatever pieces they come, and gives the requests in them.
-    pub fn bytes(&mut self, now: Micros, client: Client, mut bytes: &[u8]) -> Vec<Asked> {
+    pub fn receive(&mut self, now: Micros, client: ClientId, mut bytes: &[u8]) -> Vec<PendingRequest> {
         let mut asked = Vec::new();
         while let Some(s) = self.all.get_mut(&client).filter(|s| !s.ending && !bytes.is_empty()) {
             s.heard = now;
@@ -171,24 +171,24 @@
         asked
     }
 
-    fn fault(&mut self, client: Client, id: String, why: BadRequest) {
-        self.counts.unusable += 1;
+    fn fault(&mut self, client: ClientId, id: String, why: BadRequest) {
+        self.counts.malformed += 1;
         self.answer(client, id, Err(why.to_string()), false);
         let Some(s) = self.all.get_mut(&client) else { return };
         s.faults += 1;
         // A line that is too long has no end that one would want to wait for.
-        if s.faults >= FAULTS || why == BadRequest::Long {
+        if s.faults >= MAX_INVALID_LINES || why == BadRequest::Long {
             self.end(client, "too much that is no message");
         }
     }
 
-    fn request(&mut self, now: Micros, client: Client, request: Request) -> Option<Asked> {
+    fn request(&mut self, now: Micros, client: ClientId, request: Request) -> Option<PendingRequest> {
         self.counts.requests += 1;
         let s = self.all.get_mut(&client)?;
         match &request.operation {
             Operation::Watch { topics, every_ms, search } => {
                 s.topics = topics.iter().copied().collect();
-                s.every = Micros::from((*every_ms).max(FASTEST_MS)) * 1000;
+                s.every = Micros::from((*every_ms).max(MIN_VIEW_INTERVAL_MS)) * 1000;
                 s.search.clone_from(search);
                 s.due = now;
                 self.answer(client, request.id, Ok(Body::Text { text: "watching".into() }), false);
@@ -199,24 +199,24 @@
                 self.answer(client, request.id, Ok(Body::Text { text: "no longer watching".into() }), false);
                 None
             }
-            _ if s.waiting >= WAITING => {
-                let why = format!("{WAITING} requests wait for their answers already");
+            _ if s.waiting >= MAX_PENDING => {
+                let why = format!("{MAX_PENDING} requests wait for their answers already");
                 self.answer(client, request.id, Err(why), false);
                 None
             }
             _ => {
                 s.waiting += 1;
-                Some(Asked { client, request })
+                Some(PendingRequest { client, request })
             }
         }
     }
 
-    /// Answers a request that was given out by [`Sessions::bytes`].
-    pub fn reply(&mut self, client: Client, id: String, what: Result<Body, String>) {
+    /// Answers a request that was given out by [`Sessions::receive`].
+    pub fn reply(&mut self, client: ClientId, id: String, what: Result<Body, String>) {
         self.answer(client, id, what, true);
     }
 
-    fn answer(&mut self, client: Client, reply: String, what: Result<Body, String>, waited: bool) {
+    fn answer(&mut self, client: ClientId, reply: String, what: Result<Body, String>, waited: bool) {
         if let Some(s) = self.all.get_mut(&client) {
             s.waiting -= usize::from(waited && s.waiting > 0);
         }
@@ -227,19 +227,19 @@
         self.send(client, &Frame::Reply { v: VERSION, reply, ok, error, body });
     }
 
-    fn send(&mut self, client: Client, frame: &Frame) {
+    fn send(&mut self, client: ClientId, frame: &Frame) {
         let Some(s) = self.all.get_mut(&client).filter(|s| !s.ending) else { return };
         if s.mailbox.reply(line(frame)) {
             self.out.push(Output::Ready(client));
         } else {
             s.ending = true;
-            self.counts.cut += 1;
-            self.out.push(Output::Cut(client));
+            self.counts.aborted += 1;
+            self.out.push(Output::Abort(client));
         }
     }
 
     /// Tells an event to all who watch events.
-    pub fn event(&mut self, event: &crate::views::Event) {
+    pub fn publish(&mut self, event: &crate::views::Event) {
         if !self.all.values().any(|s| s.topics.contains(&Topic::Events)) {
             return;
         }
@@ -252,14 +252,14 @@
     }
 
     /// When the next view is due, if anything is watched.
-    pub fn next_due(&self) -> Option<Micros> {
+    pub fn next_view_due(&self) -> Option<Micros> {
         let watches = |s: &&Session| !s.ending && s.topics.iter().any(|t| *t != Topic::Events);
         self.all.values().filter(watches).map(|s| s.due).min()
     }
 
     /// Brings views to all for whom they are due. A view is only made if somebody takes it: a program that has not
     /// read the last one costs nothing more.
-    pub fn views(&mut self, now: Micros, mut make: impl FnMut(Topic, &str) -> Body) {
+    pub fn send_due_views(&mut self, now: Micros, mut make: impl FnMut(Topic, &str) -> Body) {
         let mut made: BTreeMap<(Topic, String), Vec<u8>> = BTreeMap::new();
         for (&client, s) in &mut self.all {
             if s.ending || now < s.due || s.topics.is_empty() {
@@ -282,12 +282,12 @@
     }
 
     /// The next bytes for a connection.
-    pub fn take(&mut self, client: Client) -> Option<Vec<u8>> {
+    pub fn next_message(&mut self, client: ClientId) -> Option<Vec<u8>> {
         self.all.get_mut(&client)?.mailbox.take()
     }
 
     /// Bytes that wait for a connection.
-    pub fn waiting(&self, client: Client) -> usize {
+    pub fn queued_bytes(&self, client: ClientId) -> usize {
         self.all.get(&client).map_or(0, |s| s.mailbox.waiting())
     }
 
@@ -316,7 +316,7 @@
 mod tests {
     use super::*;
 
-    const A: Client = Client(1);
+    const A: ClientId = ClientId(1);
 
     fn open() -> Sessions {
         let mut s = Sessions::default();
@@ -324,8 +324,8 @@
         s
     }
 
-    fn said(s: &mut Sessions, client: Client) -> Vec<String> {
-        std::iter::from_fn(|| s.take(client)).map(|l| String::from_utf8(l).unwrap()).collect()
+    fn said(s: &mut Sessions, client: ClientId) -> Vec<String> {
+        std::iter::from_fn(|| s.next_message(client)).map(|l| String::from_utf8(l).unwrap()).collect()
     }
 
     #[test]
@@ -334,7 +334,7 @@
         let text = b"{\"v\":1,\"id\":\"a\",\"do\":\"audit\"}\r\n\n{\"v\":1,\"id\":\"b\",\"do\":\"config\"}\n";
         let mut ids = Vec::new();
         for piece in text.chunks(7) {
-            ids.extend(s.bytes(0, A, piece).into_iter().map(|a| a.request.id));
+            ids.extend(s.receive(0, A, piece).into_iter().map(|a| a.request.id));
         }
         assert_eq!(ids, ["a", "b"]);
     }
@@ -342,70 +342,74 @@
     #[test]
     fn garbage_is_answered_a_few_times_and_an_endless_line_at_once() {
         let mut s = open();
-        for n in 1..=FAULTS {
-            assert!(s.bytes(0, A, b"what\n").is_empty());
-            assert_eq!(s.take_outputs().contains(&Output::End(A)), n == FAULTS);
+        for n in 1..=MAX_INVALID_LINES {
+            assert!(s.receive(0, A, b"what\n").is_empty());
+            assert_eq!(s.take_outputs().contains(&Output::Close(A)), n == MAX_INVALID_LINES);
         }
         assert!(
-            s.bytes(0, A, b"{\"v\":1,\"id\":\"a\",\"do\":\"audit\"}\n").is_empty(),
+            s.receive(0, A, b"{\"v\":1,\"id\":\"a\",\"do\":\"audit\"}\n").is_empty(),
             "nothing more is heard"
         );
         let mut s = open();
         for _ in 0..100 {
-            assert!(s.bytes(0, A, &[b'x'; 1024]).is_empty());
+            assert!(s.receive(0, A, &[b'x'; 1024]).is_empty());
         }
-        assert!(s.take_outputs().contains(&Output::End(A)));
+        assert!(s.take_outputs().contains(&Output::Close(A)));
         assert!(said(&mut s, A)[0].contains("longer than 16384 bytes"));
     }
 
     #[test]
     fn the_idle_make_room_and_watchers_do_not() {
         let mut s = Sessions::default();
-        for n in 0..MOST as u64 {
-            s.opened(n as i64, Client(n));
+        for n in 0..MAX_CLIENTS as u64 {
+            s.opened(n as i64, ClientId(n));
             if n != 3 {
-                s.bytes(0, Client(n), b"{\"v\":1,\"id\":\"w\",\"do\":\"watch\",\"topics\":[\"status\"]}\n");
+                s.receive(
+                    0,
+                    ClientId(n),
+                    b"{\"v\":1,\"id\":\"w\",\"do\":\"watch\",\"topics\":[\"status\"]}\n",
+                );
             }
         }
-        s.opened(99, Client(99));
-        assert!(s.take_outputs().contains(&Output::End(Client(3))));
-        s.bytes(0, Client(99), b"{\"v\":1,\"id\":\"w\",\"do\":\"watch\",\"topics\":[\"status\"]}\n");
-        s.opened(100, Client(100));
-        assert!(s.take_outputs().contains(&Output::End(Client(100))));
-        assert!(said(&mut s, Client(100))[0].contains("16 programs"));
+        s.opened(99, ClientId(99));
+        assert!(s.take_outputs().contains(&Output::Close(ClientId(3))));
+        s.receive(0, ClientId(99), b"{\"v\":1,\"id\":\"w\",\"do\":\"watch\",\"topics\":[\"status\"]}\n");
+        s.opened(100, ClientId(100));
+        assert!(s.take_outputs().contains(&Output::Close(ClientId(100))));
+        assert!(said(&mut s, ClientId(100))[0].contains("16 programs"));
     }
 
     #[test]
     fn a_frozen_watcher_costs_one_view_and_no_more() {
         let mut s = open();
-        s.bytes(
+        s.receive(
             0,
             A,
             b"{\"v\":1,\"id\":\"w\",\"do\":\"watch\",\"topics\":[\"status\",\"events\"],\"every_ms\":1}\n",
         );
         let mut made = 0;
         for t in 0..1000 {
-            s.views(t * 100_000, |_, _| {
+            s.send_due_views(t * 100_000, |_, _| {
                 made += 1;
                 Body::Text { text: "x".into() }
             });
-            s.event(&crate::views::Event::default());
+            s.publish(&crate::views::Event::default());
         }
         assert_eq!(made, 1);
-        assert!(s.waiting(A) < 64 * 1024, "{}", s.waiting(A));
-        assert_eq!(s.next_due(), Some(1000 * 100_000));
+        assert!(s.queued_bytes(A) < 64 * 1024, "{}", s.queued_bytes(A));
+        assert_eq!(s.next_view_due(), Some(1000 * 100_000));
     }
 
     #[test]
     fn one_that_reads_no_replies_is_cut_and_never_left_guessing() {
         let mut s = open();
         let mut answered = 0;
-        while !s.take_outputs().contains(&Output::Cut(A)) {
+        while !s.take_outputs().contains(&Output::Abort(A)) {
             assert!(answered < 10_000);
-            s.bytes(0, A, b"{\"v\":1,\"id\":\"a\",\"do\":\"config\"}\n");
+            s.receive(0, A, b"{\"v\":1,\"id\":\"a\",\"do\":\"config\"}\n");
             s.reply(A, "a".into(), Ok(Body::Text { text: "y".repeat(1000) }));
             answered += 1;
         }
-        assert_eq!(s.counts().cut, 1);
+        assert_eq!(s.counts().aborted, 1);
     }
 }
--- a/src/program/appliance.rs
+++ b/src/program/appliance.rs
@@ -16,7 +16,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::rc::Rc;
 use walnuthatch_control::frames::{self, Body, Operation, Topic};
-use walnuthatch_control::sessions::{self, Asked, Client, Sessions};
+use walnuthatch_control::sessions::{self, ClientId, PendingRequest, Sessions};
 use walnuthatch_control::views::{self, Event};
 use walnuthatch_drains::book::{self, Book, Command, News, Waiter};
 use walnuthatch_drains::drain::{AtLimit, Drain, State};
@@ -65,8 +65,8 @@
     links: BTreeSet<(ExchangeNo, ExchangeNo)>,
     sessions: Sessions,
     /// One message at a time may be on its way to each program.
-    queues: HashMap<Client, Sender<Vec<u8>>>,
-    waiters: BTreeMap<Waiter, (Client, String)>,
+    queues: HashMap<ClientId, Sender<Vec<u8>>>,
+    waiters: BTreeMap<Waiter, (ClientId, String)>,
     next_waiter: Waiter,
     events: VecDeque<Event>,
     event_number: u64,
@@ -169,10 +169,10 @@
         let c = self.sessions.counts();
         [
             ("control.accepted", c.accepted),
-            ("control.turned_away", c.turned_away),
-            ("control.unusable", c.unusable),
+            ("control.turned_away", c.rejected),
+            ("control.unusable", c.malformed),
             ("control.requests", c.requests),
-            ("control.cut", c.cut),
+            ("control.cut", c.aborted),
             ("log.lost", self.log.as_ref().map_or(0, |l| l.lost())),
             ("traffic.not_told_apart", self.traffic.lost),
             ("alarms.lost", self.alarms.dropped),
@@ -250,7 +250,7 @@
                 self.sessions.opened(now.steady, client);
             }
             ControlNews::Bytes(client, bytes) => {
-                for asked in self.sessions.bytes(now.steady, client, &bytes) {
+                for asked in self.sessions.receive(now.steady, client, &bytes) {
                     self.request(now, asked, scene);
                 }
             }
@@ -289,7 +289,7 @@
             self.follow_book(now);
         }
         let mut sessions = std::mem::take(&mut self.sessions);
-        sessions.views(now.steady, |topic, search| self.body(now, topic, search, scene));
+        sessions.send_due_views(now.steady, |topic, search| self.body(now, topic, search, scene));
         self.sessions = sessions;
         self.follow_sessions();
         self.plan(now);
@@ -353,7 +353,7 @@
     }
 
     fn plan(&mut self, now: Now) {
-        let views = self.sessions.next_due().unwrap_or(Micros::MAX);
+        let views = self.sessions.next_view_due().unwrap_or(Micros::MAX);
         let drains = if self.quiet() { Micros::MAX } else { self.book.next_look(now) };
         let want = views.min(drains).min(self.second + SECOND).max(now.steady + 1);
         if want < self.next || self.next <= now.steady {
@@ -397,13 +397,13 @@
             match output {
                 sessions::Output::Ready(client) => self.feed(client),
                 // What waits is sent, and then the queue has no more to give.
-                sessions::Output::End(client) => {
+                sessions::Output::Close(client) => {
                     self.feed(client);
                     if let Some(queue) = self.queues.get(&client) {
                         queue.close();
                     }
                 }
-                sessions::Output::Cut(client) => {
+                sessions::Output::Abort(client) => {
                     if let Some(queue) = self.queues.get(&client) {
                         queue.close();
                     }
@@ -413,10 +413,10 @@
     }
 
     /// Hands a connection what waits for it, if nothing is on its way there.
-    fn feed(&mut self, client: Client) {
+    fn feed(&mut self, client: ClientId) {
         let Some(queue) = self.queues.get(&client).filter(|q| q.is_empty()) else { return };
         let mut bytes = Vec::new();
-        while let Some(frame) = (bytes.len() < BATCH).then(|| self.sessions.take(client)).flatten() {
+        while let Some(frame) = (bytes.len() < BATCH).then(|| self.sessions.next_message(client)).flatten() {
             bytes.extend(frame);
         }
         if !bytes.is_empty() {
@@ -440,7 +440,7 @@
         Appliance::log(kind, &text);
         self.event_number += 1;
         let event = Event { at_ms: now.wall / 1000, number: self.event_number, kind: kind.to_owned(), text };
-        self.sessions.event(&event);
+        self.sessions.publish(&event);
         self.events.push_back(event);
         if self.events.len() > EVENTS {
             self.events.pop_front();
@@ -449,8 +449,8 @@
 
     // ---- Requests ----
 
-    fn request(&mut self, now: Now, asked: Asked, scene: &Scene<'_>) {
-        let Asked { client, request } = asked;
+    fn request(&mut self, now: Now, asked: PendingRequest, scene: &Scene<'_>) {
+        let PendingRequest { client, request } = asked;
         let who = if request.who.is_empty() { "unknown".to_owned() } else { request.who };
         let id = request.id;
         let target = |text: &str| text.parse::<Target>().map_err(|e| e.to_string());
@@ -510,7 +510,7 @@
     fn order(
         &mut self,
         now: Now,
-        client: Client,
+        client: ClientId,
         id: String,
         who: String,
         command: Command,
--- a/src/transport/control.rs
+++ b/src/transport/control.rs
@@ -16,7 +16,7 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::time::Duration;
-use walnuthatch_control::sessions::{Client, MOST};
+use walnuthatch_control::sessions::{ClientId, MAX_CLIENTS};
 
 /// Bytes read at a time.
 const CHUNK: usize = 4096;
@@ -115,14 +115,14 @@
 pub async fn listen(socket: Rc<ControlSocket>, executor: Rc<LocalExecutor<'static>>, inbox: Sender<Inbound>) {
     let mut next = 0;
     // Guards descriptors: some more than may be connected, so that one too many can be told why.
-    let places = std::sync::Arc::new(async_lock::Semaphore::new(MOST + 4));
+    let places = std::sync::Arc::new(async_lock::Semaphore::new(MAX_CLIENTS + 4));
     loop {
         let place = places.acquire_arc().await;
         let Ok((stream, _)) = socket.listener.accept().await else {
             Timer::after(ACCEPT_PAUSE).await;
             continue;
         };
-        let client = Client(next);
+        let client = ClientId(next);
         next += 1;
         // One message at a time: the next is made when this one has left.
         let (frames, queue) = bounded(1);
@@ -139,7 +139,7 @@
     }
 }
 
-async fn read(mut stream: &Async<UnixStream>, client: Client, inbox: &Sender<Inbound>) {
+async fn read(mut stream: &Async<UnixStream>, client: ClientId, inbox: &Sender<Inbound>) {
     let mut chunk = [0; CHUNK];
     loop {
         match stream.read(&mut chunk).await {
@@ -157,7 +157,7 @@
 
 async fn write(
     mut stream: &Async<UnixStream>,
-    client: Client,
+    client: ClientId,
     queue: &Receiver<Vec<u8>>,
     inbox: &Sender<Inbound>,
 ) {
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -18,7 +18,7 @@
 use crate::protocol::ConnId;
 use outbox::Outbox;
 use std::net::SocketAddr;
-use walnuthatch_control::sessions::Client;
+use walnuthatch_control::sessions::ClientId;
 
 /// Which side of the program a connection belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -52,13 +52,13 @@
 #[derive(Debug)]
 pub enum ControlNews {
     /// A program connected; what it is to read goes into this queue, one piece at a time.
-    Opened(Client, async_channel::Sender<Vec<u8>>),
+    Opened(ClientId, async_channel::Sender<Vec<u8>>),
     /// It sent this.
-    Bytes(Client, Vec<u8>),
+    Bytes(ClientId, Vec<u8>),
     /// It was written what was in its queue.
-    Wrote(Client),
+    Wrote(ClientId),
     /// Its connection is no more.
-    Closed(Client),
+    Closed(ClientId),
     /// The state of this number was saved, or not for this reason.
     Saved(u64, Result<(), String>),
 }
