--- a/crates/metrics/src/alarms.rs
+++ b/crates/metrics/src/alarms.rs
@@ -1,24 +1,26 @@
-//! Alarms that do not flap. A value must be over its upper mark for a while before an alarm is raised, and under a
-//! lower mark for a while before it is cleared; between the marks nothing changes.
+//! Alarms with hysteresis. An alarm is raised once its value has stayed at or above the raise threshold for the raise
+//! delay, and cleared once it has stayed at or below the clear threshold for the clear delay. Values between the
+//! thresholds change nothing, so an oscillating value does not make the alarm flap.
 
 use crate::Micros;
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Alarms kept at once. Guards memory against subjects that never end; more are counted.
+/// Maximum number of alarms tracked at once. Bounds memory when the set of subjects grows without limit; alarms beyond
+/// it are counted in [`Alarms::dropped`].
 pub const MAX_ALARMS: usize = 256;
 
-/// How grave it is.
+/// Severity of an alarm, in ascending order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Severity {
-    /// To be looked at in time.
+    /// Needs attention, but not at once.
     Warning,
-    /// Calls are lost.
+    /// Calls are being lost.
     Critical,
 }
 
 impl Severity {
-    /// Its name.
+    /// Returns the name used in views.
     pub fn name(self) -> &'static str {
         match self {
             Severity::Warning => "warning",
@@ -27,27 +29,27 @@
     }
 }
 
-/// When an alarm is raised and cleared.
+/// Thresholds and delays that decide when an alarm is raised and cleared.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AlarmRule {
-    /// Raised at this value or over.
+    /// The alarm is raised at or above this value.
     pub raise: f64,
-    /// Cleared at this value or under.
+    /// The alarm is cleared at or below this value.
     pub clear: f64,
-    /// It must be over for so long (µs).
+    /// How long the value must stay at or above `raise` (µs).
     pub raise_delay: Micros,
-    /// It must be under for so long (µs).
+    /// How long the value must stay at or below `clear` (µs).
     pub clear_delay: Micros,
-    /// How grave it is.
+    /// Severity of the alarm while it is raised.
     pub severity: Severity,
 }
 
-/// What an alarm is of.
+/// Identifies an alarm by kind and subject.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AlarmKey {
-    /// The kind.
+    /// The kind of alarm.
     pub kind: &'static str,
-    /// Of what; empty: of the whole.
+    /// The subject, such as an exchange; empty for an alarm about the whole site.
     pub subject: String,
 }
 
@@ -62,51 +64,52 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
-    /// Over the upper mark since then, and not raised yet.
+    /// At or above the raise threshold since the given time, not raised yet.
     Pending(Micros),
-    /// Raised.
+    /// Raised, and above the clear threshold.
     Raised,
-    /// Raised, and under the lower mark since then.
+    /// Raised, and at or below the clear threshold since the given time.
     Clearing(Micros),
 }
 
-/// One alarm.
+/// A pending or raised alarm.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Alarm {
     state: State,
-    /// The rule that it is judged by.
+    /// The rule last applied.
     pub rule: AlarmRule,
-    /// When it was raised.
+    /// When the alarm was raised.
     pub since: Micros,
-    /// The value at the last look.
+    /// The value at the last evaluation.
     pub value: f64,
-    /// The worst value since it was raised.
+    /// The highest value since the alarm was raised.
     pub worst: f64,
-    /// What it says.
+    /// Description shown to operators.
     pub text: String,
-    /// Who has seen it.
+    /// The operator who acknowledged the alarm, if any.
     pub acknowledged_by: Option<String>,
 }
 
-/// What became of an alarm.
+/// A change in the state of an alarm.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AlarmChange {
-    /// It was raised.
+    /// The alarm was raised.
     Raised(AlarmKey, Alarm),
-    /// It was cleared, after so long.
+    /// The alarm was cleared; the second value is how long it was raised.
     Cleared(AlarmKey, Micros),
 }
 
-/// All alarms.
+/// All pending and raised alarms.
 #[derive(Debug, Default)]
 pub struct Alarms {
     all: BTreeMap<AlarmKey, Alarm>,
-    /// Raised ones that found no place.
+    /// Evaluations at or above the raise threshold that were not tracked because [`MAX_ALARMS`] alarms existed.
     pub dropped: u64,
 }
 
 impl Alarms {
-    /// Looks at a value. `text` is only asked for when it is shown.
+    /// Evaluates a value against its rule and returns the change of state, if any. `text` is called only while the
+    /// alarm is raised.
     pub fn evaluate(
         &mut self,
         now: Micros,
@@ -162,7 +165,7 @@
         None
     }
 
-    /// Forgets alarms whose subject is no longer there; those that were raised are cleared.
+    /// Removes the alarms whose key is no longer current and returns a change for each that was raised.
     pub fn retain(&mut self, now: Micros, is_current: impl Fn(&AlarmKey) -> bool) -> Vec<AlarmChange> {
         let removed: Vec<AlarmKey> = self.all.keys().filter(|k| !is_current(k)).cloned().collect();
         let clear = |key: AlarmKey| {
@@ -173,13 +176,13 @@
         removed.into_iter().filter_map(clear).collect()
     }
 
-    /// Somebody has seen an alarm. `false`: there is none of this name.
+    /// Records that an operator acknowledged the raised alarm with this name. Returns `false` if there is none.
     pub fn acknowledge(&mut self, name: &str, operator: &str) -> bool {
         let found = self.all.iter_mut().find(|(k, a)| a.raised() && k.to_string() == name);
         found.map(|(_, a)| a.acknowledged_by = Some(operator.to_owned())).is_some()
     }
 
-    /// Those that are raised, the gravest first, then the oldest.
+    /// Returns the raised alarms, by descending severity and then by age, oldest first.
     pub fn raised(&self) -> Vec<(&AlarmKey, &Alarm)> {
         let mut raised: Vec<_> = self.all.iter().filter(|a| a.1.raised()).collect();
         raised.sort_by_key(|(_, a)| (std::cmp::Reverse(a.rule.severity), a.since));
@@ -188,7 +191,7 @@
 }
 
 impl Alarm {
-    /// Whether it is raised.
+    /// Whether the alarm is raised.
     pub fn raised(&self) -> bool {
         !matches!(self.state, State::Pending(_))
     }
@@ -221,19 +224,19 @@
     }
 
     #[test]
-    fn a_value_that_swings_about_its_mark_raises_one_alarm_at_the_most() {
-        // Over and under the upper mark in turn, for ten minutes: never over it for long enough.
+    fn an_oscillating_value_raises_at_most_one_alarm() {
+        // The value alternates around the raise threshold for ten minutes, never above it for the raise delay.
         assert!(run((0..600).map(|s| (s * SECOND, if s % 4 < 2 { 0.25 } else { 0.15 }))).is_empty());
-        // Once raised, it stays while the value swings between under the lower mark and over the upper one.
+        // Once raised, the alarm stays while the value swings from below the clear threshold to above the raise one.
         let raised = |s: i64| if s < 10 || s % 8 < 4 { 0.25 } else { 0.05 };
         assert_eq!(run((0..600).map(|s| (s * SECOND, raised(s)))), [(5, true)]);
-        // And it is cleared once, when the value has been low for long enough.
-        let falls = |s: i64| if s < 10 { 0.3 } else { 0.0 };
-        assert_eq!(run((0..600).map(|s| (s * SECOND, falls(s)))), [(5, true), (20, false)]);
+        // It is cleared once, when the value has been low for the clear delay.
+        let falling = |s: i64| if s < 10 { 0.3 } else { 0.0 };
+        assert_eq!(run((0..600).map(|s| (s * SECOND, falling(s)))), [(5, true), (20, false)]);
     }
 
     #[test]
-    fn alarms_are_bounded_seen_and_cleared_with_their_subject() {
+    fn alarms_are_bounded_acknowledged_and_cleared_with_their_subject() {
         let mut a = Alarms::default();
         let key = |n: usize| AlarmKey { kind: "silent", subject: format!("exchange:{n}") };
         for s in 0..=5 {
--- a/crates/metrics/src/delays.rs
+++ b/crates/metrics/src/delays.rs
@@ -1,20 +1,20 @@
-//! RollingHistogram by exchange, in histograms of high dynamic range that are changed every half minute: what is shown covers
-//! the last half to whole minute.
+//! Set-up times and attempt counts by exchange. Set-up times are kept in a pair of high dynamic range histograms that
+//! rotate every 30 s, so quantiles cover the last 30 to 60 s.
 
 use crate::{Micros, SECOND};
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
 
-/// Span of one histogram (µs).
+/// Time covered by one histogram (µs).
 const INTERVAL: Micros = 30 * SECOND;
-/// The longest delay that is told apart (µs).
+/// The longest delay that is resolved (µs); longer ones are recorded as this.
 const MAX_DELAY: u64 = 60_000_000;
-/// MetricsByExchange kept apart. Guards memory, at some 20 KB each; a site has a few dozen.
+/// Maximum number of exchanges tracked. Bounds memory, at about 20 KB each; a site has a few dozen.
 pub const MAX_EXCHANGES: usize = 128;
-/// Seconds of history shown as a line.
+/// Seconds of history kept for the sparkline.
 pub const HISTORY_SECONDS: usize = 30;
 
-/// Two histograms, of the span that runs and of the one previous.
+/// Histograms of the current interval and of the previous one.
 #[derive(Debug)]
 pub struct RollingHistogram {
     current: Histogram<u32>,
@@ -24,7 +24,7 @@
 
 impl Default for RollingHistogram {
     fn default() -> Self {
-        // Two digits: a delay is shown to a hundredth part of it. These bounds are always valid.
+        // Two significant digits: quantiles are exact to 1%. The bounds are constants and always valid.
         let empty = || {
             Histogram::new_with_bounds(1, MAX_DELAY, 2)
                 .unwrap_or_else(|_| unreachable!("fixed, valid bounds"))
@@ -33,21 +33,21 @@
     }
 }
 
-/// What is shown of delays (µs).
+/// Number of delays and their quantiles (µs).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Quantiles {
-    /// How many there were.
+    /// Number of recorded delays.
     pub count: u64,
-    /// The median.
+    /// Median.
     pub p50: Micros,
-    /// 99 of 100 were shorter.
+    /// 99th percentile.
     pub p99: Micros,
-    /// 999 of 1,000 were shorter.
+    /// 99.9th percentile.
     pub p999: Micros,
 }
 
 impl RollingHistogram {
-    /// Lets time pass.
+    /// Advances to `now`, rotating the histograms at interval boundaries.
     pub fn advance(&mut self, now: Micros) {
         let interval = now.div_euclid(INTERVAL);
         if interval > self.interval {
@@ -60,16 +60,16 @@
         }
     }
 
-    /// Counts a delay.
+    /// Records a delay.
     pub fn record(&mut self, now: Micros, delay: Micros) {
         self.advance(now);
         self.current.saturating_record(delay.clamp(1, MAX_DELAY as Micros) as u64);
     }
 
-    /// What is shown.
+    /// Returns the quantiles over the current and the previous interval.
     pub fn quantiles(&self) -> Quantiles {
         let mut merged = self.previous.clone();
-        // The bounds are the same, so that nothing can be out of them.
+        // Both histograms have the same bounds, so adding cannot fail.
         let _ = merged.add(&self.current);
         let at = |q| merged.value_at_quantile(q) as Micros;
         match merged.len() {
@@ -79,28 +79,28 @@
     }
 }
 
-/// What is kept of one exchange.
+/// Metrics of one exchange.
 #[derive(Debug, Default)]
 pub struct ExchangeMetrics {
-    /// How long set-ups took that stood.
+    /// Set-up times of established calls.
     pub setup_times: RollingHistogram,
-    /// When figures of it last came.
+    /// When the last load report arrived.
     pub last_report: Option<Micros>,
-    /// Set-ups that it, or the way to it, turned away in the last second, and whole since the start.
+    /// Attempts that ended without an established call since the start, at the exchange or on the route to it.
     pub unsuccessful_attempts: u64,
     attempts: [u16; HISTORY_SECONDS],
     second: i64,
 }
 
 impl ExchangeMetrics {
-    /// Counts a set-up that was sent.
+    /// Records an attempt sent to the exchange.
     pub fn record_attempt(&mut self, now: Micros) {
         self.advance(now);
         let at = self.second.rem_euclid(HISTORY_SECONDS as i64) as usize;
         self.attempts[at] = self.attempts[at].saturating_add(1);
     }
 
-    /// Lets time pass.
+    /// Advances to `now`, clearing the history of skipped seconds.
     pub fn advance(&mut self, now: Micros) {
         let second = now.div_euclid(SECOND);
         let first = self.second.max(second - HISTORY_SECONDS as i64);
@@ -111,7 +111,7 @@
         self.setup_times.advance(now);
     }
 
-    /// Set-ups sent in each of the last seconds, oldest first.
+    /// Returns the attempts sent in each of the last [`HISTORY_SECONDS`] seconds, oldest first.
     pub fn history(&self) -> [u16; HISTORY_SECONDS] {
         std::array::from_fn(|i| {
             self.attempts[(self.second + 1 + i as i64).rem_euclid(HISTORY_SECONDS as i64) as usize]
@@ -119,16 +119,16 @@
     }
 }
 
-/// All exchanges.
+/// Metrics of all tracked exchanges.
 #[derive(Debug, Default)]
 pub struct MetricsByExchange {
     all: BTreeMap<u16, ExchangeMetrics>,
-    /// Figures that were not kept since there were too many exchanges.
+    /// Lookups refused because [`MAX_EXCHANGES`] exchanges were already tracked.
     pub dropped: u64,
 }
 
 impl MetricsByExchange {
-    /// What is kept of an exchange; `None` if there are too many.
+    /// Returns the metrics of an exchange, creating them if needed; `None` if too many exchanges are tracked.
     pub fn entry(&mut self, exchange: u16) -> Option<&mut ExchangeMetrics> {
         if self.all.len() >= MAX_EXCHANGES && !self.all.contains_key(&exchange) {
             self.dropped += 1;
@@ -137,17 +137,17 @@
         Some(self.all.entry(exchange).or_default())
     }
 
-    /// What is kept of an exchange, if anything.
+    /// Returns the metrics of an exchange, if it is tracked.
     pub fn get(&self, exchange: u16) -> Option<&ExchangeMetrics> {
         self.all.get(&exchange)
     }
 
-    /// Lets time pass.
+    /// Advances all exchanges to `now`.
     pub fn advance(&mut self, now: Micros) {
         self.all.values_mut().for_each(|e| e.advance(now));
     }
 
-    /// Forgets exchanges that are no longer there.
+    /// Removes the exchanges that are no longer listed.
     pub fn retain(&mut self, is_listed: impl Fn(u16) -> bool) {
         self.all.retain(|&e, _| is_listed(e));
     }
@@ -158,7 +158,7 @@
     use super::*;
 
     #[test]
-    fn quantiles_cover_the_last_minute_and_no_more() {
+    fn quantiles_cover_at_most_the_last_minute() {
         let mut d = RollingHistogram::default();
         for i in 1..=1000 {
             d.record(SECOND, i * 1000);
@@ -175,7 +175,7 @@
     }
 
     #[test]
-    fn history_is_by_seconds_and_exchanges_are_bounded() {
+    fn history_counts_by_second_and_exchanges_are_bounded() {
         let mut e = ExchangeMetrics::default();
         for s in [1, 1, 3] {
             e.record_attempt(s * SECOND);
--- a/crates/metrics/src/lib.rs
+++ b/crates/metrics/src/lib.rs
@@ -1,16 +1,15 @@
-//! What an operator wants to know of a running site in figures: how calls fared over the last seconds, minute and
-//! hour ([`service`]), how long each exchange takes to set calls up ([`delays`]), and what ought to be looked at
-//! ([`alarms`]).
+//! Metrics of a running site: call outcomes over the last 10 seconds, minute and hour ([`service`]), set-up times by
+//! exchange ([`delays`]), and alarms with hysteresis ([`alarms`]).
 //!
-//! All memory is bounded and all of it is taken at the start. There is no clock and no input or output here.
+//! All memory is bounded. The crate reads no clock and does no I/O: callers pass the time in.
 #![forbid(unsafe_code)]
 
 pub mod alarms;
 pub mod delays;
 pub mod service;
 
-/// A moment or a span, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = i64;
 
-/// A second.
+/// One second.
 pub const SECOND: Micros = 1_000_000;
--- a/crates/metrics/src/service.rs
+++ b/crates/metrics/src/service.rs
@@ -6,34 +6,34 @@
 
 use crate::{Micros, SECOND};
 
-/// How a call ended, as its caller saw it.
+/// How a call set-up ended, as seen by the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CallOutcome {
-    /// It stands, within the aim.
+    /// Established within the latency objective.
     WithinObjective,
-    /// It stands, later.
+    /// Established, but later than the latency objective.
     Late,
-    /// Refused: its destination, or this controller, is drained.
+    /// Refused: the destination or this controller is drained.
     Drained,
-    /// Refused: no circuit was free on any way.
+    /// Refused: no circuit was free on any route.
     NoCircuit,
     /// Refused: the tandem turned it back.
     TurnedBack,
-    /// Refused: a processor on the way was full.
+    /// Refused: a processor on the route was full.
     ProcessorFull,
-    /// Refused: no answer came, or the connection broke.
+    /// Refused: no answer arrived, or the connection was lost.
     Unanswered,
-    /// Refused: the exchange ended it with a fault, or the number was busy.
+    /// Refused: the exchange ended the set-up with a fault, or the number was busy.
     Fault,
-    /// Refused without a set-up: no way was open.
+    /// Refused without an attempt: no route was available.
     NoRoute,
-    /// Failed.
+    /// Failed because of an error rather than a refusal.
     Failed,
-    /// The caller left before its answer.
+    /// The caller left before the answer.
     Abandoned,
 }
 
-/// All outcomes, in the order in which they are shown.
+/// All outcomes, in display order.
 pub const OUTCOMES: [CallOutcome; 11] = [
     CallOutcome::WithinObjective,
     CallOutcome::Late,
@@ -49,7 +49,7 @@
 ];
 
 impl CallOutcome {
-    /// Its name in views.
+    /// Returns the name used in views.
     pub fn name(self) -> &'static str {
         match self {
             CallOutcome::WithinObjective => "in_aim",
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Whether it is a refusal.
+    /// Whether the outcome is a refusal.
     pub fn refused(self) -> bool {
         !matches!(
             self,
@@ -75,7 +75,7 @@
     }
 }
 
-/// The lengths of the windows (s).
+/// Lengths of the windows (s).
 pub const WINDOWS: [usize; 3] = [10, 60, 3600];
 const RING: usize = WINDOWS[2];
 
@@ -84,39 +84,40 @@
 pub struct OutcomeCounts([u32; OUTCOMES.len()]);
 
 impl OutcomeCounts {
-    /// How many had this outcome.
+    /// Returns the number of calls with this outcome.
     pub fn get(&self, outcome: CallOutcome) -> u32 {
         self.0[outcome as usize]
     }
 
-    /// All calls that were answered.
+    /// Returns the number of calls that were answered: all but the abandoned ones.
     pub fn answered(&self) -> u32 {
         OUTCOMES.iter().filter(|f| **f != CallOutcome::Abandoned).map(|f| self.get(*f)).sum()
     }
 
-    /// Refused ones.
+    /// Returns the number of refused calls.
     pub fn refused(&self) -> u32 {
         OUTCOMES.iter().filter(|f| f.refused()).map(|f| self.get(*f)).sum()
     }
 
-    /// Share of the answered ones that stand within the aim; `None` if there were none.
+    /// Returns the share of answered calls that were established within the latency objective, or `None` if no call
+    /// was answered.
     pub fn share_within_objective(&self) -> Option<f64> {
         let all = self.answered();
         (all > 0).then(|| f64::from(self.get(CallOutcome::WithinObjective)) / f64::from(all))
     }
 }
 
-/// The ring and its windows.
+/// Ring of one-second counts with the running sums of the windows.
 #[derive(Clone, Debug)]
 pub struct ServiceWindows {
     ring: Box<[OutcomeCounts]>,
     sums: [OutcomeCounts; WINDOWS.len()],
-    /// The second that is being counted.
+    /// The current second.
     second: i64,
 }
 
 impl ServiceWindows {
-    /// Nothing was counted before `now`.
+    /// Creates empty windows that start at `now`.
     pub fn new(now: Micros) -> ServiceWindows {
         let ring = vec![OutcomeCounts::default(); RING].into();
         ServiceWindows { ring, sums: Default::default(), second: now.div_euclid(SECOND) }
@@ -126,7 +127,7 @@
         second.rem_euclid(RING as i64) as usize
     }
 
-    /// Lets time pass.
+    /// Advances the windows to `now`.
     pub fn advance(&mut self, now: Micros) {
         let second = now.div_euclid(SECOND);
         if second - self.second >= RING as i64 {
@@ -135,8 +136,8 @@
         while self.second < second {
             self.second += 1;
             for (sum, length) in self.sums.iter_mut().zip(WINDOWS) {
-                let left = self.ring[Self::at(self.second - length as i64)];
-                sum.0.iter_mut().zip(left.0).for_each(|(s, l)| *s -= l);
+                let expired = self.ring[Self::at(self.second - length as i64)];
+                sum.0.iter_mut().zip(expired.0).for_each(|(sum, expired)| *sum -= expired);
             }
             self.ring[Self::at(self.second)] = OutcomeCounts::default();
         }
@@ -149,12 +150,12 @@
         self.sums.iter_mut().for_each(|s| s.0[outcome as usize] += 1);
     }
 
-    /// The windows as of the last [`ServiceWindows::advance`], in the order of [`WINDOWS`].
+    /// Returns the windows as of the last [`ServiceWindows::advance`], in the order of [`WINDOWS`].
     pub fn windows(&self) -> &[OutcomeCounts; WINDOWS.len()] {
         &self.sums
     }
 
-    /// Calls answered in each of the last seconds, oldest first.
+    /// Returns the number of calls answered in each of the last `N` seconds, oldest first.
     pub fn history<const N: usize>(&self) -> [u32; N] {
         std::array::from_fn(|i| self.ring[Self::at(self.second - (N - 1 - i) as i64)].answered())
     }
@@ -168,9 +169,9 @@
     proptest! {
         #![proptest_config(ProptestConfig { cases: 64, failure_persistence: None,
             rng_seed: proptest::test_runner::RngSeed::Fixed(3), ..ProptestConfig::default() })]
-        /// Against a plain list of all calls, counted anew for each window.
+        /// Compares each window with a recount of the full list of calls.
         #[test]
-        fn each_window_has_what_a_plain_count_has(steps in prop::collection::vec((0i64..900_000_000, 0usize..11), 1..60)) {
+        fn each_window_matches_a_recount(steps in prop::collection::vec((0i64..900_000_000, 0usize..11), 1..60)) {
             let (mut now, mut all) = (5 * SECOND, Vec::new());
             let mut service = ServiceWindows::new(now);
             for (pass, outcome) in steps {
@@ -180,8 +181,8 @@
                 for (sum, length) in service.windows().iter().zip(WINDOWS) {
                     let since = now.div_euclid(SECOND) - length as i64;
                     for f in OUTCOMES {
-                        let plain = all.iter().filter(|c| c.0 > since && c.1 == f).count();
-                        prop_assert_eq!(sum.get(f) as usize, plain);
+                        let expected = all.iter().filter(|c| c.0 > since && c.1 == f).count();
+                        prop_assert_eq!(sum.get(f) as usize, expected);
                     }
                 }
             }
@@ -189,7 +190,7 @@
     }
 
     #[test]
-    fn shares_are_of_what_was_answered() {
+    fn shares_are_of_answered_calls() {
         let mut s = ServiceWindows::new(0);
         assert_eq!(s.windows()[0].share_within_objective(), None);
         for f in [
