--- a/crates/control/src/client.rs
+++ b/crates/control/src/client.rs
@@ -1,32 +1,32 @@
-//! The other end of the control socket, for programs that operators start.
+//! Blocking client of the control socket, for operators' programs.
 
-use crate::frames::{line, Body, Frame, Operation, Request, LONGEST_REPLY, VERSION};
+use crate::frames::{encode_line, Body, Frame, Operation, Request, MAX_MESSAGE_BYTES, VERSION};
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::os::unix::net::UnixStream;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Why nothing came of it.
+/// Error of a request to the controller.
 #[derive(Debug, thiserror::Error)]
 pub enum ClientError {
-    /// There is no program at the socket.
+    /// The connection could not be opened.
     #[error("{path}: {error} (is the controller running, with [control] socket in its appliance file?)")]
     Connect {
-        /// The socket.
+        /// Path of the control socket.
         path: PathBuf,
-        /// Why.
+        /// The operating system's error.
         error: io::Error,
     },
-    /// The connection broke.
-    #[error("the connection broke: {0}")]
+    /// Reading from or writing to the connection failed.
+    #[error("connection to the controller failed: {0}")]
     Io(#[from] io::Error),
-    /// It ended before the answer came.
-    #[error("the controller ended the connection before its answer")]
+    /// The controller closed the connection before the reply.
+    #[error("the controller closed the connection before replying")]
     Closed,
-    /// What came is no message.
-    #[error("what came is no message: {0}")]
+    /// The controller sent something other than a valid message.
+    #[error("invalid message from the controller: {0}")]
     InvalidMessage(String),
-    /// The controller turned it down.
+    /// The controller rejected the request.
     #[error("{0}")]
     Rejected(String),
 }
@@ -40,10 +40,10 @@
 }
 
 impl Connection {
-    /// Connects. `who` stands in the controller's audit log.
+    /// Connects to the control socket. `who` is recorded in the controller's audit log.
     ///
     /// # Errors
-    /// If there is no program at the socket.
+    /// Returns an error if the connection cannot be opened.
     pub fn open(path: &Path, who: &str) -> Result<Connection, ClientError> {
         let connect_error = |error| ClientError::Connect { path: path.to_owned(), error };
         let stream = UnixStream::connect(path).map_err(connect_error)?;
@@ -51,61 +51,61 @@
         Ok(Connection { reader, stream, who: who.to_owned() })
     }
 
-    /// Waits at most so long for what comes.
+    /// Sets the timeout of reads; `None` waits without limit.
     ///
     /// # Errors
-    /// If the system refuses.
-    pub fn set_read_timeout(&self, span: Option<Duration>) -> io::Result<()> {
-        self.stream.set_read_timeout(span)
+    /// Returns the operating system's error.
+    pub fn set_read_timeout(&self, timeout: Option<Duration>) -> io::Result<()> {
+        self.stream.set_read_timeout(timeout)
     }
 
-    /// Sends a request.
+    /// Sends a request without waiting for its reply.
     ///
     /// # Errors
-    /// If the connection broke.
+    /// Returns an error if writing fails.
     pub fn send(&mut self, id: &str, operation: Operation) -> Result<(), ClientError> {
         let request = Request { v: VERSION, id: id.to_owned(), who: self.who.clone(), operation };
-        Ok(self.stream.write_all(&line(&request))?)
+        Ok(self.stream.write_all(&encode_line(&request))?)
     }
 
-    /// The next message.
+    /// Receives the next message.
     ///
     /// # Errors
-    /// If the connection broke or ended, or what came is no message.
+    /// Returns an error if the connection fails or is closed, or if the message is invalid.
     pub fn receive(&mut self) -> Result<Frame, ClientError> {
         let mut text = Vec::new();
-        let n = self.reader.by_ref().take(LONGEST_REPLY as u64).read_until(b'\n', &mut text)?;
-        if n == 0 {
+        let length = self.reader.by_ref().take(MAX_MESSAGE_BYTES as u64).read_until(b'\n', &mut text)?;
+        if length == 0 {
             return Err(ClientError::Closed);
         }
         serde_json::from_slice(&text).map_err(|e| ClientError::InvalidMessage(e.to_string()))
     }
 
-    /// Sends a request and waits for its answer; views and events that come before it are passed over.
+    /// Sends a request and waits for its reply, discarding views and events that arrive before it.
     ///
     /// # Errors
-    /// If the connection broke, or the request was turned down.
+    /// Returns an error if the connection fails or the controller rejects the request.
     pub fn request(&mut self, id: &str, operation: Operation) -> Result<Body, ClientError> {
         self.send(id, operation)?;
         loop {
             if let Frame::Reply { reply, ok, error, body, .. } = self.receive()? {
-                // An answer to nothing is the controller's last word.
+                // A reply with an empty id concerns the connection itself: the controller is about to close it.
                 if reply != id && !reply.is_empty() {
                     continue;
                 }
                 return match (ok, body) {
                     (true, Some(body)) => Ok(body),
-                    (true, None) => Err(ClientError::InvalidMessage("an answer without contents".into())),
+                    (true, None) => Err(ClientError::InvalidMessage("reply without a body".into())),
                     (false, _) => Err(ClientError::Rejected(error.unwrap_or_default())),
                 };
             }
         }
     }
 
-    /// Another end of the same connection, to send on while this one reads.
+    /// Returns a second handle to the same connection, to send on while this one receives.
     ///
     /// # Errors
-    /// If the system refuses.
+    /// Returns the operating system's error.
     pub fn try_clone(&self) -> io::Result<Connection> {
         let stream = self.stream.try_clone()?;
         Ok(Connection { reader: BufReader::new(stream.try_clone()?), stream, who: self.who.clone() })
--- a/crates/control/src/frames.rs
+++ b/crates/control/src/frames.rs
@@ -1,4 +1,4 @@
-//! The messages: one JSON object a line, each with the version of the form.
+//! Messages of the control socket: one JSON object per line, each with the protocol version.
 //!
 //! ```text
 //! -> {"v":1,"id":"k3-1","who":"awa","do":"drain","target":"exchange:4","reason":"new power supply","limit_s":3600}
@@ -9,38 +9,38 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// The version that is spoken.
+/// The protocol version.
 pub const VERSION: u32 = 1;
-/// The longest request (bytes, without its line feed).
-pub const LONGEST_REQUEST: usize = 16 * 1024;
-/// The longest message to an operator's program (bytes).
-pub const LONGEST_REPLY: usize = 4 * 1024 * 1024;
-/// The longest id, name or other text in a request (bytes).
-pub const TEXT: usize = 200;
+/// Maximum size of a request (bytes, without the line feed).
+pub const MAX_REQUEST_BYTES: usize = 16 * 1024;
+/// Maximum size of a message from the controller (bytes).
+pub const MAX_MESSAGE_BYTES: usize = 4 * 1024 * 1024;
+/// Maximum length of an id or a name in a request (bytes).
+pub const MAX_TEXT_BYTES: usize = 200;
 
-/// What can be watched.
+/// A topic that can be shown or watched.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum Topic {
-    /// Is it serving, and what is wrong.
+    /// State of the controller in short.
     Status,
-    /// The exchanges.
+    /// Exchanges and gateways.
     Exchanges,
-    /// The calls, oldest first.
+    /// Calls, oldest first.
     Calls,
-    /// How calls fare.
+    /// Call outcomes and answer times.
     Service,
-    /// The drains.
+    /// Drains and maintenance windows.
     Drains,
-    /// The alarms.
+    /// Raised alarms.
     Alarms,
-    /// The counters.
+    /// Counters.
     Counters,
-    /// The instances that gossip.
+    /// Members of the gossip group.
     Peers,
-    /// What they speak against.
+    /// Exchanges that gossip members suspect.
     Suspicions,
-    /// Each event as it happens.
+    /// Events as they happen.
     Events,
 }
 
@@ -58,278 +58,283 @@
     Topic::Events,
 ];
 
-/// What happens when a drain's limit passes.
+/// What happens when the time limit of a drain expires.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum AtLimit {
-    /// It stays out of service.
+    /// The target stays out of service.
     #[default]
     Keep,
-    /// It goes back into service.
+    /// The target returns to service.
     Restore,
-    /// The calls that are left are cut.
+    /// The remaining calls are released.
     Cut,
 }
 
-/// What is asked for.
+/// An operation requested by a client.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(tag = "do", rename_all = "lowercase", deny_unknown_fields)]
 pub enum Operation {
-    /// A topic as it is now.
+    /// Return the current view of a topic.
     Show {
-        /// Which.
+        /// The topic.
         topic: Topic,
-        /// Only calls that contain this text.
+        /// Only include calls whose line contains this text.
         #[serde(default)]
         search: String,
     },
-    /// Send a topic again and again, or each event.
+    /// Send views of topics periodically, and events as they happen.
     Watch {
-        /// Which.
+        /// The topics; they replace those watched before.
         topics: Vec<Topic>,
-        /// Time between two sendings (ms).
-        #[serde(default = "second")]
+        /// Interval between two views (ms).
+        #[serde(default = "default_view_interval_ms")]
         every_ms: u32,
-        /// Only calls that contain this text.
+        /// Only include calls whose line contains this text.
         #[serde(default)]
         search: String,
     },
-    /// Stop sending.
+    /// Stop watching.
     Unwatch,
-    /// Take out of service.
+    /// Take a target out of service.
     Drain {
         /// `exchange:NUMBER`, `group:NUMBER` or `controller`.
         target: String,
-        /// Why.
+        /// The reason, for the audit log.
         #[serde(default)]
         reason: String,
-        /// For how long at most (s).
+        /// Time limit of the drain (s).
         #[serde(default)]
         limit_s: Option<u32>,
-        /// What happens then.
+        /// What happens when the limit expires.
         #[serde(default)]
         at_limit: AtLimit,
-        /// Override the policy.
+        /// Override the drain policy.
         #[serde(default)]
         force: bool,
     },
-    /// Tell what a drain would cost, and whether it would be taken.
+    /// Estimate the impact of a drain and whether the policy would accept it.
     Cost {
-        /// As for a drain.
+        /// Target, as for a drain.
         target: String,
     },
-    /// Put back into service.
+    /// Return a target to service.
     Undrain {
-        /// As for a drain.
+        /// Target, as for a drain.
         target: String,
     },
-    /// Drain these one after the other, each put back and seen to work before the next one goes.
+    /// Drain targets one after the other. Each is returned to service and checked before the next one is drained.
     Round {
-        /// As for a drain.
+        /// Targets, as for a drain.
         targets: Vec<String>,
-        /// Why.
+        /// The reason, for the audit log.
         #[serde(default)]
         reason: String,
-        /// An empty one is put back by itself after so long (s); without it, at the word.
+        /// How long a target stays empty before it is returned to service (s); without it, until `next`.
         #[serde(default)]
         pause_s: Option<u32>,
     },
-    /// The word: the round goes on.
+    /// Continue the round of maintenance.
     Next,
-    /// The round ends here; what is drained stays so.
+    /// End the round; targets that are drained stay drained.
     Halt,
-    /// The orders that were given.
+    /// Return the audit log of orders.
     Audit,
-    /// What the program was told.
+    /// Return a summary of the configuration.
     Config,
-    /// Read, or set, what the log has.
+    /// Return the log filter, or set it.
     Log {
-        /// The filter, as `info,walnuthatch::drains=debug`.
+        /// The new filter, such as `info,walnuthatch::drains=debug`.
         #[serde(default)]
         filter: Option<String>,
     },
-    /// An alarm was seen.
+    /// Acknowledge an alarm.
     Seen {
-        /// Its name.
+        /// Name of the alarm.
         alarm: String,
     },
-    /// Stop the program once all calls that were taken have their answer.
+    /// Stop the controller once all accepted calls have been answered.
     Stop,
 }
 
-fn second() -> u32 {
+fn default_view_interval_ms() -> u32 {
     1000
 }
 
-/// A message from an operator's program.
+/// A message from a client to the controller.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 pub struct Request {
-    /// The version of the form.
+    /// The protocol version.
     pub v: u32,
-    /// Chosen by the program, new for each command; the same one again, also on another connection, acts no more.
+    /// Request id chosen by the client, unique for each request. An order repeated with the same id, also on another
+    /// connection, is not carried out again.
     pub id: String,
-    /// Who asks, for the audit log.
+    /// Name of the operator, for the audit log.
     #[serde(default)]
     pub who: String,
-    /// What for.
+    /// The requested operation.
     #[serde(flatten)]
     pub operation: Operation,
 }
 
-/// What a reply or a view has.
+/// Contents of a reply or a view.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(tag = "is", rename_all = "lowercase")]
 pub enum Body {
-    /// The state in short.
+    /// State of the controller in short.
     Status(Status),
-    /// The exchanges.
+    /// Exchanges and gateways.
     Exchanges {
-        /// One for each.
+        /// One entry for each.
         exchanges: Vec<Exchange>,
     },
-    /// The calls.
+    /// Calls.
     Calls {
-        /// Oldest first.
+        /// The selected calls, oldest first.
         calls: Vec<Call>,
-        /// How many there are in all.
+        /// Number of all calls.
         total: usize,
     },
-    /// How calls fare.
+    /// Call outcomes and answer times.
     Service(Service),
-    /// The drains.
+    /// Drains, maintenance windows and the round of maintenance.
     Drains {
-        /// Those that are not over.
+        /// Active drains.
         drains: Vec<Drain>,
-        /// The last ones that are over.
+        /// The most recent finished drains.
         over: Vec<Drain>,
-        /// The windows.
+        /// Maintenance windows.
         windows: Vec<Window>,
-        /// The round of maintenance, the last one also when it is over.
+        /// The current round of maintenance, or the last finished one.
         #[serde(default)]
         round: Option<Round>,
     },
-    /// The alarms.
+    /// Raised alarms.
     Alarms {
-        /// The gravest first.
+        /// By descending severity.
         alarms: Vec<Alarm>,
     },
-    /// The counters.
+    /// Counters.
     Counters {
-        /// By name.
+        /// Values by name.
         counters: std::collections::BTreeMap<String, u64>,
     },
-    /// The instances that gossip.
+    /// Members of the gossip group.
     Peers {
-        /// By their ids.
+        /// Ordered by id.
         peers: Vec<Peer>,
     },
-    /// What they speak against.
+    /// Exchanges that gossip members suspect.
     Suspicions {
-        /// By exchange.
+        /// Ordered by exchange.
         suspicions: Vec<Suspicion>,
     },
-    /// The orders that were given.
+    /// Audit log of orders.
     Audit {
-        /// Oldest first.
+        /// Entries, oldest first.
         audit: Vec<Audit>,
     },
-    /// What a drain would cost.
+    /// Estimated impact of a drain.
     Cost(Cost),
-    /// A text.
+    /// Plain text.
     Text {
         /// The text.
         text: String,
     },
     /// An order was carried out.
     Done {
-        /// Its number.
+        /// Number of the order.
         order: u64,
-        /// In words.
+        /// Description of the result.
         text: String,
     },
-    /// Something happened.
+    /// A single event.
     Event(Event),
-    /// What happened, oldest first.
+    /// Recent events, oldest first.
     Events {
-        /// The last ones.
+        /// The most recent events.
         events: Vec<Event>,
     },
 }
 
-/// A message to an operator's program.
+/// A message from the controller to a client.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(untagged)]
 pub enum Frame {
-    /// The answer to a request.
+    /// The reply to a request.
     Reply {
-        /// The version of the form.
+        /// The protocol version.
         v: u32,
-        /// The request's id; empty if it could not be read.
+        /// Id of the request; empty if it could not be read or the reply concerns the connection.
         reply: String,
-        /// Whether it was done.
+        /// Whether the request succeeded.
         ok: bool,
-        /// Why not.
+        /// Why the request failed.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         error: Option<String>,
-        /// What was asked for.
+        /// The result of the request.
         #[serde(flatten)]
         body: Option<Body>,
     },
-    /// A topic that is watched.
+    /// A view of a watched topic.
     View {
-        /// The version of the form.
+        /// The protocol version.
         v: u32,
-        /// Which.
+        /// The topic.
         view: Topic,
-        /// As it is now.
+        /// Its current contents.
         #[serde(flatten)]
         body: Body,
     },
-    /// Events were lost: the program did not read.
+    /// Events were dropped because the client did not read them in time.
     Lost {
-        /// The version of the form.
+        /// The protocol version.
         v: u32,
-        /// How many.
+        /// Number of dropped events.
         lost: u64,
     },
 }
 
-/// What is wrong with a request.
+/// Why a request is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BadRequest {
-    /// It is no JSON object.
+    /// The line is not a JSON object.
     #[error("not a JSON object: {0}")]
     Json(String),
-    /// Another version.
+    /// Unsupported protocol version.
     #[error("v: {0}, expected {VERSION}")]
     Version(String),
-    /// The id.
-    #[error("id: {0}, expected a text of 1 to {TEXT} bytes")]
+    /// Missing or invalid id.
+    #[error("id: {0}, expected a string of 1 to {MAX_TEXT_BYTES} bytes")]
     Id(String),
-    /// It is longer than may be.
-    #[error("longer than {LONGEST_REQUEST} bytes")]
+    /// The line is longer than [`MAX_REQUEST_BYTES`].
+    #[error("longer than {MAX_REQUEST_BYTES} bytes")]
     Long,
-    /// A field is missing, odd or of the wrong kind.
+    /// A field is missing, unknown or of the wrong type.
     #[error("{0}")]
     Field(String),
 }
 
 impl Request {
-    /// Reads a line. The error bears the id, if that could be read.
+    /// Parses a request from a line.
     ///
     /// # Errors
-    /// Says what is wrong.
+    /// Returns the id, or an empty string if it could not be read, and the reason.
     pub fn parse(line: &[u8]) -> Result<Request, (String, BadRequest)> {
-        let none = |e: BadRequest| (String::new(), e);
+        let without_id = |e: BadRequest| (String::new(), e);
         let value: serde_json::Value =
-            serde_json::from_slice(line).map_err(|e| none(BadRequest::Json(e.to_string())))?;
+            serde_json::from_slice(line).map_err(|e| without_id(BadRequest::Json(e.to_string())))?;
         let mut fields = match value {
             serde_json::Value::Object(fields) => fields,
-            other => return Err(none(BadRequest::Json(format!("found {}", kind(&other))))),
+            other => return Err(without_id(BadRequest::Json(format!("found {}", json_type(&other))))),
         };
         let id = match fields.remove("id") {
-            Some(serde_json::Value::String(id)) if (1..=TEXT).contains(&id.len()) => id,
-            other => return Err(none(BadRequest::Id(other.as_ref().map_or("missing", kind).to_owned()))),
+            Some(serde_json::Value::String(id)) if (1..=MAX_TEXT_BYTES).contains(&id.len()) => id,
+            other => {
+                return Err(without_id(BadRequest::Id(
+                    other.as_ref().map_or("missing", json_type).to_owned(),
+                )))
+            }
         };
         match fields.remove("v") {
             Some(v) if v.as_u64() == Some(VERSION.into()) => {}
@@ -337,9 +342,12 @@
         }
         let who = match fields.remove("who") {
             None => String::new(),
-            Some(serde_json::Value::String(who)) if who.len() <= TEXT => who,
+            Some(serde_json::Value::String(who)) if who.len() <= MAX_TEXT_BYTES => who,
             Some(_) => {
-                return Err((id, BadRequest::Field(format!("who: expected a text of up to {TEXT} bytes"))))
+                return Err((
+                    id,
+                    BadRequest::Field(format!("who: expected a string of up to {MAX_TEXT_BYTES} bytes")),
+                ))
             }
         };
         if !fields.contains_key("do") {
@@ -352,26 +360,26 @@
     }
 }
 
-fn kind(v: &serde_json::Value) -> &'static str {
+fn json_type(v: &serde_json::Value) -> &'static str {
     match v {
         serde_json::Value::Null => "null",
-        serde_json::Value::Bool(_) => "a truth value",
+        serde_json::Value::Bool(_) => "a boolean",
         serde_json::Value::Number(_) => "a number",
-        serde_json::Value::String(_) => "a text of another length",
-        serde_json::Value::Array(_) => "a list",
+        serde_json::Value::String(_) => "a string of invalid length",
+        serde_json::Value::Array(_) => "an array",
         serde_json::Value::Object(_) => "an object",
     }
 }
 
-/// A message as a line.
-pub fn line(message: &impl Serialize) -> Vec<u8> {
-    // Texts, numbers and lists always have a JSON form.
+/// Encodes a message as one line of JSON.
+pub fn encode_line(message: &impl Serialize) -> Vec<u8> {
+    // Serialization cannot fail: the messages hold only strings, numbers, lists and maps with string keys.
     let mut bytes = serde_json::to_vec(message).unwrap_or_default();
     bytes.push(b'\n');
     bytes
 }
 
-/// The schemas of all messages, as JSON.
+/// Returns the JSON schemas of all messages.
 pub fn schema() -> serde_json::Value {
     serde_json::json!({
         "request": schemars::schema_for!(Request),
@@ -384,7 +392,7 @@
     use super::*;
 
     #[test]
-    fn requests_are_read_as_they_are_written_and_faults_named() {
+    fn requests_round_trip_and_errors_name_the_fault() {
         let operation = Operation::Drain {
             target: "exchange:4".into(),
             reason: "é\n".into(),
@@ -393,10 +401,10 @@
             force: true,
         };
         let r = Request { v: VERSION, id: "a".into(), who: "b".into(), operation };
-        assert_eq!(Request::parse(&line(&r)), Ok(r));
+        assert_eq!(Request::parse(&encode_line(&r)), Ok(r));
         for (text, id, want) in [
             ("", "", "not a JSON object"),
-            ("[1]", "", "found a list"),
+            ("[1]", "", "found an array"),
             (r#"{"v":1,"do":"audit"}"#, "", "id: missing"),
             (r#"{"v":2,"id":"x","do":"audit"}"#, "x", "v: 2, expected 1"),
             (r#"{"v":1,"id":"x"}"#, "x", "do: missing"),
@@ -412,7 +420,7 @@
     }
 
     #[test]
-    fn frames_are_told_apart() {
+    fn frames_round_trip_to_the_same_variant() {
         let done = Body::Done { order: 3, text: "x".into() };
         for f in [
             Frame::Reply { v: 1, reply: "a".into(), ok: true, error: None, body: Some(done.clone()) },
@@ -420,7 +428,7 @@
             Frame::View { v: 1, view: Topic::Calls, body: Body::Calls { calls: Vec::new(), total: 0 } },
             Frame::Lost { v: 1, lost: 7 },
         ] {
-            assert_eq!(serde_json::from_slice::<Frame>(&line(&f)).unwrap(), f);
+            assert_eq!(serde_json::from_slice::<Frame>(&encode_line(&f)).unwrap(), f);
         }
     }
 }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,15 +1,16 @@
-//! The control socket: what operators' programs say to a running controller, and what it says back.
+//! The control socket: the protocol between operators' programs and a running controller.
 //!
-//! [`frames`] has the messages, [`views`] what is shown, [`sessions`] the states of the connections, and [`mailbox`]
-//! what waits for one of them. They have no clock and do no input or output; [`client`] is the other end, for
-//! programs that operators start. What a command does is not decided here.
+//! [`frames`] defines the messages, [`views`] the data they carry, [`sessions`] the state of the connections, and
+//! [`send_queue`] the messages queued for one connection. These modules read no clock and do no I/O; [`client`] is the
+//! blocking client for operators' programs. The effect of an operation is decided by the program that owns the
+//! sessions.
 #![forbid(unsafe_code)]
 
 pub mod client;
 pub mod frames;
-pub mod mailbox;
+pub mod send_queue;
 pub mod sessions;
 pub mod views;
 
-/// A moment or a span, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = i64;
--- a/crates/control/src/sessions.rs
+++ b/crates/control/src/sessions.rs
@@ -1,98 +1,102 @@
-//! The states of the connections of operators' programs.
+//! State of the client connections of the control socket.
 //!
-//! A program that sends what is no message is told so, and may go on; after [`MAX_INVALID_LINES`] such lines it is sent away,
-//! and so is one whose line has no end. One that is silent keeps its place only while nobody needs it.
+//! An invalid line is answered with an error and the client may go on; after [`MAX_INVALID_LINES`] of them, or after one
+//! line that is too long, it is disconnected. An idle client is disconnected when another client needs its place.
 
-use crate::frames::{line, BadRequest, Body, Frame, Operation, Request, Topic, LONGEST_REQUEST, VERSION};
-use crate::mailbox::Mailbox;
+use crate::frames::{
+    encode_line, BadRequest, Body, Frame, Operation, Request, Topic, MAX_REQUEST_BYTES, VERSION,
+};
+use crate::send_queue::SendQueue;
 use crate::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Programs that may be connected at once. A technician has a console or two, and some scripts.
+/// Maximum number of connected clients. A technician uses one or two consoles and some scripts.
 pub const MAX_CLIENTS: usize = 16;
-/// Lines that were no messages before a program is sent away.
+/// Number of invalid lines after which a client is disconnected.
 pub const MAX_INVALID_LINES: u32 = 8;
-/// Requests of one program that may wait for their answers; more are turned down.
+/// Maximum number of unanswered requests of one client; further requests are rejected.
 pub const MAX_PENDING: usize = 32;
-/// The shortest time between two views of a topic (ms): a screen shows no more.
+/// Minimum interval between two views of a topic (ms): a screen gains nothing from a shorter one.
 pub const MIN_VIEW_INTERVAL_MS: u32 = 100;
 
-/// Names one connection.
+/// Identifies a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClientId(pub u64);
 
-/// What a program asks for.
+/// A request that awaits its reply.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PendingRequest {
-    /// Who is owed the answer.
+    /// The client to reply to.
     pub client: ClientId,
-    /// The request.
+    /// The parsed request.
     pub request: Request,
 }
 
-/// What is to be done about a connection.
+/// An action required on a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Something waits in this mailbox.
+    /// Messages are queued for this client.
     Ready(ClientId),
-    /// End it once all that waits has been sent.
+    /// Close the connection once the queued messages are sent.
     Close(ClientId),
-    /// End it at once: it does not take its replies.
+    /// Close the connection at once: the client does not read its replies.
     Abort(ClientId),
 }
 
-/// What is counted.
+/// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Counts {
-    /// Connections taken in.
+    /// Connections accepted.
     pub accepted: u64,
-    /// Connections turned away, since there were too many.
+    /// Connections rejected because too many were open.
     pub rejected: u64,
-    /// Lines that were no messages.
+    /// Invalid lines received.
     pub malformed: u64,
-    /// Requests.
+    /// Valid requests received.
     pub requests: u64,
-    /// Programs cut off since they did not read their replies.
+    /// Connections aborted because the client did not read its replies.
     pub aborted: u64,
 }
 
 #[derive(Debug)]
 struct Session {
-    mailbox: Mailbox,
+    send_queue: SendQueue,
     topics: BTreeSet<Topic>,
     search: String,
-    every: Micros,
-    due: Micros,
-    half: Vec<u8>,
-    /// The rest of a line that is too long is passed over.
-    skipping: bool,
-    faults: u32,
-    waiting: usize,
-    heard: Micros,
-    ending: bool,
+    view_interval: Micros,
+    next_view: Micros,
+    partial_line: Vec<u8>,
+    /// Discarding the rest of a line that is too long.
+    skipping_line: bool,
+    invalid_lines: u32,
+    pending: usize,
+    last_activity: Micros,
+    closing: bool,
 }
 
-/// All connections.
+/// All client connections.
 #[derive(Debug, Default)]
 pub struct Sessions {
     all: BTreeMap<ClientId, Session>,
-    out: Vec<Output>,
+    outputs: Vec<Output>,
     counts: Counts,
 }
 
 impl Sessions {
-    /// A program connected.
+    /// Adds a new connection. If too many are open, the connection that has been idle longest is closed, or the new one
+    /// if none is idle.
     pub fn opened(&mut self, now: Micros, client: ClientId) {
-        if self.all.values().filter(|s| !s.ending).count() >= MAX_CLIENTS {
-            // Guards the technician: connections that do nothing must not keep the console out.
-            let idle = |s: &Session| s.topics.is_empty() && s.waiting == 0 && !s.ending;
-            let longest = self.all.iter().filter(|s| idle(s.1)).min_by_key(|s| s.1.heard).map(|s| *s.0);
-            match longest {
-                Some(idle) => self.end(idle, "made room for another program"),
+        if self.all.values().filter(|s| !s.closing).count() >= MAX_CLIENTS {
+            // Idle connections must not keep a technician's console from connecting.
+            let idle = |s: &Session| s.topics.is_empty() && s.pending == 0 && !s.closing;
+            let longest_idle =
+                self.all.iter().filter(|s| idle(s.1)).min_by_key(|s| s.1.last_activity).map(|s| *s.0);
+            match longest_idle {
+                Some(idle) => self.close(idle, "idle connection closed to admit another program"),
                 None => {
                     self.counts.rejected += 1;
                     self.add(now, client);
-                    return self.end(client, &format!("{MAX_CLIENTS} programs are connected already"));
+                    return self.close(client, &format!("{MAX_CLIENTS} programs are already connected"));
                 }
             }
         }
@@ -102,211 +106,222 @@
 
     fn add(&mut self, now: Micros, client: ClientId) {
         let session = Session {
-            mailbox: Mailbox::default(),
+            send_queue: SendQueue::default(),
             topics: BTreeSet::new(),
             search: String::new(),
-            every: 0,
-            due: 0,
-            half: Vec::new(),
-            skipping: false,
-            faults: 0,
-            waiting: 0,
-            heard: now,
-            ending: false,
+            view_interval: 0,
+            next_view: 0,
+            partial_line: Vec::new(),
+            skipping_line: false,
+            invalid_lines: 0,
+            pending: 0,
+            last_activity: now,
+            closing: false,
         };
         self.all.insert(client, session);
     }
 
-    /// Says why, and ends a connection.
-    fn end(&mut self, client: ClientId, why: &str) {
-        let text = why.to_owned();
+    /// Sends the reason and closes the connection.
+    fn close(&mut self, client: ClientId, reason: &str) {
+        let text = reason.to_owned();
         self.send(
             client,
             &Frame::Reply { v: VERSION, reply: String::new(), ok: false, error: Some(text), body: None },
         );
         if let Some(s) = self.all.get_mut(&client) {
-            s.ending = true;
-            self.out.push(Output::Close(client));
+            s.closing = true;
+            self.outputs.push(Output::Close(client));
         }
     }
 
-    /// A connection is no more. Orders that it gave go on.
+    /// Removes a closed connection. Orders given on it continue.
     pub fn closed(&mut self, client: ClientId) {
         self.all.remove(&client);
     }
 
-    /// Takes bytes, in whatever pieces they come, and gives the requests in them.
+    /// Processes received bytes, which may end anywhere within a line, and returns the complete requests.
     pub fn receive(&mut self, now: Micros, client: ClientId, mut bytes: &[u8]) -> Vec<PendingRequest> {
-        let mut asked = Vec::new();
-        while let Some(s) = self.all.get_mut(&client).filter(|s| !s.ending && !bytes.is_empty()) {
-            s.heard = now;
+        let mut requests = Vec::new();
+        while let Some(s) = self.all.get_mut(&client).filter(|s| !s.closing && !bytes.is_empty()) {
+            s.last_activity = now;
             let end = bytes.iter().position(|&b| b == b'\n');
             let (part, rest) = bytes.split_at(end.unwrap_or(bytes.len()));
             bytes = rest.get(1..).unwrap_or_default();
-            let long = s.half.len() + part.len() > LONGEST_REQUEST;
-            if !s.skipping && !long {
-                s.half.extend_from_slice(part);
+            let long = s.partial_line.len() + part.len() > MAX_REQUEST_BYTES;
+            if !s.skipping_line && !long {
+                s.partial_line.extend_from_slice(part);
             }
-            if long && !s.skipping {
-                (s.skipping, s.half) = (true, Vec::new());
-                self.fault(client, String::new(), BadRequest::Long);
+            if long && !s.skipping_line {
+                (s.skipping_line, s.partial_line) = (true, Vec::new());
+                self.reject_line(client, String::new(), BadRequest::Long);
                 continue;
             }
             if end.is_none() {
                 continue;
             }
-            if std::mem::take(&mut s.skipping) {
+            if std::mem::take(&mut s.skipping_line) {
                 continue;
             }
-            let text = std::mem::take(&mut s.half);
+            let text = std::mem::take(&mut s.partial_line);
             let text = text.strip_suffix(b"\r").unwrap_or(&text);
             if text.is_empty() {
                 continue;
             }
             match Request::parse(text) {
-                Err((id, why)) => self.fault(client, id, why),
-                Ok(request) => asked.extend(self.request(now, client, request)),
+                Err((id, reason)) => self.reject_line(client, id, reason),
+                Ok(request) => requests.extend(self.handle_request(now, client, request)),
             }
         }
-        asked
+        requests
     }
 
-    fn fault(&mut self, client: ClientId, id: String, why: BadRequest) {
+    fn reject_line(&mut self, client: ClientId, id: String, reason: BadRequest) {
         self.counts.malformed += 1;
-        self.answer(client, id, Err(why.to_string()), false);
+        self.send_reply(client, id, Err(reason.to_string()), false);
         let Some(s) = self.all.get_mut(&client) else { return };
-        s.faults += 1;
-        // A line that is too long has no end that one would want to wait for.
-        if s.faults >= MAX_INVALID_LINES || why == BadRequest::Long {
-            self.end(client, "too much that is no message");
+        s.invalid_lines += 1;
+        // After an overlong line the connection is closed at once: its end may never come.
+        if s.invalid_lines >= MAX_INVALID_LINES || reason == BadRequest::Long {
+            self.close(client, "too many invalid lines, or a line too long");
         }
     }
 
-    fn request(&mut self, now: Micros, client: ClientId, request: Request) -> Option<PendingRequest> {
+    fn handle_request(&mut self, now: Micros, client: ClientId, request: Request) -> Option<PendingRequest> {
         self.counts.requests += 1;
         let s = self.all.get_mut(&client)?;
         match &request.operation {
             Operation::Watch { topics, every_ms, search } => {
                 s.topics = topics.iter().copied().collect();
-                s.every = Micros::from((*every_ms).max(MIN_VIEW_INTERVAL_MS)) * 1000;
+                s.view_interval = Micros::from((*every_ms).max(MIN_VIEW_INTERVAL_MS)) * 1000;
                 s.search.clone_from(search);
-                s.due = now;
-                self.answer(client, request.id, Ok(Body::Text { text: "watching".into() }), false);
+                s.next_view = now;
+                self.send_reply(client, request.id, Ok(Body::Text { text: "watching".into() }), false);
                 None
             }
             Operation::Unwatch => {
                 s.topics.clear();
-                self.answer(client, request.id, Ok(Body::Text { text: "no longer watching".into() }), false);
+                self.send_reply(
+                    client,
+                    request.id,
+                    Ok(Body::Text { text: "no longer watching".into() }),
+                    false,
+                );
                 None
             }
-            _ if s.waiting >= MAX_PENDING => {
-                let why = format!("{MAX_PENDING} requests wait for their answers already");
-                self.answer(client, request.id, Err(why), false);
+            _ if s.pending >= MAX_PENDING => {
+                let reason = format!("{MAX_PENDING} requests are already waiting for replies");
+                self.send_reply(client, request.id, Err(reason), false);
                 None
             }
             _ => {
-                s.waiting += 1;
+                s.pending += 1;
                 Some(PendingRequest { client, request })
             }
         }
     }
 
-    /// Answers a request that was given out by [`Sessions::receive`].
-    pub fn reply(&mut self, client: ClientId, id: String, what: Result<Body, String>) {
-        self.answer(client, id, what, true);
+    /// Replies to a request returned by [`Sessions::receive`].
+    pub fn reply(&mut self, client: ClientId, id: String, result: Result<Body, String>) {
+        self.send_reply(client, id, result, true);
     }
 
-    fn answer(&mut self, client: ClientId, reply: String, what: Result<Body, String>, waited: bool) {
+    fn send_reply(
+        &mut self,
+        client: ClientId,
+        reply: String,
+        result: Result<Body, String>,
+        was_pending: bool,
+    ) {
         if let Some(s) = self.all.get_mut(&client) {
-            s.waiting -= usize::from(waited && s.waiting > 0);
+            s.pending -= usize::from(was_pending && s.pending > 0);
         }
-        let (ok, error, body) = match what {
+        let (ok, error, body) = match result {
             Ok(body) => (true, None, Some(body)),
-            Err(why) => (false, Some(why), None),
+            Err(reason) => (false, Some(reason), None),
         };
         self.send(client, &Frame::Reply { v: VERSION, reply, ok, error, body });
     }
 
     fn send(&mut self, client: ClientId, frame: &Frame) {
-        let Some(s) = self.all.get_mut(&client).filter(|s| !s.ending) else { return };
-        if s.mailbox.reply(line(frame)) {
-            self.out.push(Output::Ready(client));
+        let Some(s) = self.all.get_mut(&client).filter(|s| !s.closing) else { return };
+        if s.send_queue.reply(encode_line(frame)) {
+            self.outputs.push(Output::Ready(client));
         } else {
-            s.ending = true;
+            s.closing = true;
             self.counts.aborted += 1;
-            self.out.push(Output::Abort(client));
+            self.outputs.push(Output::Abort(client));
         }
     }
 
-    /// Tells an event to all who watch events.
+    /// Queues an event for every client that watches events.
     pub fn publish(&mut self, event: &crate::views::Event) {
         if !self.all.values().any(|s| s.topics.contains(&Topic::Events)) {
             return;
         }
         let body = Body::Event(event.clone());
-        let frame = line(&Frame::View { v: VERSION, view: Topic::Events, body });
+        let frame = encode_line(&Frame::View { v: VERSION, view: Topic::Events, body });
         for (&client, s) in self.all.iter_mut().filter(|s| s.1.topics.contains(&Topic::Events)) {
-            s.mailbox.event(frame.clone());
-            self.out.push(Output::Ready(client));
+            s.send_queue.event(frame.clone());
+            self.outputs.push(Output::Ready(client));
         }
     }
 
-    /// When the next view is due, if anything is watched.
+    /// Returns when the next view is due, or `None` if no topic is watched.
     pub fn next_view_due(&self) -> Option<Micros> {
-        let watches = |s: &&Session| !s.ending && s.topics.iter().any(|t| *t != Topic::Events);
-        self.all.values().filter(watches).map(|s| s.due).min()
+        let has_views = |s: &&Session| !s.closing && s.topics.iter().any(|t| *t != Topic::Events);
+        self.all.values().filter(has_views).map(|s| s.next_view).min()
     }
 
-    /// Brings views to all for whom they are due. A view is only made if somebody takes it: a program that has not
-    /// read the last one costs nothing more.
-    pub fn send_due_views(&mut self, now: Micros, mut make: impl FnMut(Topic, &str) -> Body) {
-        let mut made: BTreeMap<(Topic, String), Vec<u8>> = BTreeMap::new();
+    /// Queues the views that are due. A view is built only if a client can take it, so a client that has not read the
+    /// previous one costs nothing, and each view is built once for all clients.
+    pub fn send_due_views(&mut self, now: Micros, mut make_view: impl FnMut(Topic, &str) -> Body) {
+        let mut cache: BTreeMap<(Topic, String), Vec<u8>> = BTreeMap::new();
         for (&client, s) in &mut self.all {
-            if s.ending || now < s.due || s.topics.is_empty() {
+            if s.closing || now < s.next_view || s.topics.is_empty() {
                 continue;
             }
-            s.due = now + s.every;
+            s.next_view = now + s.view_interval;
             for &topic in s.topics.iter().filter(|t| **t != Topic::Events) {
-                if !s.mailbox.wants(topic) {
+                if !s.send_queue.wants(topic) {
                     continue;
                 }
-                // Only calls are searched; all else is the same for everybody.
+                // The search text only affects the calls; all other views are shared between clients.
                 let search = if topic == Topic::Calls { s.search.clone() } else { String::new() };
-                let frame = made.entry((topic, search)).or_insert_with_key(|(topic, search)| {
-                    line(&Frame::View { v: VERSION, view: *topic, body: make(*topic, search) })
+                let frame = cache.entry((topic, search)).or_insert_with_key(|(topic, search)| {
+                    encode_line(&Frame::View { v: VERSION, view: *topic, body: make_view(*topic, search) })
                 });
-                s.mailbox.view(topic, frame.clone());
-                self.out.push(Output::Ready(client));
+                s.send_queue.view(topic, frame.clone());
+                self.outputs.push(Output::Ready(client));
             }
         }
     }
 
-    /// The next bytes for a connection.
+    /// Removes and returns the next message for a client.
     pub fn next_message(&mut self, client: ClientId) -> Option<Vec<u8>> {
-        self.all.get_mut(&client)?.mailbox.take()
+        self.all.get_mut(&client)?.send_queue.take()
     }
 
-    /// Bytes that wait for a connection.
+    /// Returns the size of the messages queued for a client (bytes).
     pub fn queued_bytes(&self, client: ClientId) -> usize {
-        self.all.get(&client).map_or(0, |s| s.mailbox.waiting())
+        self.all.get(&client).map_or(0, |s| s.send_queue.queued_bytes())
     }
 
-    /// What is to be done about connections.
+    /// Returns the pending actions on connections.
     pub fn take_outputs(&mut self) -> Vec<Output> {
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outputs)
     }
 
-    /// Counts since the start.
+    /// Returns the counters since the start.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Connections that there are.
+    /// Returns the number of connections.
     pub fn len(&self) -> usize {
         self.all.len()
     }
 
-    /// Whether there is none.
+    /// Whether there are no connections.
     pub fn is_empty(&self) -> bool {
         self.all.is_empty()
     }
@@ -324,12 +339,12 @@
         s
     }
 
-    fn said(s: &mut Sessions, client: ClientId) -> Vec<String> {
+    fn received(s: &mut Sessions, client: ClientId) -> Vec<String> {
         std::iter::from_fn(|| s.next_message(client)).map(|l| String::from_utf8(l).unwrap()).collect()
     }
 
     #[test]
-    fn requests_come_whole_in_any_pieces() {
+    fn requests_are_reassembled_from_any_pieces() {
         let mut s = open();
         let text = b"{\"v\":1,\"id\":\"a\",\"do\":\"audit\"}\r\n\n{\"v\":1,\"id\":\"b\",\"do\":\"config\"}\n";
         let mut ids = Vec::new();
@@ -340,7 +355,7 @@
     }
 
     #[test]
-    fn garbage_is_answered_a_few_times_and_an_endless_line_at_once() {
+    fn invalid_lines_close_the_connection_after_a_few_and_an_overlong_one_at_once() {
         let mut s = open();
         for n in 1..=MAX_INVALID_LINES {
             assert!(s.receive(0, A, b"what\n").is_empty());
@@ -348,18 +363,18 @@
         }
         assert!(
             s.receive(0, A, b"{\"v\":1,\"id\":\"a\",\"do\":\"audit\"}\n").is_empty(),
-            "nothing more is heard"
+            "a closing connection accepts no further requests"
         );
         let mut s = open();
         for _ in 0..100 {
             assert!(s.receive(0, A, &[b'x'; 1024]).is_empty());
         }
         assert!(s.take_outputs().contains(&Output::Close(A)));
-        assert!(said(&mut s, A)[0].contains("longer than 16384 bytes"));
+        assert!(received(&mut s, A)[0].contains("longer than 16384 bytes"));
     }
 
     #[test]
-    fn the_idle_make_room_and_watchers_do_not() {
+    fn idle_connections_are_closed_for_new_ones_and_watchers_are_not() {
         let mut s = Sessions::default();
         for n in 0..MAX_CLIENTS as u64 {
             s.opened(n as i64, ClientId(n));
@@ -376,11 +391,11 @@
         s.receive(0, ClientId(99), b"{\"v\":1,\"id\":\"w\",\"do\":\"watch\",\"topics\":[\"status\"]}\n");
         s.opened(100, ClientId(100));
         assert!(s.take_outputs().contains(&Output::Close(ClientId(100))));
-        assert!(said(&mut s, ClientId(100))[0].contains("16 programs"));
+        assert!(received(&mut s, ClientId(100))[0].contains("16 programs"));
     }
 
     #[test]
-    fn a_frozen_watcher_costs_one_view_and_no_more() {
+    fn a_watcher_that_does_not_read_costs_one_view() {
         let mut s = open();
         s.receive(
             0,
@@ -401,7 +416,7 @@
     }
 
     #[test]
-    fn one_that_reads_no_replies_is_cut_and_never_left_guessing() {
+    fn a_client_that_reads_no_replies_is_disconnected() {
         let mut s = open();
         let mut answered = 0;
         while !s.take_outputs().contains(&Output::Abort(A)) {
--- a/crates/control/src/views.rs
+++ b/crates/control/src/views.rs
@@ -1,5 +1,5 @@
-//! What operators are shown. Times are in milliseconds and end in `_ms`, or in seconds and end in `_s`; `at_ms` is
-//! of the Unix clock.
+//! Data shown to operators. Durations are in milliseconds in fields that end in `_ms`, and in seconds in fields that
+//! end in `_s`; `at_ms` is Unix time.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -13,75 +13,75 @@
 }
 
 view! {
-    /// The state in short: is it serving, and what is wrong.
+    /// State of the controller in short.
     Status {
-        /// The controller's name.
+        /// Name of the controller.
         name: String,
-        /// The version of the program.
+        /// Version of the program.
         version: String,
         /// `starting`, `serving`, `draining`, `drained` or `stopping`.
         state: String,
-        /// How long it has run.
+        /// Time since the start.
         up_s: u64,
-        /// Calls that are owed an answer.
+        /// Calls that await an answer.
         open: usize,
-        /// Calls that stand.
+        /// Established calls.
         standing: usize,
-        /// Connections that there are.
+        /// Open connections.
         connections: usize,
-        /// Deadlines that wait.
+        /// Pending deadlines.
         deadlines: usize,
-        /// Exchanges on the list that are in service.
+        /// Listed exchanges that are in service.
         ready: usize,
-        /// Exchanges on the list.
+        /// Listed exchanges.
         listed: usize,
-        /// Alarms that are raised.
+        /// Raised alarms.
         alarms: usize,
-        /// The gravest of them, in words; empty: none.
+        /// Description of the most severe alarm; empty if there is none.
         worst: String,
-        /// Drains that are not over.
+        /// Active drains.
         drains: usize,
-        /// Whether what is in force would survive a restart: `saved`, `unsaved`, or `off` where no folder is given.
+        /// Whether the active drains would survive a restart: `saved`, `unsaved`, or `off` if no folder is configured.
         state_folder: String,
-        /// Log lines lost.
+        /// Log lines lost because the log was not read in time.
         log_lost: u64,
-        /// Operators' programs that are connected.
+        /// Connected clients of the control socket.
         clients: usize,
     }
 }
 
 view! {
-    /// An exchange, or a gateway.
+    /// An exchange or a gateway.
     Exchange {
-        /// Its number.
+        /// Number of the exchange.
         exchange: u16,
-        /// The name of the machine that serves it.
+        /// Name of the machine that serves it.
         member: String,
-        /// Where that is.
+        /// Address of the machine.
         address: String,
-        /// What the coordinator says: `ready`, `draining` or `gone`.
+        /// State in the coordinator's list: `ready`, `draining` or `gone`.
         listed: String,
-        /// The state of an operator's drain of it, or of the group toward it; empty: none.
+        /// State of the drain of the exchange or of the group toward it; empty if there is none.
         drain: String,
-        /// Whether there is a connection to it.
+        /// Whether a connection to the exchange is up.
         connected: bool,
-        /// Free circuits of the own group toward it; nothing if that is not known.
+        /// Free circuits of the trunk group toward it, if known.
         free: Option<f64>,
-        /// Circuits of that group.
+        /// Circuits of that group, if known.
         size: Option<f64>,
-        /// Set-ups that are out.
+        /// Set-ups that await an answer.
         out: u32,
-        /// Calls that stand.
+        /// Established calls.
         standing: u32,
-        /// Set-ups that stood in the last minute.
+        /// Set-ups that led to an established call in the last minute.
         stood: u64,
-        /// Half of them took less.
+        /// Median of their set-up times.
         p50_ms: f64,
-        /// 99 of 100 took less.
+        /// 99th percentile of their set-up times.
         p99_ms: f64,
-        /// Age of its last figures; nothing if none ever came.
+        /// Age of the last load report; absent if none ever arrived.
         report_age_ms: Option<u64>,
-        /// Set-ups that ended without standing since the start.
+        /// Set-ups that ended without an established call since the start.
         turned_away: u64,
         /// Set-ups sent in each of the last seconds, oldest first.
         history: Vec<u16>,
@@ -91,47 +91,47 @@
 view! {
     /// A call.
     Call {
-        /// Its number here.
+        /// Number of the call in this controller.
         call: u32,
-        /// `lines` or `gateway`.
+        /// Where the call came from: `lines` or `gateway`.
         front: String,
-        /// Where it goes.
+        /// Destination exchange.
         destination: u16,
-        /// `waits`, `set-up out` or `stands`.
+        /// State: `waits`, `set-up out` or `stands`.
         doing: String,
-        /// The exchange that its set-up went to.
+        /// Exchange that the set-up was sent to, if any.
         over: Option<u16>,
-        /// For how long.
+        /// Time in this state.
         for_ms: u64,
     }
 }
 
 view! {
-    /// A window of time.
+    /// Call outcomes over a window of time.
     Span {
-        /// Its length.
+        /// Length of the window.
         seconds: u64,
-        /// Calls answered.
+        /// Answered calls.
         answered: u32,
-        /// Share of them that stand within the aim.
+        /// Share of them that were established within the latency objective.
         in_aim_share: Option<f64>,
-        /// Calls by how they ended: `in_aim`, `late`, the reasons of refusals, `failed`, `abandoned`.
+        /// Calls by outcome: `in_aim`, `late`, the reasons of refusals, `failed`, `abandoned`.
         by_fate: std::collections::BTreeMap<String, u32>,
     }
 }
 
 view! {
-    /// How calls fare.
+    /// Call outcomes and answer times.
     Service {
-        /// The last 10 s, minute and hour.
+        /// Windows of the last 10 s, minute and hour.
         spans: Vec<Span>,
         /// Answers of the last minute.
         answers: u64,
-        /// Half of them took less.
+        /// Median answer time.
         p50_ms: f64,
-        /// 99 of 100 took less.
+        /// 99th percentile of the answer time.
         p99_ms: f64,
-        /// 999 of 1,000 took less.
+        /// 99.9th percentile of the answer time.
         p999_ms: f64,
         /// Calls answered in each of the last seconds, oldest first.
         history: Vec<u32>,
@@ -141,31 +141,31 @@
 view! {
     /// A drain.
     Drain {
-        /// The order that began it.
+        /// Number of the order that began it.
         order: u64,
-        /// What it drains.
+        /// Target of the drain.
         target: String,
-        /// `asked`, `shedding`, `emptying`, `empty`, `restored`, `expired` or `failed`.
+        /// State: `asked`, `shedding`, `emptying`, `empty`, `restored`, `expired` or `failed`.
         state: String,
-        /// For how long.
+        /// Time in this state.
         for_s: u64,
-        /// Why it was asked for.
+        /// Reason given with the order.
         reason: String,
-        /// Who asked.
+        /// Operator who gave the order.
         who: String,
-        /// When.
+        /// When the order was given (Unix time).
         asked_at_ms: i64,
-        /// What is left of its limit; nothing: no limit, or passed.
+        /// Time left until the limit; absent if there is no limit or it has expired.
         limit_left_s: Option<u64>,
-        /// What happens then.
+        /// What happens when the limit expires.
         at_limit: String,
-        /// The policy was overridden.
+        /// Whether the drain policy was overridden.
         forced: bool,
-        /// Set-ups that are out there.
+        /// Set-ups there that await an answer.
         out: u32,
-        /// Calls that stand there.
+        /// Calls established there.
         standing: u32,
-        /// Share of what was there that has gone.
+        /// Share of the initial load that has gone.
         progress: f64,
     }
 }
@@ -173,21 +173,21 @@
 view! {
     /// A round of maintenance.
     Round {
-        /// The order that began it.
+        /// Number of the order that began it.
         order: u64,
-        /// What it drains, one after the other.
+        /// Targets, in the order in which they are drained.
         targets: Vec<String>,
-        /// How many are done.
+        /// Number of finished targets.
         done: usize,
-        /// `next`, `draining`, `working`, `settling`, `halted` or `done`.
+        /// Stage: `next`, `draining`, `working`, `settling`, `halted` or `done`.
         stage: String,
-        /// Why it is halted; empty: it is not.
+        /// Why the round is halted; empty if it is not.
         halted: String,
-        /// For how long it is there.
+        /// Time in this stage.
         for_s: u64,
-        /// Who asked.
+        /// Operator who gave the order.
         who: String,
-        /// Why.
+        /// Reason given with the order.
         reason: String,
     }
 }
@@ -195,155 +195,155 @@
 view! {
     /// A maintenance window.
     Window {
-        /// Its name.
+        /// Name of the window.
         name: String,
-        /// What it drains.
+        /// Target that is drained.
         target: String,
-        /// Whether it is open now.
+        /// Whether the window is open.
         open: bool,
-        /// When it opens next.
+        /// When the window opens next (Unix time).
         next_at_ms: Option<i64>,
-        /// For how long.
+        /// Length of the window.
         length_s: u64,
     }
 }
 
 view! {
-    /// An alarm.
+    /// A raised alarm.
     Alarm {
-        /// Its name.
+        /// Name of the alarm.
         alarm: String,
-        /// `warning` or `critical`.
+        /// Severity: `warning` or `critical`.
         severity: String,
-        /// For how long it is raised.
+        /// Time since the alarm was raised.
         for_s: u64,
-        /// What it says.
+        /// Description.
         text: String,
-        /// Who has seen it.
+        /// Operator who acknowledged the alarm, if any.
         seen_by: Option<String>,
     }
 }
 
 view! {
-    /// Something that happened.
+    /// An event.
     Event {
-        /// When.
+        /// When it happened.
         at_ms: i64,
-        /// Its running number.
+        /// Sequence number.
         number: u64,
-        /// Of what kind.
+        /// Kind of event.
         kind: String,
-        /// In words.
+        /// Description.
         text: String,
     }
 }
 
 view! {
-    /// An instance that gossips.
+    /// A member of the gossip group.
     Peer {
-        /// Its id: the first 64 bits of its name's hash.
+        /// Member id: the first 64 bits of the hash of its name.
         member: String,
-        /// Where it is.
+        /// Address of the member.
         address: String,
-        /// `alive`, `suspect`, `dead` or `left`.
+        /// State: `alive`, `suspect`, `dead` or `left`.
         state: String,
-        /// Its incarnation.
+        /// Incarnation number.
         incarnation: u64,
-        /// How pressed its processor is, from 0 to 1.
+        /// Load of its processor, from 0 to 1.
         pressed: f64,
-        /// What its word is worth, from 0 to 1.
+        /// Weight given to its reports, from 0 to 1.
         trust: f64,
     }
 }
 
 view! {
-    /// An exchange that others' evidence speaks against.
+    /// An exchange that gossip members suspect.
     Suspicion {
         /// The exchange.
         exchange: u16,
-        /// For how long.
+        /// Time since the suspicion began.
         for_ms: u64,
-        /// The accusers' weight.
+        /// Total weight of the accusers.
         weight: f64,
-        /// The weight of those who vouch.
+        /// Total weight of the members that report the exchange as healthy.
         against: f64,
-        /// Who accuses.
+        /// Members that accuse the exchange.
         accusers: Vec<String>,
-        /// Whether this instance misses answers itself.
+        /// Whether this controller itself misses answers from the exchange.
         own: bool,
     }
 }
 
 view! {
-    /// An order that was given.
+    /// An entry of the audit log.
     Audit {
-        /// When.
+        /// When the order was given.
         at_ms: i64,
-        /// Who.
+        /// Operator who gave the order.
         who: String,
-        /// What.
+        /// The order.
         what: String,
-        /// The answer.
+        /// The reply to the order.
         answer: String,
     }
 }
 
 view! {
-    /// Calls that would go another way.
+    /// Calls that a drain would move to other routes.
     Displaced {
-        /// Where they go.
+        /// Destination exchange.
         destination: u16,
-        /// Calls a minute.
+        /// Calls per minute.
         per_minute: f64,
-        /// Circuits that they keep busy.
+        /// Traffic offered (erlangs).
         erlangs: f64,
-        /// First legs that remain.
+        /// First exchanges of the remaining routes.
         ways: Vec<u16>,
     }
 }
 
 view! {
-    /// A group that would take displaced calls.
+    /// A trunk group that would carry displaced calls.
     GroupRoom {
-        /// The exchange at its far end.
+        /// Exchange at the far end of the group.
         group: u16,
-        /// Circuits.
+        /// Number of circuits.
         size: f64,
-        /// Busy ones.
+        /// Busy circuits.
         busy: f64,
-        /// Circuits that would be busy besides.
+        /// Additional circuits that would be busy.
         extra: f64,
-        /// Share of calls that it blocks now, by Erlang's B formula.
+        /// Current blocking probability, by the Erlang B formula.
         blocking_now: f64,
-        /// Share that it would block.
+        /// Blocking probability with the displaced calls.
         blocking_then: f64,
     }
 }
 
 view! {
-    /// What a drain would cost.
+    /// Estimated impact of a drain.
     Cost {
-        /// What would be drained.
+        /// Target of the drain.
         target: String,
-        /// Why it would be turned down; nothing: it would be taken.
+        /// Why the policy would reject the drain; absent if it would be accepted.
         denied: Option<String>,
-        /// The span of traffic that this rests on.
+        /// Period of traffic that the estimate is based on.
         over_s: u64,
-        /// Calls a minute whose destination would be out of service.
+        /// Calls per minute whose destination would be out of service.
         lost_per_minute: f64,
-        /// Calls a minute that go direct to it now.
+        /// Calls per minute that now go direct to the target.
         direct_per_minute: f64,
-        /// Calls a minute that use it as a tandem now.
+        /// Calls per minute that now use the target as a tandem.
         tandem_per_minute: f64,
-        /// Set-ups that are out there.
+        /// Set-ups there that await an answer.
         out: u32,
-        /// Calls that stand there.
+        /// Calls established there.
         standing: u32,
-        /// Calls that would go another way.
+        /// Calls that would move to other routes.
         displaced: Vec<Displaced>,
-        /// Groups that they would go over.
+        /// Trunk groups that would carry them.
         groups: Vec<GroupRoom>,
-        /// Destinations that would be left without a way.
+        /// Destinations that would be left without a route.
         no_way: Vec<u16>,
     }
 }
--- a/crates/metrics/src/service.rs
+++ b/crates/metrics/src/service.rs
@@ -1,8 +1,7 @@
-//! How calls fared, over three windows that end now.
+//! Call outcomes over three sliding windows that end now.
 //!
-//! OutcomeCounts lie in a ring of one bucket a second, for an hour. The sum of each window is kept beside it, and brought
-//! up to date as seconds pass: to read a window costs nothing, and to pass a second costs three subtractions for
-//! each kind, however many calls there were.
+//! Counts are kept in a ring of one-second buckets covering an hour, with a running sum for each window. Reading a
+//! window is a lookup, and advancing by a second costs three subtractions per outcome, whatever the call rate.
 
 use crate::{Micros, SECOND};
 
@@ -79,7 +78,7 @@
 pub const WINDOWS: [usize; 3] = [10, 60, 3600];
 const RING: usize = WINDOWS[2];
 
-/// OutcomeCounts by outcome.
+/// Number of calls by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OutcomeCounts([u32; OUTCOMES.len()]);
 
@@ -143,7 +142,7 @@
         }
     }
 
-    /// OutcomeCounts a call.
+    /// Records the outcome of a call.
     pub fn record(&mut self, now: Micros, outcome: CallOutcome) {
         self.advance(now);
         self.ring[Self::at(self.second)].0[outcome as usize] += 1;
