--- a/crates/console/src/app.rs
+++ b/crates/console/src/app.rs
@@ -1,4 +1,4 @@
-//! The console's state, and what keys and messages do to it.
+//! State of the console, and how keys and messages change it.
 
 use crate::command::{self, Command};
 use crossterm::event::{KeyCode, KeyEvent, KeyModifiers};
@@ -6,29 +6,29 @@
 use walnuthatch_control::frames::{AtLimit, Body, Frame, Operation, Topic, TOPICS};
 use walnuthatch_control::views::*;
 
-/// Events kept.
-const EVENTS: usize = 500;
-/// Lines of the command line kept.
-const HISTORY: usize = 50;
-/// Orders that wait for their answers; one who sends more must wait.
-const PENDING: usize = 16;
+/// Maximum number of events kept.
+const MAX_EVENTS: usize = 500;
+/// Maximum number of commands kept in the history.
+const MAX_HISTORY: usize = 50;
+/// Maximum number of unanswered requests; further ones are refused until a reply arrives.
+const MAX_PENDING: usize = 16;
 
-/// A page.
+/// A page of the console.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Page {
-    /// Is it serving, what is wrong, what can I do.
+    /// Service quality and exchanges.
     Overview,
-    /// The exchanges.
+    /// Exchanges and gateways.
     Exchanges,
-    /// The calls.
+    /// Calls.
     Calls,
-    /// The drains and windows.
+    /// Drains, the round of maintenance and maintenance windows.
     Drains,
-    /// What happened.
+    /// Recent events.
     Events,
-    /// The alarms.
+    /// Raised alarms.
     Alarms,
-    /// The instances that gossip.
+    /// Gossip members and the exchanges they suspect.
     Peers,
 }
 
@@ -43,202 +43,204 @@
     (Page::Peers, "peers"),
 ];
 
-/// What the keyboard does at present.
+/// Input mode of the keyboard.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Mode {
-    /// Keys move and choose.
+    /// Keys navigate and act on the selected row.
     Browse,
-    /// A command is being written.
-    Line(String),
-    /// A search is being written.
+    /// A command is being typed.
+    Command(String),
+    /// A search text is being typed.
     Search(String),
-    /// An order waits for its word.
+    /// An operation awaits confirmation.
     Confirm(Box<Confirm>),
-    /// The help is shown.
+    /// The help window is open.
     Help,
 }
 
-/// An order that waits for its word.
+/// An operation that awaits confirmation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Confirm {
-    /// The order.
-    pub ask: Operation,
-    /// What it would cost, once that is known.
+    /// The operation.
+    pub operation: Operation,
+    /// The estimated cost, once received.
     pub cost: Option<Cost>,
-    /// The word that sends it.
-    pub word: &'static str,
-    /// What was written so far.
-    pub written: String,
+    /// The word that must be typed to confirm.
+    pub confirmation: &'static str,
+    /// The text typed so far.
+    pub typed: String,
 }
 
-/// What the outside is to do.
+/// An action for the event loop.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Send a request.
+    /// Send a request with this id.
     Send(String, Operation),
-    /// Leave.
+    /// Quit the console.
     Quit,
 }
 
-/// How the connection is.
+/// State of the connection to the controller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LinkState {
-    /// There is one.
+    /// Connected.
     Up,
-    /// There is none, for this reason.
+    /// Not connected, for this reason.
     Down(String),
 }
 
-/// The state.
+/// State of the console.
 #[derive(Debug)]
 pub struct App {
-    /// The connection.
+    /// State of the connection.
     pub link: LinkState,
-    /// Views as they last came.
+    /// The last received status.
     pub status: Option<Status>,
-    /// The exchanges.
+    /// Exchanges and gateways.
     pub exchanges: Vec<Exchange>,
-    /// The calls that are shown.
+    /// Calls that match the search.
     pub calls: Vec<Call>,
-    /// All calls.
-    pub total: usize,
-    /// How calls fare.
+    /// Number of all calls.
+    pub total_calls: usize,
+    /// Call outcomes and answer times.
     pub service: Service,
-    /// Drains that are not over.
+    /// Active drains.
     pub drains: Vec<Drain>,
-    /// Drains that are.
-    pub over: Vec<Drain>,
-    /// Windows.
+    /// Finished drains.
+    pub finished_drains: Vec<Drain>,
+    /// Maintenance windows.
     pub windows: Vec<Window>,
-    /// The round of maintenance.
+    /// The current or last round of maintenance.
     pub round: Option<Round>,
-    /// Alarms.
+    /// Raised alarms.
     pub alarms: Vec<Alarm>,
-    /// Instances that gossip.
+    /// Gossip members.
     pub peers: Vec<Peer>,
-    /// What they speak against.
+    /// Exchanges that gossip members suspect.
     pub suspicions: Vec<Suspicion>,
     /// Events, oldest first.
     pub events: VecDeque<Event>,
-    /// Events that did not come through.
-    pub lost: u64,
-    /// The page that is shown.
+    /// Number of events lost on the way to the console.
+    pub lost_events: u64,
+    /// The open page.
     pub page: Page,
-    /// The row that is chosen.
-    pub row: usize,
-    /// What the keyboard does.
+    /// Index of the selected row.
+    pub selected_row: usize,
+    /// Input mode.
     pub mode: Mode,
-    /// The last answer, and whether it was good.
+    /// The last result, and whether it was a success.
     pub message: Option<(bool, String)>,
-    /// What calls are searched for.
+    /// Text that the listed calls contain.
     pub search: String,
     history: Vec<String>,
-    /// Requests whose answers have not come, by their ids: they go out again on the next connection, and act once.
+    /// Unanswered requests by id. They are sent again on the next connection; the id prevents a second execution.
     pending: BTreeMap<String, Operation>,
-    prefix: String,
-    next: u64,
+    id_prefix: String,
+    next_request: u64,
 }
 
 impl App {
-    /// Nothing is known yet. `prefix` makes the ids of requests this console's own.
+    /// Creates an empty state. `prefix` makes the request ids of this console unique.
     pub fn new(prefix: &str) -> App {
         App {
             link: LinkState::Down("connecting".to_owned()),
             status: None,
             exchanges: Vec::new(),
             calls: Vec::new(),
-            total: 0,
+            total_calls: 0,
             service: Service::default(),
             drains: Vec::new(),
-            over: Vec::new(),
+            finished_drains: Vec::new(),
             windows: Vec::new(),
             round: None,
             alarms: Vec::new(),
             peers: Vec::new(),
             suspicions: Vec::new(),
             events: VecDeque::new(),
-            lost: 0,
+            lost_events: 0,
             page: Page::Overview,
-            row: 0,
+            selected_row: 0,
             mode: Mode::Browse,
             message: None,
             search: String::new(),
             history: Vec::new(),
             pending: BTreeMap::new(),
-            prefix: prefix.to_owned(),
-            next: 0,
+            id_prefix: prefix.to_owned(),
+            next_request: 0,
         }
     }
 
-    fn id(&mut self) -> String {
-        self.next += 1;
-        format!("{}-{}", self.prefix, self.next)
+    fn next_id(&mut self) -> String {
+        self.next_request += 1;
+        format!("{}-{}", self.id_prefix, self.next_request)
     }
 
-    /// What is watched.
+    /// Returns the request to watch all topics the console shows.
     pub fn watch(&mut self) -> Effect {
-        // Counters are long, and for scripts.
+        // The counters are a long list meant for scripts; no page shows them.
         let topics = TOPICS.into_iter().filter(|t| *t != Topic::Counters).collect();
-        Effect::Send(self.id(), Operation::Watch { topics, every_ms: 500, search: self.search.clone() })
+        Effect::Send(self.next_id(), Operation::Watch { topics, every_ms: 500, search: self.search.clone() })
     }
 
-    /// The connection came up, or was lost.
-    pub fn linked(&mut self, state: LinkState) -> Vec<Effect> {
+    /// Handles a change of the connection. When it comes up, watches and unanswered requests are sent again.
+    pub fn link_changed(&mut self, state: LinkState) -> Vec<Effect> {
         let up = state == LinkState::Up;
         self.link = state;
         if !up {
             return Vec::new();
         }
         let history =
-            Effect::Send(self.id(), Operation::Show { topic: Topic::Events, search: String::new() });
-        let again = self.pending.iter().map(|(id, ask)| Effect::Send(id.clone(), ask.clone()));
-        let again: Vec<Effect> = again.collect();
-        [self.watch(), history].into_iter().chain(again).collect()
+            Effect::Send(self.next_id(), Operation::Show { topic: Topic::Events, search: String::new() });
+        let unanswered =
+            self.pending.iter().map(|(id, operation)| Effect::Send(id.clone(), operation.clone()));
+        let unanswered: Vec<Effect> = unanswered.collect();
+        [self.watch(), history].into_iter().chain(unanswered).collect()
     }
 
-    /// A message came.
-    pub fn frame(&mut self, frame: Frame) -> Vec<Effect> {
+    /// Handles a message from the controller.
+    pub fn handle_frame(&mut self, frame: Frame) -> Vec<Effect> {
         match frame {
-            Frame::View { body, .. } => self.body(body),
-            Frame::Lost { lost, .. } => self.lost += lost,
+            Frame::View { body, .. } => self.apply_body(body),
+            Frame::Lost { lost, .. } => self.lost_events += lost,
             Frame::Reply { reply, ok, error, body, .. } => {
-                let ours = self.pending.remove(&reply).is_some();
+                let requested = self.pending.remove(&reply).is_some();
                 match (ok, body) {
-                    (true, Some(Body::Cost(cost))) => self.cost(cost),
+                    (true, Some(Body::Cost(cost))) => self.apply_cost(cost),
                     (true, Some(Body::Done { order, text })) => {
                         self.message = Some((true, format!("order {order}: {text}")))
                     }
-                    (true, Some(Body::Text { text })) if ours => self.message = Some((true, text)),
-                    (true, Some(body)) => self.body(body),
+                    (true, Some(Body::Text { text })) if requested => self.message = Some((true, text)),
+                    (true, Some(body)) => self.apply_body(body),
                     (true, None) => {}
                     (false, _) => self.message = Some((false, error.unwrap_or_default())),
                 }
             }
         }
-        self.row = self.row.min(self.rows().saturating_sub(1));
+        self.selected_row = self.selected_row.min(self.row_count().saturating_sub(1));
         Vec::new()
     }
 
-    fn body(&mut self, body: Body) {
+    fn apply_body(&mut self, body: Body) {
         match body {
             Body::Status(s) => self.status = Some(s),
             Body::Exchanges { exchanges } => self.exchanges = exchanges,
-            Body::Calls { calls, total } => (self.calls, self.total) = (calls, total),
+            Body::Calls { calls, total } => (self.calls, self.total_calls) = (calls, total),
             Body::Service(s) => self.service = s,
             Body::Drains { drains, over, windows, round } => {
-                (self.drains, self.over, self.windows, self.round) = (drains, over, windows, round);
+                (self.drains, self.finished_drains, self.windows, self.round) =
+                    (drains, over, windows, round);
             }
             Body::Alarms { alarms } => self.alarms = alarms,
             Body::Peers { peers } => self.peers = peers,
             Body::Suspicions { suspicions } => self.suspicions = suspicions,
             Body::Events { events } => self.events = events.into(),
             Body::Event(event) => {
-                // What the first list had may come as an event as well.
+                // An event may already be part of the list requested at connect.
                 if self.events.back().is_none_or(|last| last.number < event.number) {
                     self.events.push_back(event);
                 }
-                let many = self.events.len().saturating_sub(EVENTS);
-                self.events.drain(..many);
+                let excess = self.events.len().saturating_sub(MAX_EVENTS);
+                self.events.drain(..excess);
             }
             Body::Counters { .. }
             | Body::Audit { .. }
@@ -248,12 +250,12 @@
         }
     }
 
-    fn cost(&mut self, cost: Cost) {
+    fn apply_cost(&mut self, cost: Cost) {
         match &mut self.mode {
-            Mode::Confirm(c) if matches!(&c.ask, Operation::Drain { target, .. } if *target == cost.target) =>
+            Mode::Confirm(c) if matches!(&c.operation, Operation::Drain { target, .. } if *target == cost.target) =>
             {
-                if let (Some(_), Operation::Drain { force: true, .. }) = (&cost.denied, &c.ask) {
-                    c.word = "force";
+                if let (Some(_), Operation::Drain { force: true, .. }) = (&cost.denied, &c.operation) {
+                    c.confirmation = "force";
                 }
                 c.cost = Some(cost);
             }
@@ -261,15 +263,15 @@
                 let text = cost
                     .denied
                     .as_ref()
-                    .map_or("it would be taken".to_owned(), |d| format!("turned down: {d}"));
+                    .map_or("it would be accepted".to_owned(), |d| format!("rejected: {d}"));
                 let lost = format!("{:.1} calls a minute lose their destination", cost.lost_per_minute);
                 self.message = Some((cost.denied.is_none(), format!("{}: {lost}; {text}", cost.target)));
             }
         }
     }
 
-    /// Rows of the page that is shown.
-    pub fn rows(&self) -> usize {
+    /// Returns the number of rows of the open page.
+    pub fn row_count(&self) -> usize {
         match self.page {
             Page::Overview | Page::Exchanges => self.exchanges.len(),
             Page::Calls => self.calls.len(),
@@ -280,63 +282,63 @@
         }
     }
 
-    /// A key was pressed.
-    pub fn key(&mut self, key: KeyEvent) -> Vec<Effect> {
+    /// Handles a key press.
+    pub fn handle_key(&mut self, key: KeyEvent) -> Vec<Effect> {
         if key.modifiers.contains(KeyModifiers::CONTROL) && matches!(key.code, KeyCode::Char('c')) {
             return vec![Effect::Quit];
         }
         match std::mem::replace(&mut self.mode, Mode::Browse) {
             Mode::Browse => self.browse(key.code),
             Mode::Help => Vec::new(),
-            Mode::Line(text) => self.write_line(key.code, text),
-            Mode::Search(text) => match write(key.code, text) {
-                Written::More(text) => {
+            Mode::Command(text) => self.edit_command(key.code, text),
+            Mode::Search(text) => match edit_line(key.code, text) {
+                LineEdit::Editing(text) => {
                     self.mode = Mode::Search(text);
                     Vec::new()
                 }
-                Written::Done(text) => {
+                LineEdit::Submitted(text) => {
                     self.search = text;
                     vec![self.watch()]
                 }
-                Written::Dropped => Vec::new(),
+                LineEdit::Cancelled => Vec::new(),
             },
-            Mode::Confirm(confirm) => self.confirm(key.code, confirm),
+            Mode::Confirm(confirm) => self.edit_confirmation(key.code, confirm),
         }
     }
 
     fn browse(&mut self, key: KeyCode) -> Vec<Effect> {
-        let last = self.rows().saturating_sub(1);
+        let last = self.row_count().saturating_sub(1);
         match key {
-            KeyCode::Char(c @ '1'..='7') => self.turn_to(c),
+            KeyCode::Char(c @ '1'..='7') => self.open_page(c),
             KeyCode::Tab => {
-                let at = PAGES.iter().position(|p| p.0 == self.page).unwrap_or(0);
-                self.page = PAGES[(at + 1) % PAGES.len()].0;
-                self.row = 0;
+                let index = PAGES.iter().position(|p| p.0 == self.page).unwrap_or(0);
+                self.page = PAGES[(index + 1) % PAGES.len()].0;
+                self.selected_row = 0;
             }
-            KeyCode::Up | KeyCode::Char('k') => self.row = self.row.saturating_sub(1),
-            KeyCode::Down | KeyCode::Char('j') => self.row = (self.row + 1).min(last),
-            KeyCode::PageUp => self.row = self.row.saturating_sub(10),
-            KeyCode::PageDown => self.row = (self.row + 10).min(last),
-            KeyCode::Home => self.row = 0,
-            KeyCode::End => self.row = last,
-            KeyCode::Char(':') => self.mode = Mode::Line(String::new()),
+            KeyCode::Up | KeyCode::Char('k') => self.selected_row = self.selected_row.saturating_sub(1),
+            KeyCode::Down | KeyCode::Char('j') => self.selected_row = (self.selected_row + 1).min(last),
+            KeyCode::PageUp => self.selected_row = self.selected_row.saturating_sub(10),
+            KeyCode::PageDown => self.selected_row = (self.selected_row + 10).min(last),
+            KeyCode::Home => self.selected_row = 0,
+            KeyCode::End => self.selected_row = last,
+            KeyCode::Char(':') => self.mode = Mode::Command(String::new()),
             KeyCode::Char('/') => {
-                self.turn_to('3');
+                self.open_page('3');
                 self.mode = Mode::Search(String::new());
             }
             KeyCode::Char('?') | KeyCode::F(1) => self.mode = Mode::Help,
             KeyCode::Char('d') => {
-                if let Some(target) = self.chosen() {
-                    return self.ask_drain(target, false);
+                if let Some(target) = self.selected_target() {
+                    return self.start_drain(target, false);
                 }
             }
             KeyCode::Char('u') => {
-                if let Some(target) = self.chosen() {
+                if let Some(target) = self.selected_target() {
                     return self.send(Operation::Undrain { target });
                 }
             }
             KeyCode::Char('s') if self.page == Page::Alarms => {
-                if let Some(a) = self.alarms.get(self.row) {
+                if let Some(a) = self.alarms.get(self.selected_row) {
                     return self.send(Operation::Seen { alarm: a.alarm.clone() });
                 }
             }
@@ -347,65 +349,70 @@
         Vec::new()
     }
 
-    fn turn_to(&mut self, key: char) {
+    fn open_page(&mut self, key: char) {
         if let Some(p) = key.to_digit(10).and_then(|d| PAGES.get(d as usize - 1)) {
-            (self.page, self.row) = (p.0, 0);
+            (self.page, self.selected_row) = (p.0, 0);
         }
     }
 
-    /// What the chosen row is of.
-    fn chosen(&self) -> Option<String> {
+    /// Returns the drain target of the selected row, if it has one.
+    fn selected_target(&self) -> Option<String> {
         match self.page {
             Page::Overview | Page::Exchanges => {
-                self.exchanges.get(self.row).map(|e| format!("exchange:{}", e.exchange))
+                self.exchanges.get(self.selected_row).map(|e| format!("exchange:{}", e.exchange))
             }
-            Page::Drains => self.drains.get(self.row).map(|d| d.target.clone()),
+            Page::Drains => self.drains.get(self.selected_row).map(|d| d.target.clone()),
             _ => None,
         }
     }
 
-    fn ask_drain(&mut self, target: String, force: bool) -> Vec<Effect> {
-        let ask =
+    fn start_drain(&mut self, target: String, force: bool) -> Vec<Effect> {
+        let operation =
             Operation::Drain { target, reason: String::new(), limit_s: None, at_limit: AtLimit::Keep, force };
-        self.dangerous(ask)
+        self.request_confirmation(operation)
     }
 
-    /// Has an order confirmed; for a drain its cost is asked for.
-    fn dangerous(&mut self, ask: Operation) -> Vec<Effect> {
-        let cost = match &ask {
+    /// Asks the operator to confirm an operation. For a drain, its cost is requested as well.
+    fn request_confirmation(&mut self, operation: Operation) -> Vec<Effect> {
+        let cost = match &operation {
             Operation::Drain { target, .. } => Some(Operation::Cost { target: target.clone() }),
             _ => None,
         };
-        self.mode = Mode::Confirm(Box::new(Confirm { ask, cost: None, word: "yes", written: String::new() }));
+        self.mode = Mode::Confirm(Box::new(Confirm {
+            operation,
+            cost: None,
+            confirmation: "yes",
+            typed: String::new(),
+        }));
         cost.map_or_else(Vec::new, |cost| self.send(cost))
     }
 
-    fn send(&mut self, ask: Operation) -> Vec<Effect> {
-        if self.pending.len() >= PENDING {
-            self.message = Some((false, format!("{PENDING} requests wait for their answers")));
+    fn send(&mut self, operation: Operation) -> Vec<Effect> {
+        if self.pending.len() >= MAX_PENDING {
+            self.message = Some((false, format!("{MAX_PENDING} requests are waiting for replies")));
             return Vec::new();
         }
-        let id = self.id();
-        self.pending.insert(id.clone(), ask.clone());
-        vec![Effect::Send(id, ask)]
+        let id = self.next_id();
+        self.pending.insert(id.clone(), operation.clone());
+        vec![Effect::Send(id, operation)]
     }
 
-    fn confirm(&mut self, key: KeyCode, mut c: Box<Confirm>) -> Vec<Effect> {
-        match write(key, std::mem::take(&mut c.written)) {
-            Written::Dropped => self.message = Some((true, "nothing was done".to_owned())),
-            Written::More(text) => {
-                c.written = text;
+    fn edit_confirmation(&mut self, key: KeyCode, mut c: Box<Confirm>) -> Vec<Effect> {
+        match edit_line(key, std::mem::take(&mut c.typed)) {
+            LineEdit::Cancelled => self.message = Some((true, "cancelled".to_owned())),
+            LineEdit::Editing(text) => {
+                c.typed = text;
                 self.mode = Mode::Confirm(c);
             }
-            Written::Done(text) if text == c.word => return self.send(c.ask),
-            Written::Done(_) => {
-                self.message = Some((false, format!("nothing was done: {:?} was expected", c.word)))
+            LineEdit::Submitted(text) if text == c.confirmation => return self.send(c.operation),
+            LineEdit::Submitted(_) => {
+                self.message = Some((false, format!("cancelled: expected {:?}", c.confirmation)))
             }
         }
         Vec::new()
     }
 
-    fn write_line(&mut self, key: KeyCode, text: String) -> Vec<Effect> {
+    fn edit_command(&mut self, key: KeyCode, text: String) -> Vec<Effect> {
         if key == KeyCode::Tab {
             let exchanges = self
                 .exchanges
@@ -415,64 +422,68 @@
             let alarms: Vec<String> = self.alarms.iter().map(|a| a.alarm.clone()).collect();
             let (text, more) = command::complete(&text, &targets, &alarms);
             self.message = (!more.is_empty()).then(|| (true, more.join("  ")));
-            self.mode = Mode::Line(text);
+            self.mode = Mode::Command(text);
             return Vec::new();
         }
         if key == KeyCode::Up {
             let at = self.history.iter().rposition(|h| *h == text).unwrap_or(self.history.len());
             let earlier = at.checked_sub(1).and_then(|i| self.history.get(i)).cloned();
-            self.mode = Mode::Line(earlier.unwrap_or(text));
+            self.mode = Mode::Command(earlier.unwrap_or(text));
             return Vec::new();
         }
-        match write(key, text) {
-            Written::Dropped => Vec::new(),
-            Written::More(text) => {
-                self.mode = Mode::Line(text);
+        match edit_line(key, text) {
+            LineEdit::Cancelled => Vec::new(),
+            LineEdit::Editing(text) => {
+                self.mode = Mode::Command(text);
                 Vec::new()
             }
-            Written::Done(text) => {
+            LineEdit::Submitted(text) => {
                 self.history.push(text.clone());
-                let many = self.history.len().saturating_sub(HISTORY);
-                self.history.drain(..many);
-                self.carry_out(&text)
+                let excess = self.history.len().saturating_sub(MAX_HISTORY);
+                self.history.drain(..excess);
+                self.run_command(&text)
             }
         }
     }
 
-    fn carry_out(&mut self, line: &str) -> Vec<Effect> {
+    fn run_command(&mut self, line: &str) -> Vec<Effect> {
         match command::parse(line) {
-            Err(why) => self.message = Some((false, why)),
-            Ok(Command::Run(ask)) => return self.send(ask),
-            Ok(Command::Drain(ask) | Command::Confirm(ask)) => return self.dangerous(ask),
+            Err(error) => self.message = Some((false, error)),
+            Ok(Command::Run(operation)) => return self.send(operation),
+            Ok(Command::Drain(operation) | Command::Confirm(operation)) => {
+                return self.request_confirmation(operation)
+            }
             Ok(Command::Search(text)) => {
-                self.turn_to('3');
+                self.open_page('3');
                 self.search = text;
                 return vec![self.watch()];
             }
-            Ok(Command::Page(key)) => self.turn_to(key),
+            Ok(Command::Page(key)) => self.open_page(key),
             Ok(Command::Quit) => return vec![Effect::Quit],
         }
         Vec::new()
     }
 }
 
-enum Written {
-    More(String),
-    Done(String),
-    Dropped,
+/// Result of a key press in a text field.
+enum LineEdit {
+    Editing(String),
+    Submitted(String),
+    Cancelled,
 }
 
-/// The longest line that is written here.
-const LINE: usize = 200;
+/// Maximum length of a typed line (bytes).
+const MAX_LINE_BYTES: usize = 200;
 
-fn write(key: KeyCode, mut text: String) -> Written {
+/// Applies a key press to the text of a text field.
+fn edit_line(key: KeyCode, mut text: String) -> LineEdit {
     match key {
-        KeyCode::Enter => return Written::Done(text.trim().to_owned()),
-        KeyCode::Esc => return Written::Dropped,
-        KeyCode::Backspace if text.is_empty() => return Written::Dropped,
+        KeyCode::Enter => return LineEdit::Submitted(text.trim().to_owned()),
+        KeyCode::Esc => return LineEdit::Cancelled,
+        KeyCode::Backspace if text.is_empty() => return LineEdit::Cancelled,
         KeyCode::Backspace => drop(text.pop()),
-        KeyCode::Char(c) if text.len() < LINE => text.push(c),
+        KeyCode::Char(c) if text.len() < MAX_LINE_BYTES => text.push(c),
         _ => {}
     }
-    Written::More(text)
+    LineEdit::Editing(text)
 }
--- a/crates/console/src/lib.rs
+++ b/crates/console/src/lib.rs
@@ -1,9 +1,9 @@
-//! The full-screen console: a running controller on one terminal, by keyboard alone.
+//! Full-screen console for a running controller, operated by keyboard.
 //!
-//! [`app`] is the state and what keys do to it, [`command`] the command line, [`screen`] what is drawn; none of them
-//! does input or output. [`link`] reads the control socket in a thread of its own and keeps only the newest of each
-//! view, so that a terminal that stands still costs the controller nothing and this program no memory; [`terminal`]
-//! puts them together and leaves the terminal as it found it.
+//! [`app`] holds the state and handles keys and messages, [`command`] parses the command line, and [`screen`] renders the
+//! state; none of them does I/O. [`link`] reads the control socket in a thread of its own and keeps only the newest view
+//! of each topic, so a stalled terminal neither holds up the controller nor uses more memory. [`terminal`] runs the event
+//! loop and restores the terminal at the end.
 #![forbid(unsafe_code)]
 
 pub mod app;
--- a/crates/console/src/link.rs
+++ b/crates/console/src/link.rs
@@ -1,5 +1,5 @@
-//! The connection to the controller, read by a thread of its own. Of each view only the newest is kept, and of events
-//! the last: however long the terminal stands still, this takes no more memory, and the socket is always read.
+//! Connection to the controller, read by a background thread. Only the newest view of each topic and the most recent
+//! events are kept, so memory stays bounded and the socket is always read, however long the terminal stalls.
 
 use crate::app::LinkState;
 use std::collections::{BTreeMap, VecDeque};
@@ -10,10 +10,10 @@
 use walnuthatch_control::client::Connection;
 use walnuthatch_control::frames::{Frame, Operation, Topic};
 
-/// Wait before a connection that was lost is tried again.
-const AGAIN: Duration = Duration::from_millis(500);
-/// Events and replies kept for a terminal that stands still.
-const KEPT: usize = 512;
+/// Delay before reconnecting after a connection is lost.
+const RECONNECT_DELAY: Duration = Duration::from_millis(500);
+/// Maximum number of events queued for the terminal.
+const MAX_EVENTS: usize = 512;
 
 #[derive(Default)]
 struct Inbox {
@@ -22,13 +22,13 @@
     events: VecDeque<Frame>,
     views: BTreeMap<Topic, Frame>,
     lost: u64,
-    pen: Option<Connection>,
+    writer: Option<Connection>,
 }
 
-/// The connection.
+/// A connection that is re-established whenever it is lost.
 pub struct Link {
     inbox: Arc<Mutex<Inbox>>,
-    over: Arc<AtomicBool>,
+    stopped: Arc<AtomicBool>,
 }
 
 fn lock(inbox: &Mutex<Inbox>) -> MutexGuard<'_, Inbox> {
@@ -36,81 +36,81 @@
 }
 
 impl Link {
-    /// Connects, and connects anew whenever the connection is lost.
+    /// Starts the background thread, which connects and reconnects until the link is dropped.
     pub fn start(path: PathBuf, who: String) -> Link {
-        let (inbox, over) = (Arc::new(Mutex::new(Inbox::default())), Arc::new(AtomicBool::new(false)));
-        let (shared, ended) = (inbox.clone(), over.clone());
+        let (inbox, stopped) = (Arc::new(Mutex::new(Inbox::default())), Arc::new(AtomicBool::new(false)));
+        let (shared, stopping) = (inbox.clone(), stopped.clone());
         std::thread::spawn(move || {
-            while !ended.load(Ordering::SeqCst) {
-                let why = follow(&path, &who, &shared);
-                let mut i = lock(&shared);
-                i.pen = None;
-                i.states.push_back(LinkState::Down(why));
-                drop(i);
-                std::thread::sleep(AGAIN);
+            while !stopping.load(Ordering::SeqCst) {
+                let reason = read_connection(&path, &who, &shared);
+                let mut guard = lock(&shared);
+                guard.writer = None;
+                guard.states.push_back(LinkState::Down(reason));
+                drop(guard);
+                std::thread::sleep(RECONNECT_DELAY);
             }
         });
-        Link { inbox, over }
+        Link { inbox, stopped }
     }
 
-    /// What has come since the last call.
+    /// Returns the state changes and the messages received since the last call.
     pub fn take(&self) -> (Vec<LinkState>, Vec<Frame>) {
-        let mut i = lock(&self.inbox);
-        let states = i.states.drain(..).collect();
-        let lost = std::mem::take(&mut i.lost);
+        let mut guard = lock(&self.inbox);
+        let states = guard.states.drain(..).collect();
+        let lost = std::mem::take(&mut guard.lost);
         let lost = (lost > 0).then_some(Frame::Lost { v: 1, lost });
         let mut frames: Vec<Frame> = lost.into_iter().collect();
-        frames.extend(i.replies.drain(..).collect::<Vec<_>>());
-        frames.extend(i.events.drain(..).collect::<Vec<_>>());
-        frames.extend(std::mem::take(&mut i.views).into_values());
+        frames.extend(guard.replies.drain(..).collect::<Vec<_>>());
+        frames.extend(guard.events.drain(..).collect::<Vec<_>>());
+        frames.extend(std::mem::take(&mut guard.views).into_values());
         (states, frames)
     }
 
-    /// Sends a request; without a connection it goes out with the next one.
-    pub fn send(&self, id: &str, ask: Operation) {
-        if let Some(pen) = &mut lock(&self.inbox).pen {
-            // A connection that breaks here is found broken by the reader.
-            drop(pen.send(id, ask));
+    /// Sends a request if connected. The caller resends unanswered requests after a reconnect.
+    pub fn send(&self, id: &str, operation: Operation) {
+        if let Some(writer) = &mut lock(&self.inbox).writer {
+            // A write error needs no handling here: the reader detects the broken connection.
+            drop(writer.send(id, operation));
         }
     }
 }
 
 impl Drop for Link {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::SeqCst);
+        self.stopped.store(true, Ordering::SeqCst);
     }
 }
 
-/// Reads a connection to its end, and tells why it ended.
-fn follow(path: &std::path::Path, who: &str, inbox: &Mutex<Inbox>) -> String {
+/// Reads messages until the connection ends and returns the reason.
+fn read_connection(path: &std::path::Path, who: &str, inbox: &Mutex<Inbox>) -> String {
     let opened = Connection::open(path, who).and_then(|c| Ok((c.try_clone()?, c)));
-    let (pen, mut reader) = match opened {
-        Ok(both) => both,
+    let (writer, mut reader) = match opened {
+        Ok(handles) => handles,
         Err(e) => return e.to_string(),
     };
     {
-        let mut i = lock(inbox);
-        i.pen = Some(pen);
-        i.states.push_back(LinkState::Up);
+        let mut guard = lock(inbox);
+        guard.writer = Some(writer);
+        guard.states.push_back(LinkState::Up);
     }
     loop {
         let frame = match reader.receive() {
             Ok(frame) => frame,
             Err(e) => return e.to_string(),
         };
-        let mut i = lock(inbox);
+        let mut guard = lock(inbox);
         match frame {
             Frame::View { view: Topic::Events, .. } => {
-                i.events.push_back(frame);
-                if i.events.len() > KEPT {
-                    i.events.pop_front();
-                    i.lost += 1;
+                guard.events.push_back(frame);
+                if guard.events.len() > MAX_EVENTS {
+                    guard.events.pop_front();
+                    guard.lost += 1;
                 }
             }
-            Frame::View { view, .. } => drop(i.views.insert(view, frame)),
-            Frame::Lost { lost, .. } => i.lost += lost,
-            // There are never more replies than requests, and those are bounded.
-            Frame::Reply { .. } => i.replies.push_back(frame),
+            Frame::View { view, .. } => drop(guard.views.insert(view, frame)),
+            Frame::Lost { lost, .. } => guard.lost += lost,
+            // Bounded: there are no more replies than requests, and pending requests are limited.
+            Frame::Reply { .. } => guard.replies.push_back(frame),
         }
     }
 }
--- a/crates/console/src/screen.rs
+++ b/crates/console/src/screen.rs
@@ -1,4 +1,5 @@
-//! What is drawn. The first screen answers three questions: is it serving, what is wrong, what can I do.
+//! Rendering of the console. The first screen shows whether the controller is serving, what is wrong and which keys are
+//! available.
 
 use crate::app::{App, Confirm, LinkState, Mode, Page, PAGES};
 use crate::command::COMMANDS;
@@ -10,23 +11,23 @@
 use walnuthatch_control::frames::Operation;
 use walnuthatch_control::views::{Drain, Exchange};
 
-/// How it may look.
+/// Colours and characters that the terminal supports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Look {
-    /// Colours may be used. Nothing is told by them alone.
+pub struct Theme {
+    /// Whether colours may be used. No information is conveyed by colour alone.
     pub colours: bool,
-    /// Characters beyond ASCII may be used.
+    /// Whether non-ASCII characters may be used.
     pub unicode: bool,
 }
 
-impl Look {
-    /// As the environment asks for: `NO_COLOR`, and the locale.
-    pub fn of_environment(env: impl Fn(&str) -> Option<String>) -> Look {
+impl Theme {
+    /// Derives the theme from the environment: `NO_COLOR`, `TERM` and the locale.
+    pub fn from_environment(env: impl Fn(&str) -> Option<String>) -> Theme {
         let set = |name: &str| env(name).filter(|v| !v.is_empty());
         let dumb = set("TERM").is_some_and(|t| t == "dumb" || t == "vt100" || t.ends_with("-mono"));
         let locale = set("LC_ALL").or_else(|| set("LC_CTYPE")).or_else(|| set("LANG")).unwrap_or_default();
         let utf = locale.to_ascii_lowercase().replace('-', "").contains("utf8");
-        Look { colours: set("NO_COLOR").is_none() && !dumb, unicode: utf }
+        Theme { colours: set("NO_COLOR").is_none() && !dumb, unicode: utf }
     }
 
     fn colour(self, c: Color) -> Style {
@@ -37,7 +38,7 @@
         }
     }
 
-    fn bad(self) -> Style {
+    fn alert(self) -> Style {
         self.colour(Color::Red).add_modifier(Modifier::BOLD)
     }
 
@@ -54,94 +55,94 @@
     }
 }
 
-const HEAD: Style = Style::new().add_modifier(Modifier::BOLD);
-const CHOSEN: Style = Style::new().add_modifier(Modifier::REVERSED);
+const HEADING: Style = Style::new().add_modifier(Modifier::BOLD);
+const SELECTED: Style = Style::new().add_modifier(Modifier::REVERSED);
 
-/// Draws all of it.
-pub fn draw(frame: &mut Frame<'_>, app: &App, look: Look) {
-    let [head, tabs, body, foot] = Layout::vertical([
+/// Draws the whole screen.
+pub fn draw(frame: &mut Frame<'_>, app: &App, theme: Theme) {
+    let [header_area, tabs_area, body_area, footer_area] = Layout::vertical([
         Constraint::Length(3),
         Constraint::Length(1),
         Constraint::Min(3),
         Constraint::Length(2),
     ])
     .areas(frame.area());
-    frame.render_widget(Paragraph::new(header(app, look)), head);
-    frame.render_widget(Paragraph::new(pages(app)), tabs);
+    frame.render_widget(Paragraph::new(header(app, theme)), header_area);
+    frame.render_widget(Paragraph::new(pages(app)), tabs_area);
     match app.page {
-        Page::Overview => overview(frame, body, app, look),
-        Page::Exchanges => exchanges(frame, body, app, look),
-        Page::Calls => calls(frame, body, app),
-        Page::Drains => drains(frame, body, app),
-        Page::Events => events(frame, body, app),
-        Page::Alarms => alarms(frame, body, app, look),
-        Page::Peers => peers(frame, body, app, look),
+        Page::Overview => overview(frame, body_area, app, theme),
+        Page::Exchanges => exchanges(frame, body_area, app, theme),
+        Page::Calls => calls(frame, body_area, app),
+        Page::Drains => drains(frame, body_area, app),
+        Page::Events => events(frame, body_area, app),
+        Page::Alarms => alarms(frame, body_area, app, theme),
+        Page::Peers => peers(frame, body_area, app, theme),
     }
-    frame.render_widget(Paragraph::new(footer(app, look)), foot);
+    frame.render_widget(Paragraph::new(footer(app, theme)), footer_area);
     match &app.mode {
-        Mode::Help => window(frame, "help", help()),
-        Mode::Confirm(c) => window(frame, "confirm", confirm(c)),
+        Mode::Help => popup(frame, "help", help()),
+        Mode::Confirm(c) => popup(frame, "confirm", confirm(c)),
         _ => {}
     }
 }
 
-// ---- Is it serving, and what is wrong ----
+// ---- Header and footer ----
 
-fn header(app: &App, look: Look) -> Text<'static> {
+fn header(app: &App, theme: Theme) -> Text<'static> {
     let Some(s) = &app.status else {
         let why = match &app.link {
-            LinkState::Up => "waiting for the first view".to_owned(),
+            LinkState::Up => "waiting for the first status".to_owned(),
             LinkState::Down(why) => why.clone(),
         };
-        return Text::from(vec![Line::styled("not connected", look.bad()), Line::from(why)]);
+        return Text::from(vec![Line::styled("not connected", theme.alert()), Line::from(why)]);
     };
     let state = match (&app.link, s.state.as_str()) {
-        (LinkState::Down(why), _) => Span::styled(format!("CONNECTION LOST ({why})"), look.bad()),
-        (_, "serving") => Span::styled("SERVING", look.good().add_modifier(Modifier::BOLD)),
-        (_, other) => Span::styled(other.to_uppercase(), look.bad()),
+        (LinkState::Down(why), _) => Span::styled(format!("CONNECTION LOST ({why})"), theme.alert()),
+        (_, "serving") => Span::styled("SERVING", theme.good().add_modifier(Modifier::BOLD)),
+        (_, other) => Span::styled(other.to_uppercase(), theme.alert()),
     };
     let first = Line::from(vec![
-        Span::styled(format!("{} ", s.name), HEAD),
+        Span::styled(format!("{} ", s.name), HEADING),
         state,
-        Span::raw(format!("  up {}  {} open, {} stand", long(s.up_s), s.open, s.standing)),
+        Span::raw(format!("  up {}  {} open, {} stand", format_duration(s.up_s), s.open, s.standing)),
         Span::raw(format!("  {}/{} exchanges", s.ready, s.listed)),
         Span::raw(if s.drains > 0 { format!("  {} drains", s.drains) } else { String::new() }),
     ]);
     let second = match (s.alarms, s.worst.is_empty()) {
-        (0, _) | (_, true) => Line::styled("nothing is wrong", look.good()),
-        (n, false) => Line::styled(format!("{n} alarms: {}", s.worst), look.bad()),
+        (0, _) | (_, true) => Line::styled("nothing is wrong", theme.good()),
+        (n, false) => Line::styled(format!("{n} alarms: {}", s.worst), theme.alert()),
     };
     let mut notes = Vec::new();
     if s.state_folder == "unsaved" {
         notes.push("drains are not saved".to_owned());
     }
-    if s.log_lost + app.lost > 0 {
-        notes.push(format!("{} log lines and {} events lost", s.log_lost, app.lost));
+    if s.log_lost + app.lost_events > 0 {
+        notes.push(format!("{} log lines and {} events lost", s.log_lost, app.lost_events));
     }
-    Text::from(vec![first, second, Line::styled(notes.join("; "), look.dim())])
+    Text::from(vec![first, second, Line::styled(notes.join("; "), theme.dim())])
 }
 
 fn pages(app: &App) -> Line<'static> {
     let mut spans = Vec::new();
     for (n, (page, name)) in PAGES.iter().enumerate() {
-        let style = if *page == app.page { CHOSEN } else { Style::new() };
+        let style = if *page == app.page { SELECTED } else { Style::new() };
         spans.push(Span::styled(format!("{} {name}", n + 1), style));
         spans.push(Span::raw("  "));
     }
     Line::from(spans)
 }
 
-/// What can I do.
-fn footer(app: &App, look: Look) -> Text<'static> {
+/// Draws the last message, and the keys of the page or the line being typed.
+fn footer(app: &App, theme: Theme) -> Text<'static> {
     let first = match &app.message {
         Some((true, text)) => Line::raw(text.clone()),
-        Some((false, text)) => Line::styled(format!("! {text}"), look.bad()),
+        Some((false, text)) => Line::styled(format!("! {text}"), theme.alert()),
         None => Line::default(),
     };
     let second = match &app.mode {
-        Mode::Line(text) => Line::raw(format!(":{text}_")),
+        Mode::Command(text) => Line::raw(format!(":{text}_")),
         Mode::Search(text) => Line::raw(format!("/{text}_")),
-        _ => Line::styled(keys(app.page), look.dim()),
+        _ => Line::styled(keys(app.page), theme.dim()),
     };
     Text::from(vec![first, second])
 }
@@ -160,14 +161,14 @@
 
 // ---- Pages ----
 
-fn overview(frame: &mut Frame<'_>, area: Rect, app: &App, look: Look) {
+fn overview(frame: &mut Frame<'_>, area: Rect, app: &App, theme: Theme) {
     let [service, list] = Layout::vertical([Constraint::Length(7), Constraint::Min(2)]).areas(area);
     let mut lines = vec![Line::styled(
         format!(
             "{:<14}{:>9}{:>9}{:>9}{:>9}{:>9}{:>9}",
             "calls", "answered", "in aim", "late", "refused", "failed", "left"
         ),
-        HEAD,
+        HEADING,
     )];
     for s in &app.service.spans {
         let of = |fates: &[&str]| fates.iter().filter_map(|f| s.by_fate.get(*f)).sum::<u32>();
@@ -200,12 +201,12 @@
     lines.push(Line::raw(format!("refused in the last minute: {why}")));
     let width = usize::from(area.width).saturating_sub(18).min(app.service.history.len());
     let last = &app.service.history[app.service.history.len() - width..];
-    lines.push(Line::raw(format!("calls a second   {}", spark(last.iter().copied(), look))));
+    lines.push(Line::raw(format!("calls a second   {}", sparkline(last.iter().copied(), theme))));
     frame.render_widget(Paragraph::new(lines), service);
-    exchanges(frame, list, app, look);
+    exchanges(frame, list, app, theme);
 }
 
-fn exchanges(frame: &mut Frame<'_>, area: Rect, app: &App, look: Look) {
+fn exchanges(frame: &mut Frame<'_>, area: Rect, app: &App, theme: Theme) {
     let wide = area.width >= 110;
     let mut head =
         vec!["exch", "machine", "state", "free", "out", "stand", "p50", "p99", "report", "refused"];
@@ -224,8 +225,11 @@
             (Some(free), Some(size)) => format!("{free:.0}/{size:.0}"),
             _ => "?".to_owned(),
         };
-        let style =
-            if e.connected && e.drain.is_empty() && e.listed == "ready" { Style::new() } else { look.bad() };
+        let style = if e.connected && e.drain.is_empty() && e.listed == "ready" {
+            Style::new()
+        } else {
+            theme.alert()
+        };
         let age = e.report_age_ms.map_or("never".to_owned(), |ms| format!("{:.1} s", ms as f64 / 1000.0));
         let mut cells = vec![
             Cell::from(e.exchange.to_string()),
@@ -241,7 +245,7 @@
         ];
         if wide {
             cells.push(Cell::from(e.address.clone()));
-            cells.push(Cell::from(spark(e.history.iter().map(|n| u32::from(*n)), look)));
+            cells.push(Cell::from(sparkline(e.history.iter().map(|n| u32::from(*n)), theme)));
         }
         Row::new(cells)
     };
@@ -251,16 +255,16 @@
 fn table(frame: &mut Frame<'_>, area: Rect, app: &App, head: &[&str], widths: &[u16], rows: Vec<Row<'_>>) {
     let widths: Vec<Constraint> = widths.iter().map(|w| Constraint::Length(*w)).collect();
     let table = Table::new(rows, widths)
-        .header(Row::new(head.iter().map(|h| (*h).to_owned()).collect::<Vec<_>>()).style(HEAD))
-        .row_highlight_style(CHOSEN);
-    let mut state = TableState::default().with_selected(Some(app.row));
+        .header(Row::new(head.iter().map(|h| (*h).to_owned()).collect::<Vec<_>>()).style(HEADING))
+        .row_highlight_style(SELECTED);
+    let mut state = TableState::default().with_selected(Some(app.selected_row));
     frame.render_stateful_widget(table, area, &mut state);
 }
 
 fn calls(frame: &mut Frame<'_>, area: Rect, app: &App) {
     let [title, list] = Layout::vertical([Constraint::Length(1), Constraint::Min(2)]).areas(area);
     let searched = if app.search.is_empty() { String::new() } else { format!(", with {:?}", app.search) };
-    let text = format!("{} of {} calls{searched}, oldest first", app.calls.len(), app.total);
+    let text = format!("{} of {} calls{searched}, oldest first", app.calls.len(), app.total_calls);
     frame.render_widget(Paragraph::new(text), title);
     let rows = app.calls.iter().map(|c| {
         let over = c.over.map_or("-".to_owned(), |o| o.to_string());
@@ -278,15 +282,17 @@
 }
 
 fn drains(frame: &mut Frame<'_>, area: Rect, app: &App) {
-    let below = (app.windows.len() + app.over.len().min(5) + 3).min(usize::from(area.height / 2)) as u16;
+    let below =
+        (app.windows.len() + app.finished_drains.len().min(5) + 3).min(usize::from(area.height / 2)) as u16;
     let [list, rest] = Layout::vertical([Constraint::Min(3), Constraint::Length(below)]).areas(area);
     let row = |d: &Drain| {
-        let limit = d.limit_left_s.map_or("-".to_owned(), |s| format!("{} {}", long(s), d.at_limit));
+        let limit =
+            d.limit_left_s.map_or("-".to_owned(), |s| format!("{} {}", format_duration(s), d.at_limit));
         Row::new([
             d.order.to_string(),
             d.target.clone(),
             d.state.clone(),
-            format!("{} {:3.0}%", bar(d.progress), d.progress * 100.0),
+            format!("{} {:3.0}%", progress_bar(d.progress), d.progress * 100.0),
             format!("{}+{}", d.standing, d.out),
             limit,
             format!("{}{} {}", d.who, if d.forced { " (force)" } else { "" }, d.reason),
@@ -310,9 +316,14 @@
     }
     for w in &app.windows {
         let state = if w.open { "OPEN" } else { "closed" };
-        lines.push(Line::raw(format!("window {}: {} for {}, {state}", w.name, w.target, long(w.length_s))));
+        lines.push(Line::raw(format!(
+            "window {}: {} for {}, {state}",
+            w.name,
+            w.target,
+            format_duration(w.length_s)
+        )));
     }
-    for d in app.over.iter().rev().take(5) {
+    for d in app.finished_drains.iter().rev().take(5) {
         lines.push(Line::raw(format!("over: order {} of {}: {}", d.order, d.who, d.target)));
     }
     frame.render_widget(Paragraph::new(lines), rest);
@@ -328,24 +339,25 @@
     table(frame, area, app, &["utc", "kind", "what"], &[8, 8, width], rows.collect());
 }
 
-fn alarms(frame: &mut Frame<'_>, area: Rect, app: &App, look: Look) {
+fn alarms(frame: &mut Frame<'_>, area: Rect, app: &App, theme: Theme) {
     if app.alarms.is_empty() {
-        return frame.render_widget(Paragraph::new(Line::styled("no alarms", look.good())), area);
+        return frame.render_widget(Paragraph::new(Line::styled("no alarms", theme.good())), area);
     }
     let rows = app.alarms.iter().map(|a| {
-        let style = if a.severity == "critical" { look.bad() } else { Style::new() };
+        let style = if a.severity == "critical" { theme.alert() } else { Style::new() };
         let seen = a.seen_by.clone().unwrap_or_else(|| "-".to_owned());
-        Row::new([a.severity.clone(), long(a.for_s), seen, format!("{}: {}", a.alarm, a.text)]).style(style)
+        Row::new([a.severity.clone(), format_duration(a.for_s), seen, format!("{}: {}", a.alarm, a.text)])
+            .style(style)
     });
     let width = area.width.saturating_sub(32);
     table(frame, area, app, &["", "for", "seen by", "alarm"], &[8, 8, 10, width], rows.collect());
 }
 
-fn peers(frame: &mut Frame<'_>, area: Rect, app: &App, look: Look) {
+fn peers(frame: &mut Frame<'_>, area: Rect, app: &App, theme: Theme) {
     let below = (app.suspicions.len() as u16 + 2).min(area.height / 2);
     let [list, rest] = Layout::vertical([Constraint::Min(3), Constraint::Length(below)]).areas(area);
     let rows = app.peers.iter().map(|p| {
-        let style = if p.state == "alive" { Style::new() } else { look.bad() };
+        let style = if p.state == "alive" { Style::new() } else { theme.alert() };
         let (pressed, trust) = (format!("{:.0}%", p.pressed * 100.0), format!("{:.2}", p.trust));
         Row::new([p.member.clone(), p.address.clone(), p.state.clone(), pressed, trust]).style(style)
     });
@@ -357,21 +369,21 @@
         &[16, 21, 8, 8, 6],
         rows.collect(),
     );
-    let mut lines = vec![Line::styled(format!("{} exchanges are suspected", app.suspicions.len()), HEAD)];
+    let mut lines = vec![Line::styled(format!("{} exchanges are suspected", app.suspicions.len()), HEADING)];
     for s in &app.suspicions {
         let (own, n) = (if s.own { ", and missed here" } else { "" }, s.accusers.len());
         let text = format!(
             "exchange {} for {} ms: {n} accuse{own}, {:.2} to {:.2}",
             s.exchange, s.for_ms, s.weight, s.against
         );
-        lines.push(Line::styled(text, look.bad()));
+        lines.push(Line::styled(text, theme.alert()));
     }
     frame.render_widget(Paragraph::new(lines), rest);
 }
 
-// ---- Windows over the page ----
+// ---- Popups ----
 
-fn window(frame: &mut Frame<'_>, title: &'static str, lines: Vec<Line<'static>>) {
+fn popup(frame: &mut Frame<'_>, title: &'static str, lines: Vec<Line<'static>>) {
     let all = frame.area();
     let width = all.width.saturating_sub(4).min(100);
     let height = (lines.len() as u16 + 2).min(all.height.saturating_sub(2));
@@ -385,12 +397,12 @@
 
 fn help() -> Vec<Line<'static>> {
     let mut lines: Vec<Line<'static>> = [
-        "1 to 7, Tab   pages               up, down, PgUp, PgDn   choose",
-        "d             drain what is chosen; its cost is shown first",
-        "u             put it back into service",
-        "s             the chosen alarm was seen        /   search calls",
-        ":             a command; Tab completes, up brings earlier ones",
-        "q, Ctrl-C     leave; the controller and its drains go on",
+        "1 to 7, Tab   pages               up, down, PgUp, PgDn   select",
+        "d             drain the selected target; its cost is shown first",
+        "u             return it to service",
+        "s             acknowledge the selected alarm   /   search calls",
+        ":             a command; Tab completes, up recalls earlier ones",
+        "q, Ctrl-C     quit; the controller and its drains continue",
         "",
     ]
     .map(Line::raw)
@@ -401,28 +413,29 @@
 
 fn confirm(c: &Confirm) -> Vec<Line<'static>> {
     let mut lines = Vec::new();
-    match &c.ask {
+    match &c.operation {
         Operation::Drain { target, reason, limit_s, at_limit, force } => {
-            let limit =
-                limit_s.map_or("no limit".to_owned(), |s| format!("{} then {at_limit:?}", long(s.into())));
+            let limit = limit_s.map_or("no limit".to_owned(), |s| {
+                format!("{} then {at_limit:?}", format_duration(s.into()))
+            });
             let force = if *force { ", by force" } else { "" };
-            lines.push(Line::styled(format!("drain {target}: {limit}{force} {reason}"), HEAD));
+            lines.push(Line::styled(format!("drain {target}: {limit}{force} {reason}"), HEADING));
         }
         Operation::Round { targets, .. } => {
-            lines.push(Line::styled(format!("drain one after the other: {}", targets.join(" ")), HEAD));
+            lines.push(Line::styled(format!("drain one after the other: {}", targets.join(" ")), HEADING));
         }
         Operation::Stop => {
-            lines.push(Line::styled("stop the controller, once all calls have their answer", HEAD))
+            lines.push(Line::styled("stop the controller once all calls are answered", HEADING))
         }
         other => lines.push(Line::raw(format!("{other:?}"))),
     }
     match &c.cost {
-        None if matches!(c.ask, Operation::Drain { .. }) => {
-            lines.push(Line::raw("its cost is being asked for"))
+        None if matches!(c.operation, Operation::Drain { .. }) => {
+            lines.push(Line::raw("waiting for its cost"))
         }
         None => {}
         Some(cost) => {
-            lines.push(Line::raw(format!("by the traffic of the last {}:", long(cost.over_s))));
+            lines.push(Line::raw(format!("by the traffic of the last {}:", format_duration(cost.over_s))));
             lines.push(Line::raw(format!(
                 "  {:.1} calls a minute lose their destination",
                 cost.lost_per_minute
@@ -432,7 +445,7 @@
                 cost.direct_per_minute, cost.tandem_per_minute
             )));
             lines.push(Line::raw(format!(
-                "  {} calls stand there, {} set-ups are out",
+                "  {} calls established there, {} set-ups unanswered",
                 cost.standing, cost.out
             )));
             for d in cost.displaced.iter().take(4) {
@@ -450,22 +463,25 @@
                 )));
             }
             if !cost.no_way.is_empty() {
-                lines.push(Line::raw(format!("  no way would be left to {:?}", cost.no_way)));
+                lines.push(Line::raw(format!("  no route would be left to {:?}", cost.no_way)));
             }
             if let Some(denied) = &cost.denied {
-                lines.push(Line::styled(format!("the policy turns it down: {denied}"), HEAD));
+                lines.push(Line::styled(format!("rejected by the policy: {denied}"), HEADING));
             }
         }
     }
     lines.push(Line::raw(""));
-    lines.push(Line::raw(format!("write {} and Enter to do it, Esc to leave it: {}_", c.word, c.written)));
+    lines.push(Line::raw(format!(
+        "type {} and Enter to confirm, Esc to cancel: {}_",
+        c.confirmation, c.typed
+    )));
     lines
 }
 
-// ---- Small things ----
+// ---- Formatting ----
 
-/// A span in few characters.
-fn long(seconds: u64) -> String {
+/// Formats a duration in one unit.
+fn format_duration(seconds: u64) -> String {
     match seconds {
         0..=119 => format!("{seconds} s"),
         120..=7199 => format!("{} min", seconds / 60),
@@ -474,14 +490,14 @@
     }
 }
 
-fn bar(share: f64) -> String {
+fn progress_bar(share: f64) -> String {
     let full = (share.clamp(0.0, 1.0) * 6.0).round() as usize;
     format!("[{}{}]", "#".repeat(full), ".".repeat(6 - full))
 }
 
-/// Values as a line of small bars.
-fn spark(values: impl Iterator<Item = u32> + Clone, look: Look) -> String {
-    let steps: &[char] = if look.unicode {
+/// Renders values as a line of small bars, scaled to the highest one.
+fn sparkline(values: impl Iterator<Item = u32> + Clone, theme: Theme) -> String {
+    let steps: &[char] = if theme.unicode {
         &[' ', '\u{2581}', '\u{2582}', '\u{2583}', '\u{2584}', '\u{2585}', '\u{2586}', '\u{2587}', '\u{2588}']
     } else {
         &[' ', '.', ':', '-', '=', '+', '*', '%', '#']
--- a/crates/control/src/views.rs
+++ b/crates/control/src/views.rs
@@ -295,7 +295,7 @@
         destination: u16,
         /// Calls per minute.
         per_minute: f64,
-        /// Traffic offered (erlangs).
+        /// Mean number of circuits that they occupy (erlangs).
         erlangs: f64,
         /// First exchanges of the remaining routes.
         ways: Vec<u16>,
