--- a/crates/console/src/screen.rs
+++ b/crates/console/src/screen.rs
@@ -24,10 +24,10 @@
     /// Derives the theme from the environment: `NO_COLOR`, `TERM` and the locale.
     pub fn from_environment(env: impl Fn(&str) -> Option<String>) -> Theme {
         let set = |name: &str| env(name).filter(|v| !v.is_empty());
-        let dumb = set("TERM").is_some_and(|t| t == "dumb" || t == "vt100" || t.ends_with("-mono"));
+        let limited = set("TERM").is_some_and(|t| t == "dumb" || t == "vt100" || t.ends_with("-mono"));
         let locale = set("LC_ALL").or_else(|| set("LC_CTYPE")).or_else(|| set("LANG")).unwrap_or_default();
-        let utf = locale.to_ascii_lowercase().replace('-', "").contains("utf8");
-        Theme { colours: set("NO_COLOR").is_none() && !dumb, unicode: utf }
+        let unicode = locale.to_ascii_lowercase().replace('-', "").contains("utf8");
+        Theme { colours: set("NO_COLOR").is_none() && !limited, unicode }
     }
 
     fn colour(self, c: Color) -> Style {
@@ -150,19 +150,19 @@
 fn keys(page: Page) -> &'static str {
     match page {
         Page::Overview | Page::Exchanges => {
-            "d drain  u undrain  up/down choose  / search calls  : command  ? help  q leave"
+            "d drain  u undrain  up/down select  / search calls  : command  ? help  q quit"
         }
-        Page::Drains => "u undrain  up/down choose  : command  ? help  q leave",
-        Page::Calls => "/ search  up/down choose  : command  ? help  q leave",
-        Page::Alarms => "s seen  up/down choose  : command  ? help  q leave",
-        Page::Events | Page::Peers => "up/down choose  : command  ? help  q leave",
+        Page::Drains => "u undrain  up/down select  : command  ? help  q quit",
+        Page::Calls => "/ search  up/down select  : command  ? help  q quit",
+        Page::Alarms => "s seen  up/down select  : command  ? help  q quit",
+        Page::Events | Page::Peers => "up/down select  : command  ? help  q quit",
     }
 }
 
 // ---- Pages ----
 
 fn overview(frame: &mut Frame<'_>, area: Rect, app: &App, theme: Theme) {
-    let [service, list] = Layout::vertical([Constraint::Length(7), Constraint::Min(2)]).areas(area);
+    let [service_area, list_area] = Layout::vertical([Constraint::Length(7), Constraint::Min(2)]).areas(area);
     let mut lines = vec![Line::styled(
         format!(
             "{:<14}{:>9}{:>9}{:>9}{:>9}{:>9}{:>9}",
@@ -171,11 +171,11 @@
         HEADING,
     )];
     for s in &app.service.spans {
-        let of = |fates: &[&str]| fates.iter().filter_map(|f| s.by_fate.get(*f)).sum::<u32>();
+        let sum = |outcomes: &[&str]| outcomes.iter().filter_map(|f| s.by_fate.get(*f)).sum::<u32>();
         let refused =
-            of(&["drained", "no_circuit", "turned_back", "processor_full", "unanswered", "fault", "no_way"]);
+            sum(&["drained", "no_circuit", "turned_back", "processor_full", "unanswered", "fault", "no_way"]);
         let share = s.in_aim_share.map_or("-".to_owned(), |v| format!("{:.1}%", v * 100.0));
-        let (late, failed, left) = (of(&["late"]), of(&["failed"]), of(&["abandoned"]));
+        let (late, failed, left) = (sum(&["late"]), sum(&["failed"]), sum(&["abandoned"]));
         let name = match s.seconds {
             10 => "last 10 s",
             60 => "last minute",
@@ -202,17 +202,17 @@
     let width = usize::from(area.width).saturating_sub(18).min(app.service.history.len());
     let last = &app.service.history[app.service.history.len() - width..];
     lines.push(Line::raw(format!("calls a second   {}", sparkline(last.iter().copied(), theme))));
-    frame.render_widget(Paragraph::new(lines), service);
-    exchanges(frame, list, app, theme);
+    frame.render_widget(Paragraph::new(lines), service_area);
+    exchanges(frame, list_area, app, theme);
 }
 
 fn exchanges(frame: &mut Frame<'_>, area: Rect, app: &App, theme: Theme) {
-    let wide = area.width >= 110;
-    let mut head =
+    let show_details = area.width >= 110;
+    let mut headings =
         vec!["exch", "machine", "state", "free", "out", "stand", "p50", "p99", "report", "refused"];
     let mut widths = vec![4, 14, 12, 9, 4, 6, 7, 7, 8, 7];
-    if wide {
-        head.extend(["address", "set-ups a second"]);
+    if show_details {
+        headings.extend(["address", "set-ups a second"]);
         widths.extend([21, 30]);
     }
     let row = |e: &Exchange| {
@@ -243,29 +243,36 @@
             Cell::from(age),
             Cell::from(e.turned_away.to_string()),
         ];
-        if wide {
+        if show_details {
             cells.push(Cell::from(e.address.clone()));
             cells.push(Cell::from(sparkline(e.history.iter().map(|n| u32::from(*n)), theme)));
         }
         Row::new(cells)
     };
-    table(frame, area, app, &head, &widths, app.exchanges.iter().map(row).collect());
+    table(frame, area, app, &headings, &widths, app.exchanges.iter().map(row).collect());
 }
 
-fn table(frame: &mut Frame<'_>, area: Rect, app: &App, head: &[&str], widths: &[u16], rows: Vec<Row<'_>>) {
+fn table(
+    frame: &mut Frame<'_>,
+    area: Rect,
+    app: &App,
+    headings: &[&str],
+    widths: &[u16],
+    rows: Vec<Row<'_>>,
+) {
     let widths: Vec<Constraint> = widths.iter().map(|w| Constraint::Length(*w)).collect();
     let table = Table::new(rows, widths)
-        .header(Row::new(head.iter().map(|h| (*h).to_owned()).collect::<Vec<_>>()).style(HEADING))
+        .header(Row::new(headings.iter().map(|h| (*h).to_owned()).collect::<Vec<_>>()).style(HEADING))
         .row_highlight_style(SELECTED);
     let mut state = TableState::default().with_selected(Some(app.selected_row));
     frame.render_stateful_widget(table, area, &mut state);
 }
 
 fn calls(frame: &mut Frame<'_>, area: Rect, app: &App) {
-    let [title, list] = Layout::vertical([Constraint::Length(1), Constraint::Min(2)]).areas(area);
-    let searched = if app.search.is_empty() { String::new() } else { format!(", with {:?}", app.search) };
-    let text = format!("{} of {} calls{searched}, oldest first", app.calls.len(), app.total_calls);
-    frame.render_widget(Paragraph::new(text), title);
+    let [title_area, list_area] = Layout::vertical([Constraint::Length(1), Constraint::Min(2)]).areas(area);
+    let filter = if app.search.is_empty() { String::new() } else { format!(", with {:?}", app.search) };
+    let text = format!("{} of {} calls{filter}, oldest first", app.calls.len(), app.total_calls);
+    frame.render_widget(Paragraph::new(text), title_area);
     let rows = app.calls.iter().map(|c| {
         let over = c.over.map_or("-".to_owned(), |o| o.to_string());
         let age = format!("{:.1} s", c.for_ms as f64 / 1000.0);
@@ -273,7 +280,7 @@
     });
     table(
         frame,
-        list,
+        list_area,
         app,
         &["call", "front", "to", "over", "doing", "for"],
         &[10, 8, 6, 6, 11, 10],
@@ -282,9 +289,10 @@
 }
 
 fn drains(frame: &mut Frame<'_>, area: Rect, app: &App) {
-    let below =
+    let details_height =
         (app.windows.len() + app.finished_drains.len().min(5) + 3).min(usize::from(area.height / 2)) as u16;
-    let [list, rest] = Layout::vertical([Constraint::Min(3), Constraint::Length(below)]).areas(area);
+    let [list_area, details_area] =
+        Layout::vertical([Constraint::Min(3), Constraint::Length(details_height)]).areas(area);
     let row = |d: &Drain| {
         let limit =
             d.limit_left_s.map_or("-".to_owned(), |s| format!("{} {}", format_duration(s), d.at_limit));
@@ -298,10 +306,10 @@
             format!("{}{} {}", d.who, if d.forced { " (force)" } else { "" }, d.reason),
         ])
     };
-    let head = ["order", "target", "state", "done", "left", "limit", "who, why"];
-    let why = area.width.saturating_sub(65).max(12);
-    let widths = [5, 12, 9, 13, 6, 14, why];
-    table(frame, list, app, &head, &widths, app.drains.iter().map(row).collect());
+    let headings = ["order", "target", "state", "done", "left", "limit", "who, why"];
+    let reason_width = area.width.saturating_sub(65).max(12);
+    let widths = [5, 12, 9, 13, 6, 14, reason_width];
+    table(frame, list_area, app, &headings, &widths, app.drains.iter().map(row).collect());
     let mut lines = Vec::new();
     if let Some(r) = &app.round {
         let why = if r.halted.is_empty() { String::new() } else { format!(": {}", r.halted) };
@@ -326,7 +334,7 @@
     for d in app.finished_drains.iter().rev().take(5) {
         lines.push(Line::raw(format!("over: order {} of {}: {}", d.order, d.who, d.target)));
     }
-    frame.render_widget(Paragraph::new(lines), rest);
+    frame.render_widget(Paragraph::new(lines), details_area);
 }
 
 fn events(frame: &mut Frame<'_>, area: Rect, app: &App) {
@@ -354,8 +362,9 @@
 }
 
 fn peers(frame: &mut Frame<'_>, area: Rect, app: &App, theme: Theme) {
-    let below = (app.suspicions.len() as u16 + 2).min(area.height / 2);
-    let [list, rest] = Layout::vertical([Constraint::Min(3), Constraint::Length(below)]).areas(area);
+    let details_height = (app.suspicions.len() as u16 + 2).min(area.height / 2);
+    let [list_area, details_area] =
+        Layout::vertical([Constraint::Min(3), Constraint::Length(details_height)]).areas(area);
     let rows = app.peers.iter().map(|p| {
         let style = if p.state == "alive" { Style::new() } else { theme.alert() };
         let (pressed, trust) = (format!("{:.0}%", p.pressed * 100.0), format!("{:.2}", p.trust));
@@ -363,7 +372,7 @@
     });
     table(
         frame,
-        list,
+        list_area,
         app,
         &["member", "address", "state", "pressed", "trust"],
         &[16, 21, 8, 8, 6],
@@ -371,23 +380,23 @@
     );
     let mut lines = vec![Line::styled(format!("{} exchanges are suspected", app.suspicions.len()), HEADING)];
     for s in &app.suspicions {
-        let (own, n) = (if s.own { ", and missed here" } else { "" }, s.accusers.len());
+        let (own, accusers) = (if s.own { ", also unresponsive here" } else { "" }, s.accusers.len());
         let text = format!(
-            "exchange {} for {} ms: {n} accuse{own}, {:.2} to {:.2}",
+            "exchange {} for {} ms: {accusers} accusers{own}, weight {:.2} against {:.2}",
             s.exchange, s.for_ms, s.weight, s.against
         );
         lines.push(Line::styled(text, theme.alert()));
     }
-    frame.render_widget(Paragraph::new(lines), rest);
+    frame.render_widget(Paragraph::new(lines), details_area);
 }
 
 // ---- Popups ----
 
 fn popup(frame: &mut Frame<'_>, title: &'static str, lines: Vec<Line<'static>>) {
-    let all = frame.area();
-    let width = all.width.saturating_sub(4).min(100);
-    let height = (lines.len() as u16 + 2).min(all.height.saturating_sub(2));
-    let area = Rect::new((all.width - width) / 2, (all.height - height) / 2, width, height);
+    let screen = frame.area();
+    let width = screen.width.saturating_sub(4).min(100);
+    let height = (lines.len() as u16 + 2).min(screen.height.saturating_sub(2));
+    let area = Rect::new((screen.width - width) / 2, (screen.height - height) / 2, width, height);
     frame.render_widget(Clear, area);
     frame.render_widget(
         Paragraph::new(lines).wrap(Wrap { trim: false }).block(Block::bordered().title(title)),
@@ -418,8 +427,8 @@
             let limit = limit_s.map_or("no limit".to_owned(), |s| {
                 format!("{} then {at_limit:?}", format_duration(s.into()))
             });
-            let force = if *force { ", by force" } else { "" };
-            lines.push(Line::styled(format!("drain {target}: {limit}{force} {reason}"), HEADING));
+            let forced = if *force { ", by force" } else { "" };
+            lines.push(Line::styled(format!("drain {target}: {limit}{forced} {reason}"), HEADING));
         }
         Operation::Round { targets, .. } => {
             lines.push(Line::styled(format!("drain one after the other: {}", targets.join(" ")), HEADING));
@@ -435,7 +444,10 @@
         }
         None => {}
         Some(cost) => {
-            lines.push(Line::raw(format!("by the traffic of the last {}:", format_duration(cost.over_s))));
+            lines.push(Line::raw(format!(
+                "based on the traffic of the last {}:",
+                format_duration(cost.over_s)
+            )));
             lines.push(Line::raw(format!(
                 "  {:.1} calls a minute lose their destination",
                 cost.lost_per_minute
@@ -450,7 +462,7 @@
             )));
             for d in cost.displaced.iter().take(4) {
                 lines.push(Line::raw(format!(
-                    "  {:.1} a minute for exchange {} would go over {:?}",
+                    "  {:.1} a minute for exchange {} would be routed over {:?}",
                     d.per_minute, d.destination, d.ways
                 )));
             }
@@ -491,17 +503,17 @@
 }
 
 fn progress_bar(share: f64) -> String {
-    let full = (share.clamp(0.0, 1.0) * 6.0).round() as usize;
-    format!("[{}{}]", "#".repeat(full), ".".repeat(6 - full))
+    let filled = (share.clamp(0.0, 1.0) * 6.0).round() as usize;
+    format!("[{}{}]", "#".repeat(filled), ".".repeat(6 - filled))
 }
 
 /// Renders values as a line of small bars, scaled to the highest one.
 fn sparkline(values: impl Iterator<Item = u32> + Clone, theme: Theme) -> String {
-    let steps: &[char] = if theme.unicode {
+    let levels: &[char] = if theme.unicode {
         &[' ', '\u{2581}', '\u{2582}', '\u{2583}', '\u{2584}', '\u{2585}', '\u{2586}', '\u{2587}', '\u{2588}']
     } else {
         &[' ', '.', ':', '-', '=', '+', '*', '%', '#']
     };
-    let top = values.clone().max().unwrap_or(0).max(1);
-    values.map(|v| steps[(v * 8).div_ceil(top).min(8) as usize]).collect()
+    let highest = values.clone().max().unwrap_or(0).max(1);
+    values.map(|v| levels[(v * 8).div_ceil(highest).min(8) as usize]).collect()
 }
--- a/crates/control/src/send_queue.rs
+++ b/crates/control/src/send_queue.rs
@@ -1,8 +1,8 @@
 //! Bounded queue of the messages to one client.
 //!
 //! Replies are never dropped: a client with more than [`MAX_REPLY_BYTES`] bytes of unread replies is disconnected, so
-//! that it notices the loss. Only the newest view of each topic is kept. When the events overflow, the oldest are dropped
-//! and their number is reported before the next event.
+//! that it notices the loss. Only the newest view of each topic is kept. When the events overflow, the oldest are
+//! dropped and their number is reported before the next event.
 
 use crate::frames::{encode_line, Frame, Topic, VERSION};
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/control/src/sessions.rs
+++ b/crates/control/src/sessions.rs
@@ -1,7 +1,7 @@
 //! State of the client connections of the control socket.
 //!
-//! An invalid line is answered with an error and the client may go on; after [`MAX_INVALID_LINES`] of them, or after one
-//! line that is too long, it is disconnected. An idle client is disconnected when another client needs its place.
+//! An invalid line is answered with an error and the client may go on; after [`MAX_INVALID_LINES`] of them, or after
+//! one line that is too long, it is disconnected. An idle client is disconnected when another client needs its place.
 
 use crate::frames::{
     encode_line, BadRequest, Body, Frame, Operation, Request, Topic, MAX_REQUEST_BYTES, VERSION,
--- a/examples/console_cost.rs
+++ b/examples/console_cost.rs
@@ -1,6 +1,7 @@
-//! What consoles cost: CPU a call and answer times of a program under an even load, with none, one and eight programs
-//! that watch everything, one of the eight reading nothing. `--program` names the executable, so that an earlier
-//! build can be measured by the same means; one without a control socket is measured without consoles only.
+//! Measures the cost of connected consoles: CPU time per call and answer times of the controller under a constant load,
+//! with zero, one and eight clients that watch all topics, one of the eight not reading at all. `--program` selects the
+//! executable, so that an earlier build can be measured in the same way; use `--plain --consoles 0` for one without a
+//! control socket.
 //!
 //! `cargo run --release --example console_cost -- --seconds 15`
 
@@ -17,22 +18,22 @@
 
 #[derive(Parser)]
 struct Args {
-    /// The executable
+    /// Path of the controller executable
     #[arg(long, default_value = "target/release/walnuthatch")]
     program: PathBuf,
-    /// What its rows are called
+    /// Label of the rows in the output
     #[arg(long, default_value = "this build")]
     label: String,
-    /// Calls a second
+    /// Call rates (calls per second)
     #[arg(long, value_delimiter = ',', default_value = "100,600")]
     rates: Vec<f64>,
-    /// Consoles; of eight or more one reads nothing
+    /// Numbers of consoles; with eight or more, one of them does not read
     #[arg(long, value_delimiter = ',', default_value = "0,1,8")]
     consoles: Vec<usize>,
-    /// For how long each is measured
+    /// Duration of each measurement
     #[arg(long, default_value_t = 15)]
     seconds: u64,
-    /// The program has no control socket
+    /// Start the program without a control socket
     #[arg(long)]
     plain: bool,
 }
@@ -53,17 +54,18 @@
     Ok(())
 }
 
-struct Ended(Child);
+/// Kills the child process on drop.
+struct ChildGuard(Child);
 
-impl Drop for Ended {
+impl Drop for ChildGuard {
     fn drop(&mut self) {
         drop(self.0.kill());
         drop(self.0.wait());
     }
 }
 
-/// CPU time of all threads of a process (ns).
-fn cpu(pid: u32) -> Result<u64, Failure> {
+/// Returns the CPU time of all threads of a process (ns).
+fn cpu_time(pid: u32) -> Result<u64, Failure> {
     let mut sum = 0;
     for task in std::fs::read_dir(format!("/proc/{pid}/task"))? {
         let text = std::fs::read_to_string(task?.path().join("schedstat"))?;
@@ -72,13 +74,15 @@
     Ok(sum)
 }
 
+/// Returns the resident memory of a process (MB).
 fn memory_mb(pid: u32) -> Result<f64, Failure> {
     let text = std::fs::read_to_string(format!("/proc/{pid}/status"))?;
-    let line = text.lines().find(|l| l.starts_with("VmRSS:")).ok_or("no VmRSS")?;
-    Ok(line.split_whitespace().nth(1).ok_or("no figure")?.parse::<f64>()? / 1024.0)
+    let line = text.lines().find(|l| l.starts_with("VmRSS:")).ok_or("VmRSS not found")?;
+    Ok(line.split_whitespace().nth(1).ok_or("VmRSS has no value")?.parse::<f64>()? / 1024.0)
 }
 
-fn start(args: &Args, folder: &Path, exchanges: &[Exchange]) -> Result<(Ended, SocketAddr), Failure> {
+/// Starts the controller and returns it with the address that accepts callers.
+fn start(args: &Args, folder: &Path, exchanges: &[Exchange]) -> Result<(ChildGuard, SocketAddr), Failure> {
     let member = |(n, e): (usize, &Exchange)| json!({"id": format!("s-{n}"), "host_port": e.address().to_string(), "cell": n + 1, "phase": "up"});
     let members: Vec<_> = exchanges.iter().enumerate().map(member).collect();
     let settings = json!({
@@ -103,8 +107,8 @@
         command.arg("--appliance").arg(&appliance);
     }
     let mut child = command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped()).spawn()?;
-    let mut lines = BufReader::new(child.stderr.take().ok_or("no log")?).lines();
-    let child = Ended(child);
+    let mut lines = BufReader::new(child.stderr.take().ok_or("the controller has no stderr")?).lines();
+    let child = ChildGuard(child);
     let mut callers = None;
     for line in lines.by_ref().map_while(Result::ok) {
         if let Some(at) = line.strip_prefix("walnuthatch: callers at ") {
@@ -115,9 +119,10 @@
         }
     }
     std::thread::spawn(move || lines.for_each(drop));
-    Ok((child, callers.ok_or("it did not start")?))
+    Ok((child, callers.ok_or("the controller did not start")?))
 }
 
+/// Measures one combination of call rate and number of consoles and prints its row.
 fn run(args: &Args, rate: f64, consoles: usize) -> Result<(), Failure> {
     let folder = std::env::temp_dir().join(format!("wh-cost-{}", std::process::id()));
     let hold = Duration::from_secs(1);
@@ -125,15 +130,15 @@
     let exchanges = (0..4).map(|n| Exchange::start(None, traits(n))).collect::<Result<Vec<_>, _>>()?;
     let (child, at) = start(args, &folder, &exchanges)?;
     std::thread::sleep(Duration::from_millis(1500));
-    let mut frozen = Vec::new();
+    let mut stalled = Vec::new();
     for n in 0..consoles {
-        let mut c = Connection::open(&folder.join("s"), "cost")?;
+        let mut console = Connection::open(&folder.join("s"), "cost")?;
         let watch = Operation::Watch { topics: TOPICS.to_vec(), every_ms: 500, search: String::new() };
-        c.send("w", watch)?;
+        console.send("w", watch)?;
         if n == 7 {
-            frozen.push(c);
+            stalled.push(console);
         } else {
-            std::thread::spawn(move || while c.receive().is_ok() {});
+            std::thread::spawn(move || while console.receive().is_ok() {});
         }
     }
     let load = |seconds| Load {
@@ -147,16 +152,16 @@
         seed: 7,
     };
     Callers::start(at, load(3))?.finish();
-    let before = cpu(child.0.id())?;
+    let cpu_before = cpu_time(child.0.id())?;
     let table = Callers::start(at, load(args.seconds))?.finish();
-    let spent = cpu(child.0.id())? - before;
+    let cpu_used = cpu_time(child.0.id())? - cpu_before;
     let ms = |q| table.answers.value_at_quantile(q) as f64 / 1000.0;
     println!(
         "| {} | {rate} | {consoles}{} | {:.0} | {:.1}% | {:.2} | {:.2} | {:.2} | {} | {:.1} |",
         args.label,
-        if frozen.is_empty() { "" } else { ", 1 frozen" },
-        spent as f64 / 1000.0 / table.offered as f64,
-        spent as f64 / 1e7 / args.seconds as f64,
+        if stalled.is_empty() { "" } else { ", 1 frozen" },
+        cpu_used as f64 / 1000.0 / table.offered as f64,
+        cpu_used as f64 / 1e7 / args.seconds as f64,
         ms(0.5),
         ms(0.99),
         ms(0.999),
