--- a/crates/console/src/app.rs
+++ b/crates/console/src/app.rs
@@ -420,14 +420,14 @@
                 .flat_map(|e| [format!("exchange:{}", e.exchange), format!("group:{}", e.exchange)]);
             let targets: Vec<String> = exchanges.chain(["controller".to_owned()]).collect();
             let alarms: Vec<String> = self.alarms.iter().map(|a| a.alarm.clone()).collect();
-            let (text, more) = command::complete(&text, &targets, &alarms);
-            self.message = (!more.is_empty()).then(|| (true, more.join("  ")));
+            let (text, completions) = command::complete(&text, &targets, &alarms);
+            self.message = (!completions.is_empty()).then(|| (true, completions.join("  ")));
             self.mode = Mode::Command(text);
             return Vec::new();
         }
         if key == KeyCode::Up {
-            let at = self.history.iter().rposition(|h| *h == text).unwrap_or(self.history.len());
-            let earlier = at.checked_sub(1).and_then(|i| self.history.get(i)).cloned();
+            let index = self.history.iter().rposition(|h| *h == text).unwrap_or(self.history.len());
+            let earlier = index.checked_sub(1).and_then(|i| self.history.get(i)).cloned();
             self.mode = Mode::Command(earlier.unwrap_or(text));
             return Vec::new();
         }
@@ -467,8 +467,11 @@
 
 /// Result of a key press in a text field.
 enum LineEdit {
+    /// The text is still being edited.
     Editing(String),
+    /// Enter was pressed.
     Submitted(String),
+    /// Editing was cancelled.
     Cancelled,
 }
 
--- a/crates/console/src/command.rs
+++ b/crates/console/src/command.rs
@@ -37,15 +37,15 @@
 
 /// Parses a duration such as `30m` into seconds.
 fn parse_duration(text: &str) -> Option<u32> {
-    let at = text.find(|c: char| !c.is_ascii_digit()).unwrap_or(text.len());
-    let unit = match &text[at..] {
+    let digits_end = text.find(|c: char| !c.is_ascii_digit()).unwrap_or(text.len());
+    let seconds_per_unit = match &text[digits_end..] {
         "" | "s" => 1,
         "m" => 60,
         "h" => 3600,
         "d" => 86_400,
         _ => return None,
     };
-    text[..at].parse::<u32>().ok()?.checked_mul(unit)
+    text[..digits_end].parse::<u32>().ok()?.checked_mul(seconds_per_unit)
 }
 
 /// Parses a command line.
@@ -68,10 +68,9 @@
             for word in words.skip(1) {
                 match word.split_once('=') {
                     Some(("limit", text)) => {
-                        limit_s = Some(
-                            parse_duration(text)
-                                .ok_or(format!("limit: found {text:?}, expected as 30m or 2h"))?,
-                        );
+                        limit_s = Some(parse_duration(text).ok_or(format!(
+                            "limit: found {text:?}, expected a duration such as 30m or 2h"
+                        ))?);
                     }
                     Some(("then", text)) => {
                         at_limit = match text {
@@ -96,7 +95,8 @@
                 match word.strip_prefix("pause=") {
                     Some(text) => {
                         pause_s = Some(
-                            parse_duration(text).ok_or(format!("pause: found {text:?}, expected as 5m"))?,
+                            parse_duration(text)
+                                .ok_or(format!("pause: found {text:?}, expected a duration such as 5m"))?,
                         )
                     }
                     None => targets.push(word.to_owned()),
@@ -173,8 +173,8 @@
             ("", "nothing"),
             ("dran x", "expected one of drain, undrain"),
             ("drain", "TARGET is missing"),
-            ("drain x limit=soon", "expected as 30m"),
-            ("drain x limit=99999999999d", "expected as 30m"),
+            ("drain x limit=soon", "expected a duration such as 30m"),
+            ("drain x limit=99999999999d", "expected a duration such as 30m"),
             ("drain x then=run", "expected keep, restore or cut"),
             ("page 9", "page 1 to 7"),
         ] {
--- a/crates/console/src/link.rs
+++ b/crates/console/src/link.rs
@@ -43,10 +43,10 @@
         std::thread::spawn(move || {
             while !stopping.load(Ordering::SeqCst) {
                 let reason = read_connection(&path, &who, &shared);
-                let mut inbox_guard = lock(&shared);
-                inbox_guard.writer = None;
-                inbox_guard.states.push_back(LinkState::Down(reason));
-                drop(inbox_guard);
+                let mut inbox = lock(&shared);
+                inbox.writer = None;
+                inbox.states.push_back(LinkState::Down(reason));
+                drop(inbox);
                 std::thread::sleep(RECONNECT_DELAY);
             }
         });
@@ -55,14 +55,14 @@
 
     /// Returns the state changes and the messages received since the last call.
     pub fn take(&self) -> (Vec<LinkState>, Vec<Frame>) {
-        let mut inbox_guard = lock(&self.inbox);
-        let states = inbox_guard.states.drain(..).collect();
-        let lost = std::mem::take(&mut inbox_guard.lost);
+        let mut inbox = lock(&self.inbox);
+        let states = inbox.states.drain(..).collect();
+        let lost = std::mem::take(&mut inbox.lost);
         let lost = (lost > 0).then_some(Frame::Lost { v: 1, lost });
         let mut frames: Vec<Frame> = lost.into_iter().collect();
-        frames.extend(inbox_guard.replies.drain(..).collect::<Vec<_>>());
-        frames.extend(inbox_guard.events.drain(..).collect::<Vec<_>>());
-        frames.extend(std::mem::take(&mut inbox_guard.views).into_values());
+        frames.extend(inbox.replies.drain(..).collect::<Vec<_>>());
+        frames.extend(inbox.events.drain(..).collect::<Vec<_>>());
+        frames.extend(std::mem::take(&mut inbox.views).into_values());
         (states, frames)
     }
 
@@ -89,28 +89,28 @@
         Err(e) => return e.to_string(),
     };
     {
-        let mut inbox_guard = lock(inbox);
-        inbox_guard.writer = Some(writer);
-        inbox_guard.states.push_back(LinkState::Up);
+        let mut inbox = lock(inbox);
+        inbox.writer = Some(writer);
+        inbox.states.push_back(LinkState::Up);
     }
     loop {
         let frame = match reader.receive() {
             Ok(frame) => frame,
             Err(e) => return e.to_string(),
         };
-        let mut inbox_guard = lock(inbox);
+        let mut inbox = lock(inbox);
         match frame {
             Frame::View { view: Topic::Events, .. } => {
-                inbox_guard.events.push_back(frame);
-                if inbox_guard.events.len() > MAX_EVENTS {
-                    inbox_guard.events.pop_front();
-                    inbox_guard.lost += 1;
+                inbox.events.push_back(frame);
+                if inbox.events.len() > MAX_EVENTS {
+                    inbox.events.pop_front();
+                    inbox.lost += 1;
                 }
             }
-            Frame::View { view, .. } => drop(inbox_guard.views.insert(view, frame)),
-            Frame::Lost { lost, .. } => inbox_guard.lost += lost,
+            Frame::View { view, .. } => drop(inbox.views.insert(view, frame)),
+            Frame::Lost { lost, .. } => inbox.lost += lost,
             // Bounded: there are no more replies than requests, and pending requests are limited.
-            Frame::Reply { .. } => inbox_guard.replies.push_back(frame),
+            Frame::Reply { .. } => inbox.replies.push_back(frame),
         }
     }
 }
--- a/crates/console/src/screen.rs
+++ b/crates/console/src/screen.rs
@@ -90,14 +90,14 @@
 
 fn header(app: &App, theme: Theme) -> Text<'static> {
     let Some(s) = &app.status else {
-        let why = match &app.link {
+        let reason = match &app.link {
             LinkState::Up => "waiting for the first status".to_owned(),
-            LinkState::Down(why) => why.clone(),
+            LinkState::Down(reason) => reason.clone(),
         };
-        return Text::from(vec![Line::styled("not connected", theme.alert()), Line::from(why)]);
+        return Text::from(vec![Line::styled("not connected", theme.alert()), Line::from(reason)]);
     };
     let state = match (&app.link, s.state.as_str()) {
-        (LinkState::Down(why), _) => Span::styled(format!("CONNECTION LOST ({why})"), theme.alert()),
+        (LinkState::Down(reason), _) => Span::styled(format!("CONNECTION LOST ({reason})"), theme.alert()),
         (_, "serving") => Span::styled("SERVING", theme.good().add_modifier(Modifier::BOLD)),
         (_, other) => Span::styled(other.to_uppercase(), theme.alert()),
     };
@@ -186,7 +186,7 @@
             s.answered
         )));
     }
-    let why: Vec<String> = app.service.spans.get(1).map_or(Vec::new(), |s| {
+    let reason: Vec<String> = app.service.spans.get(1).map_or(Vec::new(), |s| {
         let named =
             ["drained", "no_circuit", "turned_back", "processor_full", "unanswered", "fault", "no_way"];
         let of =
@@ -197,8 +197,8 @@
         "answers p50 {:.1} ms  p99 {:.1} ms  p99.9 {:.1} ms",
         app.service.p50_ms, app.service.p99_ms, app.service.p999_ms
     )));
-    let why = if why.is_empty() { "none".to_owned() } else { why.join(", ") };
-    lines.push(Line::raw(format!("refused in the last minute: {why}")));
+    let reason = if reason.is_empty() { "none".to_owned() } else { reason.join(", ") };
+    lines.push(Line::raw(format!("refused in the last minute: {reason}")));
     let width = usize::from(area.width).saturating_sub(18).min(app.service.history.len());
     let last = &app.service.history[app.service.history.len() - width..];
     lines.push(Line::raw(format!("calls a second   {}", sparkline(last.iter().copied(), theme))));
@@ -312,10 +312,10 @@
     table(frame, list_area, app, &headings, &widths, app.drains.iter().map(row).collect());
     let mut lines = Vec::new();
     if let Some(r) = &app.round {
-        let why = if r.halted.is_empty() { String::new() } else { format!(": {}", r.halted) };
+        let reason = if r.halted.is_empty() { String::new() } else { format!(": {}", r.halted) };
         let at = r.targets.get(r.done).map_or(String::new(), |t| format!(" at {t}"));
         lines.push(Line::raw(format!(
-            "round {}: {}{at}, {} of {} done{why}",
+            "round {}: {}{at}, {} of {} done{reason}",
             r.order,
             r.stage,
             r.done,
--- a/crates/control/src/sessions.rs
+++ b/crates/control/src/sessions.rs
@@ -86,11 +86,16 @@
     /// Adds a new connection. If too many are open, the connection that has been idle longest is closed, or the new one
     /// if none is idle.
     pub fn opened(&mut self, now: Micros, client: ClientId) {
-        if self.all.values().filter(|s| !s.closing).count() >= MAX_CLIENTS {
+        if self.all.values().filter(|session| !session.closing).count() >= MAX_CLIENTS {
             // Idle connections must not keep a technician's console from connecting.
-            let idle = |s: &Session| s.topics.is_empty() && s.pending == 0 && !s.closing;
-            let longest_idle =
-                self.all.iter().filter(|s| idle(s.1)).min_by_key(|s| s.1.last_activity).map(|s| *s.0);
+            let idle =
+                |session: &Session| session.topics.is_empty() && session.pending == 0 && !session.closing;
+            let longest_idle = self
+                .all
+                .iter()
+                .filter(|session| idle(session.1))
+                .min_by_key(|session| session.1.last_activity)
+                .map(|session| *session.0);
             match longest_idle {
                 Some(idle) => self.close(idle, "idle connection closed to admit another program"),
                 None => {
@@ -128,8 +133,8 @@
             client,
             &Frame::Reply { v: VERSION, reply: String::new(), ok: false, error: Some(text), body: None },
         );
-        if let Some(s) = self.all.get_mut(&client) {
-            s.closing = true;
+        if let Some(session) = self.all.get_mut(&client) {
+            session.closing = true;
             self.outputs.push(Output::Close(client));
         }
     }
@@ -142,27 +147,29 @@
     /// Processes received bytes, which may end anywhere within a line, and returns the complete requests.
     pub fn receive(&mut self, now: Micros, client: ClientId, mut bytes: &[u8]) -> Vec<PendingRequest> {
         let mut requests = Vec::new();
-        while let Some(s) = self.all.get_mut(&client).filter(|s| !s.closing && !bytes.is_empty()) {
-            s.last_activity = now;
+        while let Some(session) =
+            self.all.get_mut(&client).filter(|session| !session.closing && !bytes.is_empty())
+        {
+            session.last_activity = now;
             let end = bytes.iter().position(|&b| b == b'\n');
             let (part, rest) = bytes.split_at(end.unwrap_or(bytes.len()));
             bytes = rest.get(1..).unwrap_or_default();
-            let long = s.partial_line.len() + part.len() > MAX_REQUEST_BYTES;
-            if !s.skipping_line && !long {
-                s.partial_line.extend_from_slice(part);
+            let long = session.partial_line.len() + part.len() > MAX_REQUEST_BYTES;
+            if !session.skipping_line && !long {
+                session.partial_line.extend_from_slice(part);
             }
-            if long && !s.skipping_line {
-                (s.skipping_line, s.partial_line) = (true, Vec::new());
+            if long && !session.skipping_line {
+                (session.skipping_line, session.partial_line) = (true, Vec::new());
                 self.reject_line(client, String::new(), BadRequest::Long);
                 continue;
             }
             if end.is_none() {
                 continue;
             }
-            if std::mem::take(&mut s.skipping_line) {
+            if std::mem::take(&mut session.skipping_line) {
                 continue;
             }
-            let text = std::mem::take(&mut s.partial_line);
+            let text = std::mem::take(&mut session.partial_line);
             let text = text.strip_suffix(b"\r").unwrap_or(&text);
             if text.is_empty() {
                 continue;
@@ -178,28 +185,28 @@
     fn reject_line(&mut self, client: ClientId, id: String, reason: BadRequest) {
         self.counts.malformed += 1;
         self.send_reply(client, id, Err(reason.to_string()), false);
-        let Some(s) = self.all.get_mut(&client) else { return };
-        s.invalid_lines += 1;
+        let Some(session) = self.all.get_mut(&client) else { return };
+        session.invalid_lines += 1;
         // After an overlong line the connection is closed at once: its end may never come.
-        if s.invalid_lines >= MAX_INVALID_LINES || reason == BadRequest::Long {
+        if session.invalid_lines >= MAX_INVALID_LINES || reason == BadRequest::Long {
             self.close(client, "too many invalid lines, or a line too long");
         }
     }
 
     fn handle_request(&mut self, now: Micros, client: ClientId, request: Request) -> Option<PendingRequest> {
         self.counts.requests += 1;
-        let s = self.all.get_mut(&client)?;
+        let session = self.all.get_mut(&client)?;
         match &request.operation {
             Operation::Watch { topics, every_ms, search } => {
-                s.topics = topics.iter().copied().collect();
-                s.view_interval = Micros::from((*every_ms).max(MIN_VIEW_INTERVAL_MS)) * 1000;
-                s.search.clone_from(search);
-                s.next_view = now;
+                session.topics = topics.iter().copied().collect();
+                session.view_interval = Micros::from((*every_ms).max(MIN_VIEW_INTERVAL_MS)) * 1000;
+                session.search.clone_from(search);
+                session.next_view = now;
                 self.send_reply(client, request.id, Ok(Body::Text { text: "watching".into() }), false);
                 None
             }
             Operation::Unwatch => {
-                s.topics.clear();
+                session.topics.clear();
                 self.send_reply(
                     client,
                     request.id,
@@ -208,13 +215,13 @@
                 );
                 None
             }
-            _ if s.pending >= MAX_PENDING => {
+            _ if session.pending >= MAX_PENDING => {
                 let reason = format!("{MAX_PENDING} requests are already waiting for replies");
                 self.send_reply(client, request.id, Err(reason), false);
                 None
             }
             _ => {
-                s.pending += 1;
+                session.pending += 1;
                 Some(PendingRequest { client, request })
             }
         }
@@ -232,8 +239,8 @@
         result: Result<Body, String>,
         was_pending: bool,
     ) {
-        if let Some(s) = self.all.get_mut(&client) {
-            s.pending -= usize::from(was_pending && s.pending > 0);
+        if let Some(session) = self.all.get_mut(&client) {
+            session.pending -= usize::from(was_pending && session.pending > 0);
         }
         let (ok, error, body) = match result {
             Ok(body) => (true, None, Some(body)),
@@ -243,11 +250,11 @@
     }
 
     fn send(&mut self, client: ClientId, frame: &Frame) {
-        let Some(s) = self.all.get_mut(&client).filter(|s| !s.closing) else { return };
-        if s.send_queue.reply(encode_line(frame)) {
+        let Some(session) = self.all.get_mut(&client).filter(|session| !session.closing) else { return };
+        if session.send_queue.reply(encode_line(frame)) {
             self.outputs.push(Output::Ready(client));
         } else {
-            s.closing = true;
+            session.closing = true;
             self.counts.aborted += 1;
             self.outputs.push(Output::Abort(client));
         }
@@ -255,42 +262,45 @@
 
     /// Queues an event for every client that watches events.
     pub fn publish(&mut self, event: &crate::views::Event) {
-        if !self.all.values().any(|s| s.topics.contains(&Topic::Events)) {
+        if !self.all.values().any(|session| session.topics.contains(&Topic::Events)) {
             return;
         }
         let body = Body::Event(event.clone());
         let frame = encode_line(&Frame::View { v: VERSION, view: Topic::Events, body });
-        for (&client, s) in self.all.iter_mut().filter(|s| s.1.topics.contains(&Topic::Events)) {
-            s.send_queue.event(frame.clone());
+        for (&client, session) in
+            self.all.iter_mut().filter(|session| session.1.topics.contains(&Topic::Events))
+        {
+            session.send_queue.event(frame.clone());
             self.outputs.push(Output::Ready(client));
         }
     }
 
     /// Returns when the next view is due, or `None` if no topic is watched.
     pub fn next_view_due(&self) -> Option<Micros> {
-        let has_views = |s: &&Session| !s.closing && s.topics.iter().any(|t| *t != Topic::Events);
-        self.all.values().filter(has_views).map(|s| s.next_view).min()
+        let has_views =
+            |session: &&Session| !session.closing && session.topics.iter().any(|t| *t != Topic::Events);
+        self.all.values().filter(has_views).map(|session| session.next_view).min()
     }
 
     /// Queues the views that are due. A view is built only if a client can take it, so a client that has not read the
     /// previous one costs nothing, and each view is built once for all clients.
     pub fn send_due_views(&mut self, now: Micros, mut make_view: impl FnMut(Topic, &str) -> Body) {
         let mut cache: BTreeMap<(Topic, String), Vec<u8>> = BTreeMap::new();
-        for (&client, s) in &mut self.all {
-            if s.closing || now < s.next_view || s.topics.is_empty() {
+        for (&client, session) in &mut self.all {
+            if session.closing || now < session.next_view || session.topics.is_empty() {
                 continue;
             }
-            s.next_view = now + s.view_interval;
-            for &topic in s.topics.iter().filter(|t| **t != Topic::Events) {
-                if !s.send_queue.wants(topic) {
+            session.next_view = now + session.view_interval;
+            for &topic in session.topics.iter().filter(|t| **t != Topic::Events) {
+                if !session.send_queue.wants(topic) {
                     continue;
                 }
                 // The search text only affects the calls; all other views are shared between clients.
-                let search = if topic == Topic::Calls { s.search.clone() } else { String::new() };
+                let search = if topic == Topic::Calls { session.search.clone() } else { String::new() };
                 let frame = cache.entry((topic, search)).or_insert_with_key(|(topic, search)| {
                     encode_line(&Frame::View { v: VERSION, view: *topic, body: make_view(*topic, search) })
                 });
-                s.send_queue.view(topic, frame.clone());
+                session.send_queue.view(topic, frame.clone());
                 self.outputs.push(Output::Ready(client));
             }
         }
@@ -303,7 +313,7 @@
 
     /// Returns the size of the messages queued for a client (bytes).
     pub fn queued_bytes(&self, client: ClientId) -> usize {
-        self.all.get(&client).map_or(0, |s| s.send_queue.queued_bytes())
+        self.all.get(&client).map_or(0, |session| session.send_queue.queued_bytes())
     }
 
     /// Returns the pending actions on connections.
