--- a/crates/console/src/terminal.rs
+++ b/crates/console/src/terminal.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 use walnuthatch_control::client::ClientError;
 
-/// Minimum interval between two redraws that no key or resize asked for.
+/// Minimum interval between redraws, except after a key press or a resize.
 const MIN_REDRAW_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Why the console could not run.
--- a/crates/control/src/send_queue.rs
+++ b/crates/control/src/send_queue.rs
@@ -25,7 +25,7 @@
 impl SendQueue {
     /// Queues a reply. Returns `false` if there is no room, in which case the connection must be closed.
     #[must_use]
-    pub fn reply(&mut self, frame: Vec<u8>) -> bool {
+    pub fn push_reply(&mut self, frame: Vec<u8>) -> bool {
         if self.reply_bytes > 0 && self.reply_bytes + frame.len() > MAX_REPLY_BYTES {
             return false;
         }
@@ -35,7 +35,7 @@
     }
 
     /// Queues an event, dropping the oldest one if the queue is full.
-    pub fn event(&mut self, frame: Vec<u8>) {
+    pub fn push_event(&mut self, frame: Vec<u8>) {
         if self.events.len() >= MAX_EVENTS {
             self.events.pop_front();
             self.dropped_events += 1;
@@ -44,17 +44,17 @@
     }
 
     /// Whether no view of this topic is queued. While one is, producing another would be wasted work.
-    pub fn wants(&self, topic: Topic) -> bool {
+    pub fn accepts_view(&self, topic: Topic) -> bool {
         !self.views.contains_key(&topic)
     }
 
     /// Queues a view, replacing a queued view of the same topic.
-    pub fn view(&mut self, topic: Topic, frame: Vec<u8>) {
+    pub fn set_view(&mut self, topic: Topic, frame: Vec<u8>) {
         self.views.insert(topic, frame);
     }
 
     /// Removes the next message: replies first, then events, then views.
-    pub fn take(&mut self) -> Option<Vec<u8>> {
+    pub fn pop(&mut self) -> Option<Vec<u8>> {
         if let Some(reply) = self.replies.pop_front() {
             self.reply_bytes -= reply.len();
             return Some(reply);
@@ -81,24 +81,28 @@
     fn memory_is_bounded_without_reads_and_dropped_events_are_reported() {
         let mut m = SendQueue::default();
         for n in 0..100_000u32 {
-            m.event(format!("{n}\n").into_bytes());
-            m.view(Topic::Status, vec![b'x'; 1000]);
-            m.view(Topic::Calls, vec![b'y'; 1000]);
+            m.push_event(format!("{n}\n").into_bytes());
+            m.set_view(Topic::Status, vec![b'x'; 1000]);
+            m.set_view(Topic::Calls, vec![b'y'; 1000]);
         }
-        assert!(m.queued_bytes() < 2000 + MAX_EVENTS * 8 && !m.wants(Topic::Calls) && m.wants(Topic::Drains));
-        let first = String::from_utf8(m.take().unwrap()).unwrap();
+        assert!(
+            m.queued_bytes() < 2000 + MAX_EVENTS * 8
+                && !m.accepts_view(Topic::Calls)
+                && m.accepts_view(Topic::Drains)
+        );
+        let first = String::from_utf8(m.pop().unwrap()).unwrap();
         assert!(first.contains(&format!("\"lost\":{}", 100_000 - MAX_EVENTS)), "{first}");
-        assert_eq!(m.take().unwrap(), format!("{}\n", 100_000 - MAX_EVENTS).into_bytes());
+        assert_eq!(m.pop().unwrap(), format!("{}\n", 100_000 - MAX_EVENTS).into_bytes());
     }
 
     #[test]
     fn replies_come_first_and_an_overflowing_reply_is_refused() {
         let mut m = SendQueue::default();
-        m.view(Topic::Status, vec![b'v']);
-        assert!(m.reply(vec![b'a'; 2 * MAX_REPLY_BYTES]), "a single oversized reply is accepted");
-        assert!(!m.reply(vec![b'b']));
-        assert_eq!(m.take().unwrap().len(), 2 * MAX_REPLY_BYTES);
-        assert!(m.reply(vec![b'c']));
-        assert_eq!((m.take(), m.take(), m.take()), (Some(vec![b'c']), Some(vec![b'v']), None));
+        m.set_view(Topic::Status, vec![b'v']);
+        assert!(m.push_reply(vec![b'a'; 2 * MAX_REPLY_BYTES]), "a single oversized reply is accepted");
+        assert!(!m.push_reply(vec![b'b']));
+        assert_eq!(m.pop().unwrap().len(), 2 * MAX_REPLY_BYTES);
+        assert!(m.push_reply(vec![b'c']));
+        assert_eq!((m.pop(), m.pop(), m.pop()), (Some(vec![b'c']), Some(vec![b'v']), None));
     }
 }
--- a/crates/control/src/sessions.rs
+++ b/crates/control/src/sessions.rs
@@ -58,17 +58,23 @@
     pub aborted: u64,
 }
 
+/// State of one client connection.
 #[derive(Debug)]
 struct Session {
     send_queue: SendQueue,
+    /// Watched topics.
     topics: BTreeSet<Topic>,
+    /// Text that watched calls must contain.
     search: String,
     view_interval: Micros,
+    /// When the next views are due.
     next_view: Micros,
+    /// Received bytes of a line that is not complete yet.
     partial_line: Vec<u8>,
-    /// Discarding the rest of a line that is too long.
+    /// Whether the session is discarding the rest of a line that is too long.
     skipping_line: bool,
     invalid_lines: u32,
+    /// Unanswered requests.
     pending: usize,
     last_activity: Micros,
     closing: bool,
@@ -88,16 +94,18 @@
     pub fn opened(&mut self, now: Micros, client: ClientId) {
         if self.all.values().filter(|session| !session.closing).count() >= MAX_CLIENTS {
             // Idle connections must not keep a technician's console from connecting.
-            let idle =
+            let is_idle =
                 |session: &Session| session.topics.is_empty() && session.pending == 0 && !session.closing;
             let longest_idle = self
                 .all
                 .iter()
-                .filter(|session| idle(session.1))
-                .min_by_key(|session| session.1.last_activity)
-                .map(|session| *session.0);
+                .filter(|(_, session)| is_idle(session))
+                .min_by_key(|(_, session)| session.last_activity)
+                .map(|(id, _)| *id);
             match longest_idle {
-                Some(idle) => self.close(idle, "idle connection closed to admit another program"),
+                Some(idle_client) => {
+                    self.close(idle_client, "idle connection closed to admit another program")
+                }
                 None => {
                     self.counts.rejected += 1;
                     self.add(now, client);
@@ -251,7 +259,7 @@
 
     fn send(&mut self, client: ClientId, frame: &Frame) {
         let Some(session) = self.all.get_mut(&client).filter(|session| !session.closing) else { return };
-        if session.send_queue.reply(encode_line(frame)) {
+        if session.send_queue.push_reply(encode_line(frame)) {
             self.outputs.push(Output::Ready(client));
         } else {
             session.closing = true;
@@ -268,9 +276,9 @@
         let body = Body::Event(event.clone());
         let frame = encode_line(&Frame::View { v: VERSION, view: Topic::Events, body });
         for (&client, session) in
-            self.all.iter_mut().filter(|session| session.1.topics.contains(&Topic::Events))
+            self.all.iter_mut().filter(|(_, session)| session.topics.contains(&Topic::Events))
         {
-            session.send_queue.event(frame.clone());
+            session.send_queue.push_event(frame.clone());
             self.outputs.push(Output::Ready(client));
         }
     }
@@ -292,7 +300,7 @@
             }
             session.next_view = now + session.view_interval;
             for &topic in session.topics.iter().filter(|t| **t != Topic::Events) {
-                if !session.send_queue.wants(topic) {
+                if !session.send_queue.accepts_view(topic) {
                     continue;
                 }
                 // The search text only affects the calls; all other views are shared between clients.
@@ -300,7 +308,7 @@
                 let frame = cache.entry((topic, search)).or_insert_with_key(|(topic, search)| {
                     encode_line(&Frame::View { v: VERSION, view: *topic, body: make_view(*topic, search) })
                 });
-                session.send_queue.view(topic, frame.clone());
+                session.send_queue.set_view(topic, frame.clone());
                 self.outputs.push(Output::Ready(client));
             }
         }
@@ -308,7 +316,7 @@
 
     /// Removes and returns the next message for a client.
     pub fn next_message(&mut self, client: ClientId) -> Option<Vec<u8>> {
-        self.all.get_mut(&client)?.send_queue.take()
+        self.all.get_mut(&client)?.send_queue.pop()
     }
 
     /// Returns the size of the messages queued for a client (bytes).
--- a/examples/console_cost.rs
+++ b/examples/console_cost.rs
@@ -109,17 +109,17 @@
     let mut child = command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped()).spawn()?;
     let mut lines = BufReader::new(child.stderr.take().ok_or("the controller has no stderr")?).lines();
     let child = ChildGuard(child);
-    let mut callers = None;
+    let mut caller_address = None;
     for line in lines.by_ref().map_while(Result::ok) {
-        if let Some(at) = line.strip_prefix("walnuthatch: callers at ") {
-            callers = Some(at.parse()?);
+        if let Some(address) = line.strip_prefix("walnuthatch: callers at ") {
+            caller_address = Some(address.parse()?);
         }
-        if callers.is_some() && (args.plain || line.contains("control socket at")) {
+        if caller_address.is_some() && (args.plain || line.contains("control socket at")) {
             break;
         }
     }
     std::thread::spawn(move || lines.for_each(drop));
-    Ok((child, callers.ok_or("the controller did not start")?))
+    Ok((child, caller_address.ok_or("the controller did not start")?))
 }
 
 /// Measures one combination of call rate and number of consoles and prints its row.
@@ -128,7 +128,7 @@
     let hold = Duration::from_secs(1);
     let traits = |seed| Traits { circuits: (rate * 2.0) as u32, delay: Duration::from_millis(5), hold, seed };
     let exchanges = (0..4).map(|n| Exchange::start(None, traits(n))).collect::<Result<Vec<_>, _>>()?;
-    let (child, at) = start(args, &folder, &exchanges)?;
+    let (child, caller_address) = start(args, &folder, &exchanges)?;
     std::thread::sleep(Duration::from_millis(1500));
     let mut stalled = Vec::new();
     for n in 0..consoles {
@@ -151,9 +151,9 @@
         connections: 8,
         seed: 7,
     };
-    Callers::start(at, load(3))?.finish();
+    Callers::start(caller_address, load(3))?.finish();
     let cpu_before = cpu_time(child.0.id())?;
-    let table = Callers::start(at, load(args.seconds))?.finish();
+    let table = Callers::start(caller_address, load(args.seconds))?.finish();
     let cpu_used = cpu_time(child.0.id())? - cpu_before;
     let ms = |q| table.answers.value_at_quantile(q) as f64 / 1000.0;
     println!(
