--- a/src/program/appliance.rs
+++ b/src/program/appliance.rs
@@ -15,8 +15,8 @@
 use async_channel::Sender;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::rc::Rc;
-use walnuthatch_control::frames::{self, Ask, Body, Topic};
-use walnuthatch_control::sessions::{self, Asked, Client, Sessions};
+use walnuthatch_control::frames::{self, Body, Operation, Topic};
+use walnuthatch_control::sessions::{self, ClientId, PendingRequest, Sessions};
 use walnuthatch_control::views::{self, Event};
 use walnuthatch_drains::book::{self, Book, Command, News, Waiter};
 use walnuthatch_drains::drain::{AtLimit, Drain, State};
@@ -25,9 +25,9 @@
 use walnuthatch_drains::saved::Saved;
 use walnuthatch_drains::target::{Exchange, Health, Now, Site, Target};
 use walnuthatch_drains::SECOND;
-use walnuthatch_figures::alarms::{Alarms, Change};
-use walnuthatch_figures::delays::{Delays, Exchanges, Quantiles};
-use walnuthatch_figures::service::{Fate, Service, FATES, WINDOWS};
+use walnuthatch_metrics::alarms::{AlarmChange, Alarms};
+use walnuthatch_metrics::delays::{MetricsByExchange, Quantiles, RollingHistogram};
+use walnuthatch_metrics::service::{CallOutcome, ServiceWindows, OUTCOMES, WINDOWS};
 
 /// Events kept for whoever asks later.
 const EVENTS: usize = 512;
@@ -57,16 +57,16 @@
 pub struct Appliance {
     book: Book,
     traffic: Traffic,
-    service: Service,
-    answers: Delays,
-    exchanges: Exchanges,
+    service: ServiceWindows,
+    answers: RollingHistogram,
+    exchanges: MetricsByExchange,
     alarms: Alarms,
     marks: Marks,
     links: BTreeSet<(ExchangeNo, ExchangeNo)>,
     sessions: Sessions,
     /// One message at a time may be on its way to each program.
-    queues: HashMap<Client, Sender<Vec<u8>>>,
-    waiters: BTreeMap<Waiter, (Client, String)>,
+    queues: HashMap<ClientId, Sender<Vec<u8>>>,
+    waiters: BTreeMap<Waiter, (ClientId, String)>,
     next_waiter: Waiter,
     events: VecDeque<Event>,
     event_number: u64,
@@ -118,9 +118,9 @@
         let mut appliance = Appliance {
             book,
             traffic: Traffic::default(),
-            service: Service::new(now.steady),
-            answers: Delays::default(),
-            exchanges: Exchanges::default(),
+            service: ServiceWindows::new(now.steady),
+            answers: RollingHistogram::default(),
+            exchanges: MetricsByExchange::default(),
             alarms: Alarms::default(),
             marks: config.alarms,
             links: config.links.clone(),
@@ -169,13 +169,13 @@
         let c = self.sessions.counts();
         [
             ("control.accepted", c.accepted),
-            ("control.turned_away", c.turned_away),
-            ("control.unusable", c.unusable),
+            ("control.turned_away", c.rejected),
+            ("control.unusable", c.malformed),
             ("control.requests", c.requests),
-            ("control.cut", c.cut),
+            ("control.cut", c.aborted),
             ("log.lost", self.log.as_ref().map_or(0, |l| l.lost())),
             ("traffic.not_told_apart", self.traffic.lost),
-            ("alarms.lost", self.alarms.lost),
+            ("alarms.lost", self.alarms.dropped),
         ]
         .map(|(name, n)| (name.to_owned(), n))
         .to_vec()
@@ -190,55 +190,55 @@
                 let leg = ledger.withdrawals().exchange_of(*office);
                 let Some((leg, offer)) = leg.zip(ledger.offer_of(*call)) else { return };
                 self.traffic.sent(now, Exchange(offer.ask.destination.0), Exchange(leg.0));
-                if let Some(e) = self.exchanges.of(leg.0) {
-                    e.sent(now);
+                if let Some(e) = self.exchanges.entry(leg.0) {
+                    e.record_attempt(now);
                 }
             }
             LedgerOutput::AttemptEnded { leg: Some(leg), .. } => {
-                if let Some(e) = self.exchanges.of(leg.0) {
-                    e.turned_away += 1;
+                if let Some(e) = self.exchanges.entry(leg.0) {
+                    e.unsuccessful_attempts += 1;
                 }
             }
             LedgerOutput::Answer { call, answer, taken, destination, last, .. } => {
-                self.answers.count(now, now - taken);
-                let fate = match answer {
-                    Answer::Failed => Fate::Failed,
+                self.answers.record(now, now - taken);
+                let outcome = match answer {
+                    Answer::Failed => CallOutcome::Failed,
                     Answer::Refused { .. } => self.refusal(*destination, *last),
                     Answer::Stands(_) => {
                         if let Some(Last { leg: Some(leg), took, .. }) = last {
                             self.traffic.stood(now, Exchange(destination.0), Exchange(leg.0));
-                            if let Some(e) = self.exchanges.of(leg.0) {
-                                e.set_ups.count(now, *took);
+                            if let Some(e) = self.exchanges.entry(leg.0) {
+                                e.setup_times.record(now, *took);
                             }
                         }
                         let class = ledger.offer_of(*call).map_or(0, |o| o.ask.class);
                         let aim = aims.get(class).copied().unwrap_or(Micros::MAX);
                         if now - taken <= aim {
-                            Fate::InAim
+                            CallOutcome::WithinObjective
                         } else {
-                            Fate::Late
+                            CallOutcome::Late
                         }
                     }
                 };
-                self.service.count(now, fate);
+                self.service.record(now, outcome);
             }
             _ => {}
         }
     }
 
     /// Why a call was refused, as far as its last attempt, or the lack of one, tells.
-    fn refusal(&self, destination: ExchangeNo, last: Option<Last>) -> Fate {
+    fn refusal(&self, destination: ExchangeNo, last: Option<Last>) -> CallOutcome {
         let w = self.book.withdrawn();
         match last.and_then(|l| l.how) {
-            _ if w.all || w.exchanges.contains(&Exchange(destination.0)) => Fate::Drained,
-            Some((_, Cause::NoCircuit)) => Fate::NoCircuit,
-            Some((_, Cause::ProcessorFull(_) | Cause::FarProcessorFull)) => Fate::ProcessorFull,
-            Some((_, Cause::TurnedBack)) => Fate::TurnedBack,
-            Some((Ending::Fault, _) | (_, Cause::LinesBusy)) => Fate::Fault,
-            Some((Ending::Full, _)) => Fate::TurnedBack,
-            Some((Ending::NotSent, _)) => Fate::NoCircuit,
-            Some(_) => Fate::Unanswered,
-            None => Fate::NoWay,
+            _ if w.all || w.exchanges.contains(&Exchange(destination.0)) => CallOutcome::Drained,
+            Some((_, Cause::NoCircuit)) => CallOutcome::NoCircuit,
+            Some((_, Cause::ProcessorFull(_) | Cause::FarProcessorFull)) => CallOutcome::ProcessorFull,
+            Some((_, Cause::TurnedBack)) => CallOutcome::TurnedBack,
+            Some((Ending::Fault, _) | (_, Cause::LinesBusy)) => CallOutcome::Fault,
+            Some((Ending::Full, _)) => CallOutcome::TurnedBack,
+            Some((Ending::NotSent, _)) => CallOutcome::NoCircuit,
+            Some(_) => CallOutcome::Unanswered,
+            None => CallOutcome::NoRoute,
         }
     }
 
@@ -250,7 +250,7 @@
                 self.sessions.opened(now.steady, client);
             }
             ControlNews::Bytes(client, bytes) => {
-                for asked in self.sessions.bytes(now.steady, client, &bytes) {
+                for asked in self.sessions.receive(now.steady, client, &bytes) {
                     self.request(now, asked, scene);
                 }
             }
@@ -289,7 +289,7 @@
             self.follow_book(now);
         }
         let mut sessions = std::mem::take(&mut self.sessions);
-        sessions.views(now.steady, |topic, search| self.body(now, topic, search, scene));
+        sessions.send_due_views(now.steady, |topic, search| self.body(now, topic, search, scene));
         self.sessions = sessions;
         self.follow_sessions();
         self.plan(now);
@@ -302,11 +302,11 @@
             self.traffic.held(now.steady, Exchange(to.0), Exchange(leg.0), calls, span);
         }
         let abandoned = scene.ledger.tally().abandoned;
-        (self.abandoned..abandoned).for_each(|_| self.service.count(now.steady, Fate::Abandoned));
+        (self.abandoned..abandoned).for_each(|_| self.service.record(now.steady, CallOutcome::Abandoned));
         self.abandoned = abandoned;
         self.service.advance(now.steady);
         self.answers.advance(now.steady);
-        self.exchanges.pass(now.steady);
+        self.exchanges.advance(now.steady);
         let list: BTreeSet<u16> = site.neighbours().iter().map(|n| n.exchange.0).collect();
         self.exchanges.retain(|e| list.contains(&e));
         let lost = self.log.as_ref().map_or(0, |l| l.lost());
@@ -318,14 +318,14 @@
         let keys: BTreeSet<_> = looks.iter().map(|l| l.key.clone()).collect();
         let mut changes = self.alarms.retain(now.steady, |k| keys.contains(k));
         for l in looks {
-            changes.extend(self.alarms.look(now.steady, l.key, l.value, l.rule, || l.text));
+            changes.extend(self.alarms.evaluate(now.steady, l.key, l.value, l.rule, || l.text));
         }
         for change in changes {
             match change {
-                Change::Raised(key, alarm) => {
+                AlarmChange::Raised(key, alarm) => {
                     self.event(now, "alarm", format!("raised: {key}: {}", alarm.text));
                 }
-                Change::Cleared(key, after) => {
+                AlarmChange::Cleared(key, after) => {
                     self.event(now, "alarm", format!("cleared: {key}, after {} s", seconds(after)));
                 }
             }
@@ -336,8 +336,12 @@
     /// How calls fare that are not for what is drained.
     fn health(&self) -> Health {
         let short = self.service.windows()[0];
-        let answered = short.answered() - short.of(Fate::Drained);
-        let good = if answered > 0 { f64::from(short.of(Fate::InAim)) / f64::from(answered) } else { 0.0 };
+        let answered = short.answered() - short.get(CallOutcome::Drained);
+        let good = if answered > 0 {
+            f64::from(short.get(CallOutcome::WithinObjective)) / f64::from(answered)
+        } else {
+            0.0
+        };
         Health { answered, good }
     }
 
@@ -349,7 +353,7 @@
     }
 
     fn plan(&mut self, now: Now) {
-        let views = self.sessions.next_due().unwrap_or(Micros::MAX);
+        let views = self.sessions.next_view_due().unwrap_or(Micros::MAX);
         let drains = if self.quiet() { Micros::MAX } else { self.book.next_look(now) };
         let want = views.min(drains).min(self.second + SECOND).max(now.steady + 1);
         if want < self.next || self.next <= now.steady {
@@ -393,13 +397,13 @@
             match output {
                 sessions::Output::Ready(client) => self.feed(client),
                 // What waits is sent, and then the queue has no more to give.
-                sessions::Output::End(client) => {
+                sessions::Output::Close(client) => {
                     self.feed(client);
                     if let Some(queue) = self.queues.get(&client) {
                         queue.close();
                     }
                 }
-                sessions::Output::Cut(client) => {
+                sessions::Output::Abort(client) => {
                     if let Some(queue) = self.queues.get(&client) {
                         queue.close();
                     }
@@ -409,10 +413,10 @@
     }
 
     /// Hands a connection what waits for it, if nothing is on its way there.
-    fn feed(&mut self, client: Client) {
+    fn feed(&mut self, client: ClientId) {
         let Some(queue) = self.queues.get(&client).filter(|q| q.is_empty()) else { return };
         let mut bytes = Vec::new();
-        while let Some(frame) = (bytes.len() < BATCH).then(|| self.sessions.take(client)).flatten() {
+        while let Some(frame) = (bytes.len() < BATCH).then(|| self.sessions.next_message(client)).flatten() {
             bytes.extend(frame);
         }
         if !bytes.is_empty() {
@@ -436,7 +440,7 @@
         Appliance::log(kind, &text);
         self.event_number += 1;
         let event = Event { at_ms: now.wall / 1000, number: self.event_number, kind: kind.to_owned(), text };
-        self.sessions.event(&event);
+        self.sessions.publish(&event);
         self.events.push_back(event);
         if self.events.len() > EVENTS {
             self.events.pop_front();
@@ -445,30 +449,30 @@
 
     // ---- Requests ----
 
-    fn request(&mut self, now: Now, asked: Asked, scene: &Scene<'_>) {
-        let Asked { client, request } = asked;
+    fn request(&mut self, now: Now, asked: PendingRequest, scene: &Scene<'_>) {
+        let PendingRequest { client, request } = asked;
         let who = if request.who.is_empty() { "unknown".to_owned() } else { request.who };
         let id = request.id;
         let target = |text: &str| text.parse::<Target>().map_err(|e| e.to_string());
-        let what = match request.ask {
-            Ask::Show { topic, search } => Ok(self.body(now, topic, &search, scene)),
-            Ask::Audit => Ok(self.audit()),
-            Ask::Config => Ok(Body::Text { text: scene.config.summary() }),
-            Ask::Cost { target: text } => target(&text).map(|t| self.cost(now, t, scene)),
-            Ask::Log { filter } => self.set_log(now, &who, filter),
-            Ask::Seen { alarm } => match self.alarms.seen(&alarm, &who) {
+        let what = match request.operation {
+            Operation::Show { topic, search } => Ok(self.body(now, topic, &search, scene)),
+            Operation::Audit => Ok(self.audit()),
+            Operation::Config => Ok(Body::Text { text: scene.config.summary() }),
+            Operation::Cost { target: text } => target(&text).map(|t| self.cost(now, t, scene)),
+            Operation::Log { filter } => self.set_log(now, &who, filter),
+            Operation::Seen { alarm } => match self.alarms.acknowledge(&alarm, &who) {
                 true => {
                     self.event(now, "alarm", format!("seen by {who}: {alarm}"));
                     Ok(Body::Text { text: format!("{alarm}: seen by {who}") })
                 }
                 false => Err(format!("alarm: {alarm:?} is not raised")),
             },
-            Ask::Stop => {
+            Operation::Stop => {
                 self.event(now, "program", format!("{who} stops the controller"));
                 self.out.push(Output::Stop);
                 Ok(Body::Text { text: "stopping".to_owned() })
             }
-            Ask::Drain { target: text, reason, limit_s, at_limit, force } => match target(&text) {
+            Operation::Drain { target: text, reason, limit_s, at_limit, force } => match target(&text) {
                 Err(e) => Err(e),
                 Ok(target) => {
                     let limit = limit_s.map(|s| Micros::from(s) * SECOND);
@@ -481,11 +485,11 @@
                     return self.order(now, client, id, who, command, scene);
                 }
             },
-            Ask::Undrain { target: text } => match target(&text) {
+            Operation::Undrain { target: text } => match target(&text) {
                 Err(e) => Err(e),
                 Ok(target) => return self.order(now, client, id, who, Command::Undrain { target }, scene),
             },
-            Ask::Round { targets, reason, pause_s } => {
+            Operation::Round { targets, reason, pause_s } => {
                 match targets.iter().map(|t| target(t)).collect::<Result<Vec<_>, _>>() {
                     Err(e) => Err(e),
                     Ok(targets) => {
@@ -495,10 +499,10 @@
                     }
                 }
             }
-            Ask::Next => return self.order(now, client, id, who, Command::Next, scene),
-            Ask::Halt => return self.order(now, client, id, who, Command::Halt, scene),
+            Operation::Next => return self.order(now, client, id, who, Command::Next, scene),
+            Operation::Halt => return self.order(now, client, id, who, Command::Halt, scene),
             // Sessions answer these themselves.
-            Ask::Watch { .. } | Ask::Unwatch => return,
+            Operation::Watch { .. } | Operation::Unwatch => return,
         };
         self.sessions.reply(client, id, what);
     }
@@ -506,7 +510,7 @@
     fn order(
         &mut self,
         now: Now,
-        client: Client,
+        client: ClientId,
         id: String,
         who: String,
         command: Command,
@@ -551,16 +555,18 @@
                 round: self.book.plan().map(|p| round_view(now, p)),
             },
             Topic::Alarms => {
-                let of =
-                    |(key, a): (&walnuthatch_figures::alarms::Key, &walnuthatch_figures::alarms::Alarm)| {
-                        views::Alarm {
-                            alarm: key.to_string(),
-                            severity: a.rule.severity.name().to_owned(),
-                            for_s: seconds(now.steady - a.since),
-                            text: a.text.clone(),
-                            seen_by: a.seen_by.clone(),
-                        }
-                    };
+                let of = |(key, a): (
+                    &walnuthatch_metrics::alarms::AlarmKey,
+                    &walnuthatch_metrics::alarms::Alarm,
+                )| {
+                    views::Alarm {
+                        alarm: key.to_string(),
+                        severity: a.rule.severity.name().to_owned(),
+                        for_s: seconds(now.steady - a.since),
+                        text: a.text.clone(),
+                        seen_by: a.acknowledged_by.clone(),
+                    }
+                };
                 Body::Alarms { alarms: self.alarms.raised().into_iter().map(of).collect() }
             }
             Topic::Counters => {
@@ -610,9 +616,9 @@
                 format!("{group}{}", d.state.name())
             });
             if let Some(f) = self.exchanges.get(e.exchange) {
-                let Quantiles { count, p50, p99, .. } = f.set_ups.quantiles();
+                let Quantiles { count, p50, p99, .. } = f.setup_times.quantiles();
                 (e.stood, e.p50_ms, e.p99_ms) = (count, millis(p50), millis(p99));
-                e.turned_away = f.turned_away;
+                e.turned_away = f.unsuccessful_attempts;
                 e.history = f.history().to_vec();
             }
         }
@@ -623,8 +629,8 @@
         let spans = self.service.windows().iter().zip(WINDOWS).map(|(counts, seconds)| views::Span {
             seconds: seconds as u64,
             answered: counts.answered(),
-            in_aim_share: counts.in_aim(),
-            by_fate: FATES.iter().map(|f| (f.name().to_owned(), counts.of(*f))).collect(),
+            in_aim_share: counts.share_within_objective(),
+            by_fate: OUTCOMES.iter().map(|f| (f.name().to_owned(), counts.get(*f))).collect(),
         });
         let q = self.answers.quantiles();
         views::Service {
