--- a/crates/drains/src/lib.rs
+++ b/crates/drains/src/lib.rs
@@ -2,7 +2,7 @@
 //! bringing it back.
 //!
 //! A drain is state, not a flag: it is asked for, sheds new calls, empties, and is restored; it has a reason,
-//! somebody who asked, and a limit in time. [`book::Book`] holds all of them and every order that was given.
+//! somebody who asked, and a limit in time. [`registry::DrainRegistry`] holds all of them and every order that was given.
 //! [`impact`] tells beforehand what a drain would cost, [`policy`] turns down what must not be drained,
 //! [`windows`] starts and ends drains by the clock, [`guard`] ends one under which service falls, [`plan`] drains one
 //! after the other, and [`saved`] is the form that survives the program.
@@ -11,13 +11,13 @@
 //! What becomes of a single call is not decided here: the decision module is told what is out of service.
 #![forbid(unsafe_code)]
 
-pub mod book;
 pub mod drain;
 pub mod folder;
 pub mod guard;
 pub mod impact;
 pub mod plan;
 pub mod policy;
+pub mod registry;
 pub mod saved;
 pub mod target;
 pub mod windows;
--- a/crates/drains/src/target.rs
+++ b/crates/drains/src/target.rs
@@ -99,7 +99,7 @@
     pub good: f64,
 }
 
-/// The site as it stands now; whoever runs a [`crate::book::Book`] shows it to it.
+/// The site as it stands now; whoever runs a [`crate::registry::DrainRegistry`] shows it to it.
 pub trait Site {
     /// What is at a target.
     fn load(&self, target: Target) -> Load;
--- a/crates/drains/tests/model.rs
+++ b/crates/drains/tests/model.rs
@@ -1,13 +1,13 @@
-//! The book of drains against a site that changes at random: list news, calls, orders, time, clocks that jump,
+//! The drain registry against a site that changes at random: list news, calls, orders, time, clocks that jump,
 //! savings that fail, and restarts. The rules are checked after each step.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::{BTreeMap, BTreeSet};
-use walnuthatch_drains::book::*;
 use walnuthatch_drains::drain::{AtLimit, Drain, State, CUT_WAIT};
 use walnuthatch_drains::impact::Traffic;
 use walnuthatch_drains::policy::Policy;
+use walnuthatch_drains::registry::*;
 use walnuthatch_drains::saved::Saved;
 use walnuthatch_drains::target::*;
 use walnuthatch_drains::windows::{When, Window};
@@ -79,7 +79,7 @@
 }
 
 struct Run {
-    book: Book,
+    registry: DrainRegistry,
     world: World,
     steady: i64,
     wall: i64,
@@ -95,7 +95,7 @@
     asked: BTreeMap<Waiter, String>,
 }
 
-fn book() -> Book {
+fn registry() -> DrainRegistry {
     let window = Window {
         name: "night".into(),
         target: Target::Exchange(Exchange(2)),
@@ -104,14 +104,14 @@
         at_end: AtLimit::Restore,
         force: true,
     };
-    Book::new(Policy { most_at_once: 2, ..Policy::default() }, vec![window], Some(OWN), true)
+    DrainRegistry::new(Policy { most_at_once: 2, ..Policy::default() }, vec![window], Some(OWN), true)
 }
 
 impl Run {
     fn new() -> Run {
         let world = World { ready: (1..=3).map(|n| (n, true)).collect(), good: 1.0, ..World::default() };
         Run {
-            book: book(),
+            registry: registry(),
             world,
             steady: 1_000 * SECOND,
             wall: 3_590 * SECOND,
@@ -151,7 +151,7 @@
                     }
                 }
                 let ask = Ask { request, who: "t".into(), command };
-                self.book.order(now, ask, Some(self.waiters), &quiet, &self.world);
+                self.registry.order(now, ask, Some(self.waiters), &quiet, &self.world);
             }
             Do::Health { good } => self.world.good = f64::from(good) / 100.0,
             Do::Round { what, targets } => {
@@ -166,7 +166,7 @@
                 self.waiting.insert(self.waiters);
                 self.asked.insert(self.waiters, String::new());
                 let ask = Ask { request: String::new(), who: "t".into(), command };
-                self.book.order(now, ask, Some(self.waiters), &quiet, &self.world);
+                self.registry.order(now, ask, Some(self.waiters), &quiet, &self.world);
             }
             // The ledger's rule: nothing new once the grace is over.
             Do::Call { target: n } => {
@@ -184,11 +184,11 @@
             Do::Pass { ms } => {
                 let end = self.steady + i64::from(ms) * 1000;
                 while self.steady < end {
-                    let next = self.book.next_look(self.now()).min(end);
+                    let next = self.registry.next_look(self.now()).min(end);
                     assert!(next > self.steady, "it asks to be looked at in the past");
                     self.wall += next - self.steady;
                     self.steady = next;
-                    self.book.look(self.now(), &quiet, &self.world);
+                    self.registry.look(self.now(), &quiet, &self.world);
                     self.take();
                 }
             }
@@ -199,12 +199,12 @@
                     if ok {
                         self.disk = Some(saved);
                     }
-                    self.book.saved(now, n, if ok { Ok(()) } else { Err("no room".into()) });
+                    self.registry.saved(now, n, if ok { Ok(()) } else { Err("no room".into()) });
                 }
             }
             Do::Restart => {
                 // What was not on the disk is lost, and so is whoever waited.
-                self.book = book();
+                self.registry = registry();
                 self.saving.clear();
                 self.waiting.clear();
                 self.out.clear();
@@ -214,10 +214,10 @@
                 self.ids.retain(|id, _| kept(id));
                 if let Some(saved) = self.disk.clone() {
                     let before: BTreeSet<Target> = saved.drains.iter().map(|d| d.target).collect();
-                    self.book.resume(now, saved);
-                    let after = self.book.drains().iter().map(|d| d.target).collect();
+                    self.registry.resume(now, saved);
+                    let after = self.registry.drains().iter().map(|d| d.target).collect();
                     assert_eq!(before, after, "what was saved is in force at once");
-                    assert!(self.book.drains().iter().all(|d| d.state.in_force()));
+                    assert!(self.registry.drains().iter().all(|d| d.state.in_force()));
                 }
             }
         }
@@ -226,7 +226,7 @@
     }
 
     fn take(&mut self) {
-        for output in self.book.take_outputs() {
+        for output in self.registry.take_outputs() {
             match output {
                 Output::Save(n, saved) => self.saving.push((n, *saved)),
                 Output::Answer(waiter, answer) => {
@@ -257,12 +257,12 @@
 
     fn check(&self) {
         let in_force: BTreeSet<Target> =
-            self.book.drains().iter().filter(|d| d.state.in_force()).map(|d| d.target).collect();
+            self.registry.drains().iter().filter(|d| d.state.in_force()).map(|d| d.target).collect();
         let out: BTreeSet<Target> = self.out.keys().copied().collect();
         assert_eq!(in_force, out, "what is in force is what the outside was told");
-        let all: Vec<Target> = self.book.drains().iter().map(|d| d.target).collect();
+        let all: Vec<Target> = self.registry.drains().iter().map(|d| d.target).collect();
         assert_eq!(all.iter().collect::<BTreeSet<_>>().len(), all.len(), "one drain for a target");
-        for d in self.book.drains() {
+        for d in self.registry.drains() {
             assert_ne!(d.target, Target::Exchange(OWN));
             if let Some(limit) = d.limit.filter(|_| d.state.in_force()) {
                 // A limit that has passed was acted on at the next look.
@@ -276,15 +276,18 @@
             }
             assert!((0.0..=1.0).contains(&d.progress()), "{d:?}");
         }
-        if let Some(p) = self.book.plan() {
+        if let Some(p) = self.registry.plan() {
             // A round never has more than the one target at hand drained by itself, and knows which.
             assert!(p.at <= p.targets.len() && (p.at < p.targets.len()) == p.target().is_some(), "{p:?}");
-            let by_round =
-                self.book.drains().iter().filter(|d| d.reason.starts_with(&format!("round {} ", p.order)));
+            let by_round = self
+                .registry
+                .drains()
+                .iter()
+                .filter(|d| d.reason.starts_with(&format!("round {} ", p.order)));
             let ours: Vec<Target> = by_round.map(|d| d.target).collect();
             assert!(p.rests() || ours.len() <= 1, "{ours:?}");
         }
-        assert!(self.book.audit().count() <= AUDIT && self.book.over().count() <= OVER);
+        assert!(self.registry.audit().count() <= AUDIT && self.registry.over().count() <= OVER);
     }
 
     /// Time passes with no calls left: everything that waits is answered.
@@ -294,7 +297,7 @@
         assert!(self.waiting.is_empty(), "{:?} got no answer", self.waiting);
         // A window may have begun just now, and the controller has a longer grace.
         let young = |d: &Drain| d.window.is_some() || d.target == Target::Controller;
-        assert!(self.book.drains().iter().all(|d| d.state == State::Empty || young(d)));
+        assert!(self.registry.drains().iter().all(|d| d.state == State::Empty || young(d)));
     }
 }
 
@@ -317,7 +320,7 @@
     run.asked.insert(run.waiters, String::new());
     let ask = Ask { request: id.into(), who: "t".into(), command };
     let (now, waiter) = (run.now(), run.waiters);
-    run.book.order(now, ask, Some(waiter), &Traffic::default(), &run.world);
+    run.registry.order(now, ask, Some(waiter), &Traffic::default(), &run.world);
     waiter
 }
 
@@ -328,7 +331,7 @@
 
 fn answers(run: &mut Run) -> Vec<(Waiter, bool, String)> {
     let mut got = Vec::new();
-    for output in run.book.take_outputs() {
+    for output in run.registry.take_outputs() {
         match output {
             Output::Answer(w, a) => got.push((w, a.done, a.text)),
             Output::Save(n, s) => run.saving.push((n, *s)),
@@ -344,17 +347,17 @@
     order(&mut run, "a", drain_1());
     let again = order(&mut run, "a", drain_1());
     let _ = answers(&mut run);
-    assert_eq!(run.book.drains().len(), 1);
+    assert_eq!(run.registry.drains().len(), 1);
     let (n, saved) = run.saving.remove(0);
-    run.book.saved(run.now(), n, Ok(()));
+    run.registry.saved(run.now(), n, Ok(()));
     let got = answers(&mut run);
     assert!(got.len() == 1 && got[0].0 == again && got[0].1, "the newest connection is answered: {got:?}");
     // The program dies after the saving and before its answer is read.
-    run.book = book();
-    run.book.resume(run.now(), saved);
+    run.registry = registry();
+    run.registry.resume(run.now(), saved);
     let third = order(&mut run, "a", drain_1());
     let got = answers(&mut run);
-    assert!(got[0].0 == third && got[0].1 && run.book.drains().len() == 1, "{got:?}");
+    assert!(got[0].0 == third && got[0].1 && run.registry.drains().len() == 1, "{got:?}");
     order(&mut run, "a", Command::Undrain { target: Target::Exchange(Exchange(1)) });
     assert!(answers(&mut run)[0].2.contains("used for another command"));
 }
@@ -367,10 +370,10 @@
     let got = answers(&mut run);
     assert!(got[0].0 == first && !got[0].1 && got[0].2.contains("came after this one"), "{got:?}");
     let n = run.saving.last().unwrap().0;
-    run.book.saved(run.now(), n, Ok(()));
+    run.registry.saved(run.now(), n, Ok(()));
     let got = answers(&mut run);
     assert!(got.len() == 1 && got[0].0 == second && got[0].1 && got[0].2.contains("order 1"), "{got:?}");
-    assert!(run.book.drains().is_empty() && run.book.withdrawn().exchanges.is_empty());
+    assert!(run.registry.drains().is_empty() && run.registry.withdrawn().exchanges.is_empty());
 }
 
 #[test]
@@ -383,18 +386,18 @@
         match hangs {
             true => {
                 run.steady += SAVE_WAIT;
-                run.book.look(run.now(), &Traffic::default(), &run.world);
+                run.registry.look(run.now(), &Traffic::default(), &run.world);
             }
-            false => run.book.saved(run.now(), n, Err("disk full".into())),
+            false => run.registry.saved(run.now(), n, Err("disk full".into())),
         }
         let got = answers(&mut run);
         assert!(
             got.len() == 1 && got[0].0 == waiter && got[0].1 && got[0].2.contains("not saved"),
             "{got:?}"
         );
-        assert!(run.book.unsaved() && run.book.withdrawn().exchanges.contains(&Exchange(1)));
-        run.book.saved(run.now(), n + 1, Ok(()));
-        assert!(!run.book.unsaved() && answers(&mut run).is_empty());
+        assert!(run.registry.unsaved() && run.registry.withdrawn().exchanges.contains(&Exchange(1)));
+        run.registry.saved(run.now(), n + 1, Ok(()));
+        assert!(!run.registry.unsaved() && answers(&mut run).is_empty());
     }
 }
 
@@ -402,24 +405,24 @@
 fn a_window_begins_once_and_never_outlasts_its_length_though_the_clock_jumps() {
     let mut run = Run::new();
     run.step(Do::Pass { ms: 11_000 });
-    assert_eq!(run.book.drains().len(), 1, "it is 01:00:01");
+    assert_eq!(run.registry.drains().len(), 1, "it is 01:00:01");
     // Back before the start: it goes on, and ends by the program's clock.
     run.wall -= 7200 * SECOND;
     for _ in 0..1799 {
         run.step(Do::Pass { ms: 1000 });
     }
-    assert!(run.book.drains().is_empty());
+    assert!(run.registry.drains().is_empty());
     // The same occurrence comes again by the wall's clock, and is over.
     run.wall = 3_601 * SECOND;
     run.step(Do::Pass { ms: 3000 });
-    assert!(run.book.drains().is_empty());
+    assert!(run.registry.drains().is_empty());
     // The next one ends early as the clock goes on by an hour.
     run.wall += 24 * 3600 * SECOND;
     run.step(Do::Pass { ms: 3000 });
-    assert_eq!(run.book.drains().len(), 1);
+    assert_eq!(run.registry.drains().len(), 1);
     run.wall += 3600 * SECOND;
     run.step(Do::Pass { ms: 3000 });
-    assert!(run.book.drains().is_empty());
+    assert!(run.registry.drains().is_empty());
 }
 
 #[test]
@@ -432,13 +435,13 @@
         order(&mut run, "a", drain_1());
         run.take();
         let n = run.saving[0].0;
-        run.book.saved(run.now(), n, Ok(()));
+        run.registry.saved(run.now(), n, Ok(()));
         run.step(Do::Pass { ms: 2000 });
         run.world.good = 0.5;
         for _ in 0..4 {
             run.step(Do::Pass { ms: 2000 });
         }
-        assert_eq!(run.book.drains().is_empty(), !empty);
+        assert_eq!(run.registry.drains().is_empty(), !empty);
     }
 }
 
@@ -450,22 +453,22 @@
     order(&mut run, "a", Command::Round { targets: targets.clone(), reason: String::new(), pause: None });
     run.step(Do::Pass { ms: 3000 });
     run.step(Do::Pass { ms: 3000 });
-    let stage = |run: &Run| run.book.plan().unwrap().stage.name();
+    let stage = |run: &Run| run.registry.plan().unwrap().stage.name();
     assert_eq!(stage(&run), "working");
     let saved = run.saving.last().unwrap().1.clone();
-    run.book = book();
+    run.registry = registry();
     run.out.clear();
-    run.book.resume(run.now(), saved);
+    run.registry.resume(run.now(), saved);
     run.take();
-    assert_eq!((stage(&run), run.book.drains().len()), ("working", 1));
+    assert_eq!((stage(&run), run.registry.drains().len()), ("working", 1));
     order(&mut run, "b", Command::Next);
     run.step(Do::Pass { ms: 3000 });
-    assert_eq!((stage(&run), run.book.drains().len()), ("settling", 0));
+    assert_eq!((stage(&run), run.registry.drains().len()), ("settling", 0));
     for _ in 0..9 {
         run.step(Do::Pass { ms: 3000 });
     }
-    assert_eq!((run.book.plan().unwrap().at, run.book.drains()[0].target), (1, targets[1]));
+    assert_eq!((run.registry.plan().unwrap().at, run.registry.drains()[0].target), (1, targets[1]));
     order(&mut run, "c", Command::Halt);
     run.step(Do::Pass { ms: 3000 });
-    assert_eq!((stage(&run), run.book.drains().len()), ("halted", 1), "what is drained stays so");
+    assert_eq!((stage(&run), run.registry.drains().len()), ("halted", 1), "what is drained stays so");
 }
--- a/src/program/alarms.rs
+++ b/src/program/alarms.rs
@@ -3,9 +3,9 @@
 use super::appliance_file::AlarmMarks;
 use super::views::Scene;
 use crate::routing::interface::Micros;
-use walnuthatch_drains::book::Book;
 use walnuthatch_drains::drain::State;
 use walnuthatch_drains::plan::Stage;
+use walnuthatch_drains::registry::DrainRegistry;
 use walnuthatch_figures::alarms::{Key, Rule, Severity};
 use walnuthatch_figures::service::Service;
 
@@ -28,7 +28,13 @@
 }
 
 /// All values as they are now.
-pub fn looks(marks: &Marks, scene: &Scene<'_>, service: &Service, book: &Book, wall: Micros) -> Vec<Look> {
+pub fn looks(
+    marks: &Marks,
+    scene: &Scene<'_>,
+    service: &Service,
+    book: &DrainRegistry,
+    wall: Micros,
+) -> Vec<Look> {
     let mut out = Vec::new();
     let rule = |raise: f64, clear: f64, severity| Rule {
         raise,
--- a/src/program/appliance.rs
+++ b/src/program/appliance.rs
@@ -18,10 +18,10 @@
 use walnuthatch_control::frames::{self, Ask, Body, Topic};
 use walnuthatch_control::sessions::{self, Asked, Client, Sessions};
 use walnuthatch_control::views::{self, Event};
-use walnuthatch_drains::book::{self, Book, Command, News, Waiter};
 use walnuthatch_drains::drain::{AtLimit, Drain, State};
 use walnuthatch_drains::impact::Traffic;
 use walnuthatch_drains::plan::{Plan, Stage};
+use walnuthatch_drains::registry::{self, Command, DrainRegistry, News, Waiter};
 use walnuthatch_drains::saved::Saved;
 use walnuthatch_drains::target::{Exchange, Health, Now, Site, Target};
 use walnuthatch_drains::SECOND;
@@ -55,7 +55,7 @@
 
 /// The appliance's state.
 pub struct Appliance {
-    book: Book,
+    book: DrainRegistry,
     traffic: Traffic,
     service: Service,
     answers: Delays,
@@ -111,7 +111,7 @@
     ) -> Self {
         let policy = walnuthatch_drains::policy::Policy { grace: drain_grace, ..config.policy.clone() };
         let keeps = config.folder.is_some();
-        let mut book = Book::new(policy, config.windows.clone(), own.map(|o| Exchange(o.0)), keeps);
+        let mut book = DrainRegistry::new(policy, config.windows.clone(), own.map(|o| Exchange(o.0)), keeps);
         if let Some(saved) = saved {
             book.resume(now, saved);
         }
@@ -361,8 +361,8 @@
     fn follow_book(&mut self, now: Now) {
         for output in self.book.take_outputs() {
             match output {
-                book::Output::Save(n, saved) => self.out.push(Output::Save(n, saved)),
-                book::Output::Answer(waiter, answer) => {
+                registry::Output::Save(n, saved) => self.out.push(Output::Save(n, saved)),
+                registry::Output::Answer(waiter, answer) => {
                     let Some((client, id)) = self.waiters.remove(&waiter) else { continue };
                     let what = match answer.done {
                         true => Ok(Body::Done { order: answer.order.unwrap_or(0), text: answer.text }),
@@ -370,16 +370,16 @@
                     };
                     self.sessions.reply(client, id, what);
                 }
-                book::Output::Apply(w) => self.out.push(Output::Withdraw(Withdrawn {
+                registry::Output::Apply(w) => self.out.push(Output::Withdraw(Withdrawn {
                     exchanges: exchanges(&w.exchanges),
                     groups: exchanges(&w.groups),
                     all: w.all,
                 })),
-                book::Output::Cut(target) => {
+                registry::Output::Cut(target) => {
                     self.event(now, "drain", format!("{target}: the calls that are left are cut"));
                     self.out.push(Output::Cut(target));
                 }
-                book::Output::Tell(news) => {
+                registry::Output::Tell(news) => {
                     let (kind, text) = told(&news);
                     self.event(now, kind, text);
                 }
@@ -515,7 +515,7 @@
         self.next_waiter += 1;
         let waiter = self.next_waiter;
         self.waiters.insert(waiter, (client, id.clone()));
-        let ask = book::Ask { request: id, who, command };
+        let ask = registry::Ask { request: id, who, command };
         let links = std::mem::take(&mut self.links);
         let site = scene.loads().with(&links, self.health());
         self.book.order(now, ask, Some(waiter), &self.traffic, &site);
