--- a/crates/drains/tests/model.rs
+++ b/crates/drains/tests/model.rs
@@ -150,8 +150,8 @@
                         first.0 = command.to_string();
                     }
                 }
-                let ask = Ask { request, who: "t".into(), command };
-                self.registry.order(now, ask, Some(self.waiters), &quiet, &self.world);
+                let request = OrderRequest { request_id: request, requested_by: "t".into(), command };
+                self.registry.order(now, request, Some(self.waiters), &quiet, &self.world);
             }
             Do::Health { good } => self.world.good = f64::from(good) / 100.0,
             Do::Round { what, targets } => {
@@ -165,8 +165,8 @@
                 self.waiters += 1;
                 self.waiting.insert(self.waiters);
                 self.asked.insert(self.waiters, String::new());
-                let ask = Ask { request: String::new(), who: "t".into(), command };
-                self.registry.order(now, ask, Some(self.waiters), &quiet, &self.world);
+                let request = OrderRequest { request_id: String::new(), requested_by: "t".into(), command };
+                self.registry.order(now, request, Some(self.waiters), &quiet, &self.world);
             }
             // The ledger's rule: nothing new once the grace is over.
             Do::Call { target: n } => {
@@ -318,9 +318,9 @@
     run.waiters += 1;
     run.waiting.insert(run.waiters);
     run.asked.insert(run.waiters, String::new());
-    let ask = Ask { request: id.into(), who: "t".into(), command };
+    let request = OrderRequest { request_id: id.into(), requested_by: "t".into(), command };
     let (now, waiter) = (run.now(), run.waiters);
-    run.registry.order(now, ask, Some(waiter), &Traffic::default(), &run.world);
+    run.registry.order(now, request, Some(waiter), &Traffic::default(), &run.world);
     waiter
 }
 
--- a/src/program/appliance.rs
+++ b/src/program/appliance.rs
@@ -515,7 +515,7 @@
         self.next_waiter += 1;
         let waiter = self.next_waiter;
         self.waiters.insert(waiter, (client, id.clone()));
-        let ask = registry::Ask { request: id, who, command };
+        let ask = registry::OrderRequest { request_id: id, requested_by: who, command };
         let links = std::mem::take(&mut self.links);
         let site = scene.loads().with(&links, self.health());
         self.book.order(now, ask, Some(waiter), &self.traffic, &site);
