--- a/crates/drains/tests/model.rs
+++ b/crates/drains/tests/model.rs
@@ -88,11 +88,11 @@
     disk: Option<Saved>,
     /// Since when each target is out of service, as the outside was told.
     out: BTreeMap<Target, i64>,
-    waiting: BTreeSet<Waiter>,
-    waiters: Waiter,
+    waiting: BTreeSet<WaiterId>,
+    waiters: WaiterId,
     /// What each request id was first used for, and the orders that it became.
     ids: BTreeMap<String, (String, BTreeSet<u64>)>,
-    asked: BTreeMap<Waiter, String>,
+    asked: BTreeMap<WaiterId, String>,
 }
 
 fn registry() -> DrainRegistry {
@@ -314,7 +314,7 @@
     }
 }
 
-fn order(run: &mut Run, id: &str, command: Command) -> Waiter {
+fn order(run: &mut Run, id: &str, command: Command) -> WaiterId {
     run.waiters += 1;
     run.waiting.insert(run.waiters);
     run.asked.insert(run.waiters, String::new());
@@ -329,7 +329,7 @@
     Command::Drain { target, reason: String::new(), limit: None, at_limit: AtLimit::Keep, force: false }
 }
 
-fn answers(run: &mut Run) -> Vec<(Waiter, bool, String)> {
+fn answers(run: &mut Run) -> Vec<(WaiterId, bool, String)> {
     let mut got = Vec::new();
     for output in run.registry.take_outputs() {
         match output {
--- a/src/program/appliance.rs
+++ b/src/program/appliance.rs
@@ -21,7 +21,7 @@
 use walnuthatch_drains::drain::{AtLimit, Drain, State};
 use walnuthatch_drains::impact::Traffic;
 use walnuthatch_drains::plan::{Plan, Stage};
-use walnuthatch_drains::registry::{self, Command, DrainRegistry, News, Waiter};
+use walnuthatch_drains::registry::{self, Command, DrainRegistry, News, WaiterId};
 use walnuthatch_drains::saved::Saved;
 use walnuthatch_drains::target::{Exchange, Health, Now, Site, Target};
 use walnuthatch_drains::SECOND;
@@ -66,8 +66,8 @@
     sessions: Sessions,
     /// One message at a time may be on its way to each program.
     queues: HashMap<Client, Sender<Vec<u8>>>,
-    waiters: BTreeMap<Waiter, (Client, String)>,
-    next_waiter: Waiter,
+    waiters: BTreeMap<WaiterId, (Client, String)>,
+    next_waiter: WaiterId,
     events: VecDeque<Event>,
     event_number: u64,
     log: Option<Rc<Log>>,
