--- a/crates/drains/tests/model.rs
+++ b/crates/drains/tests/model.rs
@@ -250,7 +250,7 @@
                     }
                 }
                 Output::Cut(t) => drop(self.world.calls.insert(t, 0)),
-                Output::Tell(_) => {}
+                Output::Event(_) => {}
             }
         }
     }
--- a/src/program/appliance.rs
+++ b/src/program/appliance.rs
@@ -21,7 +21,7 @@
 use walnuthatch_drains::drain::{AtLimit, Drain, State};
 use walnuthatch_drains::impact::Traffic;
 use walnuthatch_drains::plan::{Plan, Stage};
-use walnuthatch_drains::registry::{self, Command, DrainRegistry, News, WaiterId};
+use walnuthatch_drains::registry::{self, Command, DrainEvent, DrainRegistry, WaiterId};
 use walnuthatch_drains::saved::Saved;
 use walnuthatch_drains::target::{Exchange, Health, Now, Site, Target};
 use walnuthatch_drains::SECOND;
@@ -379,7 +379,7 @@
                     self.event(now, "drain", format!("{target}: the calls that are left are cut"));
                     self.out.push(Output::Cut(target));
                 }
-                registry::Output::Tell(news) => {
+                registry::Output::Event(news) => {
                     let (kind, text) = told(&news);
                     self.event(now, kind, text);
                 }
@@ -731,18 +731,18 @@
 }
 
 /// Of which kind a piece of news is, and its words.
-fn told(news: &News) -> (&'static str, String) {
+fn told(news: &DrainEvent) -> (&'static str, String) {
     match news {
-        News::Moved { order, target, state, load, who } => (
+        DrainEvent::StateChanged { order, target, state, load, requested_by } => (
             "drain",
             format!(
-                "{target}: {} ({} stand, {} out; order {order} of {who})",
+                "{target}: {} ({} stand, {} out; order {order} of {requested_by})",
                 state.name(),
                 load.standing,
                 load.out
             ),
         ),
-        News::Guarded { target, before, now } => (
+        DrainEvent::GuardTripped { target, before, now } => (
             "drain",
             format!(
                 "{target}: put back by its guard: {:.0}% of calls are well served, where it was {:.0}%",
@@ -750,13 +750,15 @@
                 before * 100.0
             ),
         ),
-        News::Round { target, stage } => {
+        DrainEvent::RoundAdvanced { target, stage } => {
             let at = target.map_or(String::new(), |t| format!(" at {t}"));
             let why = if let Stage::Halted(why) = stage { format!(": {why}") } else { String::new() };
             ("round", format!("{}{at}{why}", stage.name()))
         }
-        News::WindowDenied { window, why } => ("window", format!("{window} could not begin: {why}")),
-        News::Unsaved(why) => ("state", format!("not saved: {why}")),
-        News::SavedAgain => ("state", "saved again".to_owned()),
+        DrainEvent::WindowDenied { window, reason } => {
+            ("window", format!("{window} could not begin: {reason}"))
+        }
+        DrainEvent::SaveFailed(why) => ("state", format!("not saved: {why}")),
+        DrainEvent::SaveRecovered => ("state", "saved again".to_owned()),
     }
 }
