--- a/crates/drains/tests/model.rs
+++ b/crates/drains/tests/model.rs
@@ -239,10 +239,10 @@
                         assert_eq!(id.1.len(), 1, "{request} acted again");
                     }
                 }
-                Output::Apply(w) => {
+                Output::SetOutOfService(w) => {
                     let exchanges = w.exchanges.iter().map(|&e| Target::Exchange(e));
                     let groups = w.groups.iter().map(|&e| Target::Group(e));
-                    let own = w.tests.then_some(Target::Controller);
+                    let own = w.fail_health_checks.then_some(Target::Controller);
                     let now: BTreeSet<Target> = exchanges.chain(groups).chain(own).collect();
                     self.out.retain(|t, _| now.contains(t));
                     for t in now {
@@ -373,7 +373,7 @@
     run.registry.saved(run.now(), n, Ok(()));
     let got = answers(&mut run);
     assert!(got.len() == 1 && got[0].0 == second && got[0].1 && got[0].2.contains("order 1"), "{got:?}");
-    assert!(run.registry.drains().is_empty() && run.registry.withdrawn().exchanges.is_empty());
+    assert!(run.registry.drains().is_empty() && run.registry.out_of_service().exchanges.is_empty());
 }
 
 #[test]
@@ -395,7 +395,7 @@
             got.len() == 1 && got[0].0 == waiter && got[0].1 && got[0].2.contains("not saved"),
             "{got:?}"
         );
-        assert!(run.registry.unsaved() && run.registry.withdrawn().exchanges.contains(&Exchange(1)));
+        assert!(run.registry.unsaved() && run.registry.out_of_service().exchanges.contains(&Exchange(1)));
         run.registry.saved(run.now(), n + 1, Ok(()));
         assert!(!run.registry.unsaved() && answers(&mut run).is_empty());
     }
--- a/src/program/appliance.rs
+++ b/src/program/appliance.rs
@@ -161,7 +161,7 @@
 
     /// Whether this controller's tests fail by order.
     pub fn fails_tests(&self) -> bool {
-        self.book.withdrawn().tests
+        self.book.out_of_service().fail_health_checks
     }
 
     /// Counters of its own.
@@ -228,9 +228,9 @@
 
     /// Why a call was refused, as far as its last attempt, or the lack of one, tells.
     fn refusal(&self, destination: ExchangeNo, last: Option<Last>) -> Fate {
-        let w = self.book.withdrawn();
+        let w = self.book.out_of_service();
         match last.and_then(|l| l.how) {
-            _ if w.all || w.exchanges.contains(&Exchange(destination.0)) => Fate::Drained,
+            _ if w.refuse_new_calls || w.exchanges.contains(&Exchange(destination.0)) => Fate::Drained,
             Some((_, Cause::NoCircuit)) => Fate::NoCircuit,
             Some((_, Cause::ProcessorFull(_) | Cause::FarProcessorFull)) => Fate::ProcessorFull,
             Some((_, Cause::TurnedBack)) => Fate::TurnedBack,
@@ -370,10 +370,10 @@
                     };
                     self.sessions.reply(client, id, what);
                 }
-                registry::Output::Apply(w) => self.out.push(Output::Withdraw(Withdrawn {
+                registry::Output::SetOutOfService(w) => self.out.push(Output::Withdraw(Withdrawn {
                     exchanges: exchanges(&w.exchanges),
                     groups: exchanges(&w.groups),
-                    all: w.all,
+                    all: w.refuse_new_calls,
                 })),
                 registry::Output::Cut(target) => {
                     self.event(now, "drain", format!("{target}: the calls that are left are cut"));
