--- a/crates/drains/src/drain.rs
+++ b/crates/drains/src/drain.rs
@@ -189,7 +189,14 @@
     }
 
     /// Looks at what is at the target. `grace`: how long new calls may go there after it came into force.
-    pub fn look(&mut self, now: Micros, load: Load, health: Health, grace: Micros, steps: &mut Vec<Step>) {
+    pub fn evaluate(
+        &mut self,
+        now: Micros,
+        load: Load,
+        health: Health,
+        grace: Micros,
+        steps: &mut Vec<Step>,
+    ) {
         if !self.state.in_force() {
             return;
         }
@@ -261,7 +268,7 @@
     fn run(d: &mut Drain, looks: &[(Micros, Load)]) -> Vec<Step> {
         let mut steps = Vec::new();
         d.begin(0, &mut steps);
-        looks.iter().for_each(|&(now, load)| d.look(now, load, Health::default(), GRACE, &mut steps));
+        looks.iter().for_each(|&(now, load)| d.evaluate(now, load, Health::default(), GRACE, &mut steps));
         steps
     }
 
@@ -291,7 +298,7 @@
         let mut d = drain(AtLimit::Cut, Some(5 * SECOND));
         run(&mut d, &busy);
         let mut steps = Vec::new();
-        d.look(5 * SECOND + CUT_WAIT, load(0, 1), Health::default(), GRACE, &mut steps);
+        d.evaluate(5 * SECOND + CUT_WAIT, load(0, 1), Health::default(), GRACE, &mut steps);
         assert_eq!((steps.as_slice(), d.state.in_force()), (&[Step::To(State::Failed)][..], true));
     }
 }
--- a/crates/drains/src/plan.rs
+++ b/crates/drains/src/plan.rs
@@ -110,7 +110,7 @@
 
     /// Looks whether it can go on. `drain`: the state of the drain at hand; `None` if there is none any more.
     /// Whatever it asks for must be told back by [`Plan::drained`] or [`Plan::go`].
-    pub fn look(&mut self, now: Micros, drain: Option<State>, health: Health) -> Option<Act> {
+    pub fn evaluate(&mut self, now: Micros, drain: Option<State>, health: Health) -> Option<Act> {
         let target = self.target()?;
         match self.stage {
             Stage::Next if !self.well(health) => {
@@ -216,23 +216,23 @@
         let mut now = 0;
         for n in 1..=2 {
             let target = Target::Exchange(Exchange(n));
-            assert_eq!(p.look(now, None, WELL), Some(Act::Drain(target)));
+            assert_eq!(p.evaluate(now, None, WELL), Some(Act::Drain(target)));
             p.drained(now, Ok(10));
-            assert_eq!(p.look(now, Some(State::Emptying), WELL), None);
-            p.look(now, Some(State::Empty), WELL);
+            assert_eq!(p.evaluate(now, Some(State::Emptying), WELL), None);
+            p.evaluate(now, Some(State::Empty), WELL);
             assert_eq!(p.stage, Stage::Working(10));
-            assert_eq!(p.look(now + 5 * SECOND - 1, Some(State::Empty), WELL), None);
+            assert_eq!(p.evaluate(now + 5 * SECOND - 1, Some(State::Empty), WELL), None);
             now += 5 * SECOND;
-            assert_eq!(p.look(now, Some(State::Empty), WELL), Some(Act::Undrain(target)));
-            p.look(now, None, WELL);
+            assert_eq!(p.evaluate(now, Some(State::Empty), WELL), Some(Act::Undrain(target)));
+            p.evaluate(now, None, WELL);
             assert_eq!(p.stage, Stage::Settling);
-            assert_eq!(p.look(now + SETTLE - 1, None, WELL), None);
-            p.look(now + SETTLE, None, ILL);
+            assert_eq!(p.evaluate(now + SETTLE - 1, None, WELL), None);
+            p.evaluate(now + SETTLE, None, ILL);
             assert_eq!(p.stage, Stage::Settling, "not while calls fare badly");
             now += SETTLE + SECOND;
-            p.look(now, None, WELL);
+            p.evaluate(now, None, WELL);
         }
-        assert_eq!((p.stage.clone(), p.look(now, None, WELL)), (Stage::Done, None));
+        assert_eq!((p.stage.clone(), p.evaluate(now, None, WELL)), (Stage::Done, None));
     }
 
     #[test]
@@ -245,21 +245,21 @@
             (Some(State::Restored), WELL),
         ] {
             let mut p = plan(None);
-            p.look(0, None, WELL);
+            p.evaluate(0, None, WELL);
             p.drained(0, Ok(3));
-            p.look(0, drain, health);
+            p.evaluate(0, drain, health);
             assert!(halted(&p), "{drain:?}");
-            assert_eq!(p.look(SETTLE_MOST * 9, None, WELL), None, "it waits for somebody");
+            assert_eq!(p.evaluate(SETTLE_MOST * 9, None, WELL), None, "it waits for somebody");
         }
         let mut p = plan(None);
-        p.look(0, None, ILL);
+        p.evaluate(0, None, ILL);
         assert!(halted(&p));
         assert_eq!(p.next(1, None), None);
-        assert!(p.look(1, None, WELL).is_some());
+        assert!(p.evaluate(1, None, WELL).is_some());
         p.drained(1, Err("too many".into()));
         assert_eq!(p.stage, Stage::Halted("too many".into()));
         p.go(2, Stage::Settling);
-        p.look(2 + SETTLE_MOST, None, ILL);
+        p.evaluate(2 + SETTLE_MOST, None, ILL);
         assert!(halted(&p));
     }
 }
--- a/crates/drains/tests/model.rs
+++ b/crates/drains/tests/model.rs
@@ -184,11 +184,11 @@
             Do::Pass { ms } => {
                 let end = self.steady + i64::from(ms) * 1000;
                 while self.steady < end {
-                    let next = self.registry.next_look(self.now()).min(end);
+                    let next = self.registry.next_evaluation(self.now()).min(end);
                     assert!(next > self.steady, "it asks to be looked at in the past");
                     self.wall += next - self.steady;
                     self.steady = next;
-                    self.registry.look(self.now(), &quiet, &self.world);
+                    self.registry.evaluate(self.now(), &quiet, &self.world);
                     self.take();
                 }
             }
@@ -386,7 +386,7 @@
         match hangs {
             true => {
                 run.steady += SAVE_WAIT;
-                run.registry.look(run.now(), &Traffic::default(), &run.world);
+                run.registry.evaluate(run.now(), &Traffic::default(), &run.world);
             }
             false => run.registry.saved(run.now(), n, Err("disk full".into())),
         }
--- a/src/program/appliance.rs
+++ b/src/program/appliance.rs
@@ -280,7 +280,7 @@
         if whole || !self.quiet() {
             let links = std::mem::take(&mut self.links);
             let site = scene.loads().with(&links, self.health());
-            self.book.look(now, &self.traffic, &site);
+            self.book.evaluate(now, &self.traffic, &site);
             if whole {
                 self.each_second(now, scene, &site);
             }
@@ -350,7 +350,7 @@
 
     fn plan(&mut self, now: Now) {
         let views = self.sessions.next_due().unwrap_or(Micros::MAX);
-        let drains = if self.quiet() { Micros::MAX } else { self.book.next_look(now) };
+        let drains = if self.quiet() { Micros::MAX } else { self.book.next_evaluation(now) };
         let want = views.min(drains).min(self.second + SECOND).max(now.steady + 1);
         if want < self.next || self.next <= now.steady {
             self.next = want;
