--- a/crates/drains/tests/model.rs
+++ b/crates/drains/tests/model.rs
@@ -199,7 +199,7 @@
                     if ok {
                         self.disk = Some(saved);
                     }
-                    self.registry.saved(now, n, if ok { Ok(()) } else { Err("no room".into()) });
+                    self.registry.save_finished(now, n, if ok { Ok(()) } else { Err("no room".into()) });
                 }
             }
             Do::Restart => {
@@ -349,7 +349,7 @@
     let _ = answers(&mut run);
     assert_eq!(run.registry.drains().len(), 1);
     let (n, saved) = run.saving.remove(0);
-    run.registry.saved(run.now(), n, Ok(()));
+    run.registry.save_finished(run.now(), n, Ok(()));
     let got = answers(&mut run);
     assert!(got.len() == 1 && got[0].0 == again && got[0].1, "the newest connection is answered: {got:?}");
     // The program dies after the saving and before its answer is read.
@@ -370,7 +370,7 @@
     let got = answers(&mut run);
     assert!(got[0].0 == first && !got[0].1 && got[0].2.contains("came after this one"), "{got:?}");
     let n = run.saving.last().unwrap().0;
-    run.registry.saved(run.now(), n, Ok(()));
+    run.registry.save_finished(run.now(), n, Ok(()));
     let got = answers(&mut run);
     assert!(got.len() == 1 && got[0].0 == second && got[0].1 && got[0].2.contains("order 1"), "{got:?}");
     assert!(run.registry.drains().is_empty() && run.registry.out_of_service().exchanges.is_empty());
@@ -388,7 +388,7 @@
                 run.steady += SAVE_WAIT;
                 run.registry.evaluate(run.now(), &Traffic::default(), &run.world);
             }
-            false => run.registry.saved(run.now(), n, Err("disk full".into())),
+            false => run.registry.save_finished(run.now(), n, Err("disk full".into())),
         }
         let got = answers(&mut run);
         assert!(
@@ -396,7 +396,7 @@
             "{got:?}"
         );
         assert!(run.registry.unsaved() && run.registry.out_of_service().exchanges.contains(&Exchange(1)));
-        run.registry.saved(run.now(), n + 1, Ok(()));
+        run.registry.save_finished(run.now(), n + 1, Ok(()));
         assert!(!run.registry.unsaved() && answers(&mut run).is_empty());
     }
 }
@@ -435,7 +435,7 @@
         order(&mut run, "a", drain_1());
         run.take();
         let n = run.saving[0].0;
-        run.registry.saved(run.now(), n, Ok(()));
+        run.registry.save_finished(run.now(), n, Ok(()));
         run.step(Do::Pass { ms: 2000 });
         run.world.good = 0.5;
         for _ in 0..4 {
--- a/src/program/appliance.rs
+++ b/src/program/appliance.rs
@@ -262,7 +262,7 @@
                 self.waiters.retain(|_, w| w.0 != client);
             }
             ControlNews::Saved(n, how) => {
-                self.book.saved(now, n, how);
+                self.book.save_finished(now, n, how);
                 self.follow_book(now);
             }
         }
