--- a/crates/drains/tests/model.rs
+++ b/crates/drains/tests/model.rs
@@ -151,7 +151,7 @@
                     }
                 }
                 let request = OrderRequest { request_id: request, requested_by: "t".into(), command };
-                self.registry.order(now, request, Some(self.waiters), &quiet, &self.world);
+                self.registry.submit(now, request, Some(self.waiters), &quiet, &self.world);
             }
             Do::Health { good } => self.world.good = f64::from(good) / 100.0,
             Do::Round { what, targets } => {
@@ -166,7 +166,7 @@
                 self.waiting.insert(self.waiters);
                 self.asked.insert(self.waiters, String::new());
                 let request = OrderRequest { request_id: String::new(), requested_by: "t".into(), command };
-                self.registry.order(now, request, Some(self.waiters), &quiet, &self.world);
+                self.registry.submit(now, request, Some(self.waiters), &quiet, &self.world);
             }
             // The ledger's rule: nothing new once the grace is over.
             Do::Call { target: n } => {
@@ -320,7 +320,7 @@
     run.asked.insert(run.waiters, String::new());
     let request = OrderRequest { request_id: id.into(), requested_by: "t".into(), command };
     let (now, waiter) = (run.now(), run.waiters);
-    run.registry.order(now, request, Some(waiter), &Traffic::default(), &run.world);
+    run.registry.submit(now, request, Some(waiter), &Traffic::default(), &run.world);
     waiter
 }
 
--- a/src/program/appliance.rs
+++ b/src/program/appliance.rs
@@ -518,7 +518,7 @@
         let ask = registry::OrderRequest { request_id: id, requested_by: who, command };
         let links = std::mem::take(&mut self.links);
         let site = scene.loads().with(&links, self.health());
-        self.book.order(now, ask, Some(waiter), &self.traffic, &site);
+        self.book.submit(now, ask, Some(waiter), &self.traffic, &site);
         drop(site);
         self.links = links;
         self.follow_book(now);
