--- a/crates/drains/tests/model.rs
+++ b/crates/drains/tests/model.rs
@@ -287,7 +287,9 @@
             let ours: Vec<Target> = by_round.map(|d| d.target).collect();
             assert!(p.rests() || ours.len() <= 1, "{ours:?}");
         }
-        assert!(self.registry.audit().count() <= AUDIT && self.registry.over().count() <= OVER);
+        assert!(
+            self.registry.audit().count() <= AUDIT && self.registry.finished().count() <= MAX_FINISHED_DRAINS
+        );
     }
 
     /// Time passes with no calls left: everything that waits is answered.
--- a/src/program/appliance.rs
+++ b/src/program/appliance.rs
@@ -546,7 +546,7 @@
             Topic::Service => Body::Service(self.service_view()),
             Topic::Drains => Body::Drains {
                 drains: self.book.drains().iter().map(|d| drain_view(now, d)).collect(),
-                over: self.book.over().map(|d| drain_view(now, d)).collect(),
+                over: self.book.finished().map(|d| drain_view(now, d)).collect(),
                 windows: self.windows(now),
                 round: self.book.plan().map(|p| round_view(now, p)),
             },
