--- a/src/program/alarms.rs
+++ b/src/program/alarms.rs
@@ -90,7 +90,7 @@
     }
     for w in book.windows() {
         let begun = book.drains().iter().any(|d| d.window.as_ref().is_some_and(|x| x.0 == w.name));
-        let denied = w.open_at(wall).is_some() && !begun && book.denied(&w.name);
+        let denied = w.open_at(wall).is_some() && !begun && book.window_denied(&w.name);
         let text = "it is open, and its drain was turned down: see the events".to_owned();
         add("window", w.name.clone(), f64::from(u8::from(denied)), at_once(Severity::Warning), text);
     }
