--- a/crates/drains/src/plan.rs
+++ b/crates/drains/src/plan.rs
@@ -62,26 +62,26 @@
     /// What is drained, one after the other.
     pub targets: Vec<Target>,
     /// Which of them is at hand.
-    pub at: usize,
+    pub target_index: usize,
     /// Where it is.
     pub stage: Stage,
     /// Since when (program's clock).
     pub since: Micros,
     /// Who asked.
-    pub who: String,
+    pub requested_by: String,
     /// Why.
     pub reason: String,
     /// An empty target is put back by itself after so long; `None`: when somebody says so.
     pub pause: Option<Micros>,
     /// Share of calls that were well served before; a round never goes on with less, but for the margin.
-    pub before: f64,
+    pub baseline: f64,
     /// That margin.
     pub margin: f64,
 }
 
 /// What a round asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Act {
+pub enum Action {
     /// Drain this.
     Drain(Target),
     /// Put this back.
@@ -91,29 +91,29 @@
 impl Plan {
     /// The target at hand, while there is one.
     pub fn target(&self) -> Option<Target> {
-        (self.stage != Stage::Done).then(|| self.targets.get(self.at).copied()).flatten()
+        (self.stage != Stage::Done).then(|| self.targets.get(self.target_index).copied()).flatten()
     }
 
     /// Whether it is over or waits for somebody.
-    pub fn rests(&self) -> bool {
+    pub fn is_stopped(&self) -> bool {
         matches!(self.stage, Stage::Halted(_) | Stage::Done)
     }
 
     /// Goes to another stage.
-    pub fn go(&mut self, now: Micros, stage: Stage) {
+    pub fn enter_stage(&mut self, now: Micros, stage: Stage) {
         (self.stage, self.since) = (stage, now);
     }
 
-    fn well(&self, health: Health) -> bool {
-        health.answered < FEW || health.good >= self.before - self.margin
+    fn is_healthy(&self, health: Health) -> bool {
+        health.answered < FEW || health.good >= self.baseline - self.margin
     }
 
     /// Looks whether it can go on. `drain`: the state of the drain at hand; `None` if there is none any more.
-    /// Whatever it asks for must be told back by [`Plan::drained`] or [`Plan::go`].
-    pub fn evaluate(&mut self, now: Micros, drain: Option<State>, health: Health) -> Option<Act> {
+    /// Whatever it asks for must be told back by [`Plan::drain_requested`] or [`Plan::enter_stage`].
+    pub fn evaluate(&mut self, now: Micros, drain: Option<State>, health: Health) -> Option<Action> {
         let target = self.target()?;
         match self.stage {
-            Stage::Next if !self.well(health) => {
+            Stage::Next if !self.is_healthy(health) => {
                 self.halt(
                     now,
                     format!(
@@ -123,10 +123,10 @@
                 );
                 None
             }
-            Stage::Next => Some(Act::Drain(target)),
+            Stage::Next => Some(Action::Drain(target)),
             Stage::Draining(order) => {
                 match drain {
-                    Some(State::Empty) => self.go(now, Stage::Working(order)),
+                    Some(State::Empty) => self.enter_stage(now, Stage::Working(order)),
                     Some(State::Expired | State::Failed) => self.halt(now, format!("{target} did not empty")),
                     None | Some(State::Restored) => {
                         self.halt(now, format!("the drain of {target} was ended"))
@@ -138,19 +138,19 @@
             Stage::Working(_) => match drain {
                 // Somebody ended the drain by hand: that is as good as to say next.
                 None | Some(State::Restored) => {
-                    self.go(now, Stage::Settling);
+                    self.enter_stage(now, Stage::Settling);
                     None
                 }
-                Some(_) if self.pause.is_some_and(|p| now - self.since >= p) => Some(Act::Undrain(target)),
+                Some(_) if self.pause.is_some_and(|p| now - self.since >= p) => Some(Action::Undrain(target)),
                 Some(_) => None,
             },
             Stage::Settling => {
-                let (quiet, long) = (now - self.since >= SETTLE, now - self.since >= SETTLE_MOST);
-                if quiet && self.well(health) {
-                    self.at += 1;
-                    let last = self.at >= self.targets.len();
-                    self.go(now, if last { Stage::Done } else { Stage::Next });
-                } else if long {
+                let (settled, timed_out) = (now - self.since >= SETTLE, now - self.since >= SETTLE_MOST);
+                if settled && self.is_healthy(health) {
+                    self.target_index += 1;
+                    let last = self.target_index >= self.targets.len();
+                    self.enter_stage(now, if last { Stage::Done } else { Stage::Next });
+                } else if timed_out {
                     self.halt(now, format!("calls did not fare well again after {target} came back"));
                 }
                 None
@@ -160,26 +160,26 @@
     }
 
     /// What became of the drain that was asked for.
-    pub fn drained(&mut self, now: Micros, how: Result<Order, String>) {
+    pub fn drain_requested(&mut self, now: Micros, how: Result<Order, String>) {
         match how {
-            Ok(order) => self.go(now, Stage::Draining(order)),
+            Ok(order) => self.enter_stage(now, Stage::Draining(order)),
             Err(why) => self.halt(now, why),
         }
     }
 
     /// Nothing more is done.
     pub fn halt(&mut self, now: Micros, why: String) {
-        self.go(now, Stage::Halted(why));
+        self.enter_stage(now, Stage::Halted(why));
     }
 
     /// Somebody says to go on: an empty target is put back, a round that was halted tries again.
-    pub fn next(&mut self, now: Micros, drain: Option<State>) -> Option<Act> {
+    pub fn advance(&mut self, now: Micros, drain: Option<State>) -> Option<Action> {
         match (&self.stage, drain) {
-            (Stage::Working(_), _) => self.target().map(Act::Undrain),
+            (Stage::Working(_), _) => self.target().map(Action::Undrain),
             // What is drained still is looked at again, or put back if it is empty and had been worked on.
-            (Stage::Halted(_), Some(state)) if state != State::Restored => self.target().map(Act::Undrain),
+            (Stage::Halted(_), Some(state)) if state != State::Restored => self.target().map(Action::Undrain),
             (Stage::Halted(_), _) => {
-                self.go(now, Stage::Next);
+                self.enter_stage(now, Stage::Next);
                 None
             }
             _ => None,
@@ -199,13 +199,13 @@
         Plan {
             order: 1,
             targets: [1, 2].map(|n| Target::Exchange(Exchange(n))).to_vec(),
-            at: 0,
+            target_index: 0,
             stage: Stage::Next,
             since: 0,
-            who: "t".into(),
+            requested_by: "t".into(),
             reason: String::new(),
             pause,
-            before: 0.99,
+            baseline: 0.99,
             margin: 0.05,
         }
     }
@@ -216,14 +216,14 @@
         let mut now = 0;
         for n in 1..=2 {
             let target = Target::Exchange(Exchange(n));
-            assert_eq!(p.evaluate(now, None, WELL), Some(Act::Drain(target)));
-            p.drained(now, Ok(10));
+            assert_eq!(p.evaluate(now, None, WELL), Some(Action::Drain(target)));
+            p.drain_requested(now, Ok(10));
             assert_eq!(p.evaluate(now, Some(State::Emptying), WELL), None);
             p.evaluate(now, Some(State::Empty), WELL);
             assert_eq!(p.stage, Stage::Working(10));
             assert_eq!(p.evaluate(now + 5 * SECOND - 1, Some(State::Empty), WELL), None);
             now += 5 * SECOND;
-            assert_eq!(p.evaluate(now, Some(State::Empty), WELL), Some(Act::Undrain(target)));
+            assert_eq!(p.evaluate(now, Some(State::Empty), WELL), Some(Action::Undrain(target)));
             p.evaluate(now, None, WELL);
             assert_eq!(p.stage, Stage::Settling);
             assert_eq!(p.evaluate(now + SETTLE - 1, None, WELL), None);
@@ -246,7 +246,7 @@
         ] {
             let mut p = plan(None);
             p.evaluate(0, None, WELL);
-            p.drained(0, Ok(3));
+            p.drain_requested(0, Ok(3));
             p.evaluate(0, drain, health);
             assert!(halted(&p), "{drain:?}");
             assert_eq!(p.evaluate(SETTLE_MOST * 9, None, WELL), None, "it waits for somebody");
@@ -254,11 +254,11 @@
         let mut p = plan(None);
         p.evaluate(0, None, ILL);
         assert!(halted(&p));
-        assert_eq!(p.next(1, None), None);
+        assert_eq!(p.advance(1, None), None);
         assert!(p.evaluate(1, None, WELL).is_some());
-        p.drained(1, Err("too many".into()));
+        p.drain_requested(1, Err("too many".into()));
         assert_eq!(p.stage, Stage::Halted("too many".into()));
-        p.go(2, Stage::Settling);
+        p.enter_stage(2, Stage::Settling);
         p.evaluate(2 + SETTLE_MOST, None, ILL);
         assert!(halted(&p));
     }
--- a/crates/drains/tests/model.rs
+++ b/crates/drains/tests/model.rs
@@ -278,14 +278,18 @@
         }
         if let Some(p) = self.registry.plan() {
             // A round never has more than the one target at hand drained by itself, and knows which.
-            assert!(p.at <= p.targets.len() && (p.at < p.targets.len()) == p.target().is_some(), "{p:?}");
+            assert!(
+                p.target_index <= p.targets.len()
+                    && (p.target_index < p.targets.len()) == p.target().is_some(),
+                "{p:?}"
+            );
             let by_round = self
                 .registry
                 .drains()
                 .iter()
                 .filter(|d| d.reason.starts_with(&format!("round {} ", p.order)));
             let ours: Vec<Target> = by_round.map(|d| d.target).collect();
-            assert!(p.rests() || ours.len() <= 1, "{ours:?}");
+            assert!(p.is_stopped() || ours.len() <= 1, "{ours:?}");
         }
         assert!(
             self.registry.audit().count() <= AUDIT && self.registry.finished().count() <= MAX_FINISHED_DRAINS
@@ -469,7 +473,7 @@
     for _ in 0..9 {
         run.step(Do::Pass { ms: 3000 });
     }
-    assert_eq!((run.registry.plan().unwrap().at, run.registry.drains()[0].target), (1, targets[1]));
+    assert_eq!((run.registry.plan().unwrap().target_index, run.registry.drains()[0].target), (1, targets[1]));
     order(&mut run, "c", Command::Halt);
     run.step(Do::Pass { ms: 3000 });
     assert_eq!((stage(&run), run.registry.drains().len()), ("halted", 1), "what is drained stays so");
--- a/src/program/appliance.rs
+++ b/src/program/appliance.rs
@@ -345,7 +345,7 @@
 
     /// Nothing is drained, and no round is under way.
     fn quiet(&self) -> bool {
-        self.book.drains().is_empty() && self.book.plan().is_none_or(Plan::rests)
+        self.book.drains().is_empty() && self.book.plan().is_none_or(Plan::is_stopped)
     }
 
     fn plan(&mut self, now: Now) {
@@ -721,11 +721,11 @@
     views::Round {
         order: p.order,
         targets: p.targets.iter().map(Target::to_string).collect(),
-        done: p.at,
+        done: p.target_index,
         stage: p.stage.name().to_owned(),
         halted: if let Stage::Halted(why) = &p.stage { why.clone() } else { String::new() },
         for_s: seconds(now.steady - p.since),
-        who: p.who.clone(),
+        who: p.requested_by.clone(),
         reason: p.reason.clone(),
     }
 }
