--- a/crates/drains/src/drain.rs
+++ b/crates/drains/src/drain.rs
@@ -23,7 +23,7 @@
 pub const EMPTY_AFTER: Micros = 600_000;
 /// After a cut the releases have this long to be carried out before the drain counts as failed: a release is passed
 /// on within 1 s, and given up after 8 s (µs).
-pub const CUT_WAIT: Micros = 8 * SECOND;
+pub const CUT_TIMEOUT: Micros = 8 * SECOND;
 
 /// Where a drain is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -95,9 +95,9 @@
     /// Why it was asked for.
     pub reason: String,
     /// Who asked.
-    pub who: String,
+    pub requested_by: String,
     /// When, by the wall's clock.
-    pub asked_wall: Micros,
+    pub requested_wall: Micros,
     /// When it must be over, by the program's clock, whatever is done to the wall's.
     pub limit: Option<Micros>,
     /// What happens then.
@@ -115,33 +115,33 @@
     /// What was there at the last look.
     pub load: Load,
     /// Since when nothing is there (program's clock).
-    pub(crate) idle: Option<Micros>,
+    pub(crate) idle_since: Option<Micros>,
     /// When what was left was cut (program's clock).
-    pub(crate) cut: Option<Micros>,
+    pub(crate) cut_at: Option<Micros>,
 }
 
 /// What a drain asks for when it moves.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Step {
+pub enum Effect {
     /// It went on to this state.
-    To(State),
+    StateChanged(State),
     /// Release the calls that stand at the target.
     Cut,
     /// Service fell from the first share to the second, and the guard ended the drain.
-    Guarded(f64, f64),
+    GuardTripped(f64, f64),
 }
 
 impl Drain {
     /// A drain as it was asked for.
-    pub fn asked(order: Order, target: Target, now: Micros) -> Drain {
+    pub fn new(order: Order, target: Target, now: Micros) -> Drain {
         Drain {
             order,
             target,
             state: State::Asked,
             since: now,
             reason: String::new(),
-            who: String::new(),
-            asked_wall: 0,
+            requested_by: String::new(),
+            requested_wall: 0,
             limit: None,
             at_limit: AtLimit::Keep,
             limit_done: false,
@@ -150,39 +150,42 @@
             guard: None,
             peak: Load::default(),
             load: Load::default(),
-            idle: None,
-            cut: None,
+            idle_since: None,
+            cut_at: None,
         }
     }
 
-    fn go(&mut self, now: Micros, state: State, steps: &mut Vec<Step>) {
+    fn set_state(&mut self, now: Micros, state: State, effects: &mut Vec<Effect>) {
         if self.state != state {
             (self.state, self.since) = (state, now);
-            steps.push(Step::To(state));
+            effects.push(Effect::StateChanged(state));
         }
     }
 
     /// It has been saved, or can't be: it comes into force.
-    pub fn begin(&mut self, now: Micros, steps: &mut Vec<Step>) {
+    pub fn activate(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         if self.state == State::Asked {
-            self.go(now, State::Shedding, steps);
+            self.set_state(now, State::Shedding, effects);
         }
     }
 
     /// It is ended by order.
-    pub fn restore(&mut self, now: Micros, steps: &mut Vec<Step>) {
-        self.go(now, State::Restored, steps);
+    pub fn restore(&mut self, now: Micros, effects: &mut Vec<Effect>) {
+        self.set_state(now, State::Restored, effects);
     }
 
     /// When it must be looked at again whatever happens, if ever.
-    pub fn next_due(&self, grace: Micros) -> Option<Micros> {
+    pub fn next_deadline(&self, grace: Micros) -> Option<Micros> {
         let limit = self.limit.filter(|_| !self.limit_done);
         let own = match self.state {
             State::Asked | State::Restored | State::Failed => None,
             State::Shedding => Some(self.since + grace),
-            State::Emptying | State::Expired => {
-                self.idle.map(|t| t + EMPTY_AFTER).into_iter().chain(self.cut.map(|t| t + CUT_WAIT)).min()
-            }
+            State::Emptying | State::Expired => self
+                .idle_since
+                .map(|t| t + EMPTY_AFTER)
+                .into_iter()
+                .chain(self.cut_at.map(|t| t + CUT_TIMEOUT))
+                .min(),
             State::Empty => None,
         };
         own.into_iter().chain(limit.filter(|_| self.state.in_force())).min()
@@ -195,7 +198,7 @@
         load: Load,
         health: Health,
         grace: Micros,
-        steps: &mut Vec<Step>,
+        effects: &mut Vec<Effect>,
     ) {
         if !self.state.in_force() {
             return;
@@ -203,34 +206,36 @@
         self.load = load;
         self.peak.out = self.peak.out.max(load.out);
         self.peak.standing = self.peak.standing.max(load.standing);
-        self.idle = if load.is_zero() { self.idle.or(Some(now)) } else { None };
-        let empty = self.idle.is_some_and(|t| now - t >= EMPTY_AFTER);
+        self.idle_since = if load.is_zero() { self.idle_since.or(Some(now)) } else { None };
+        let empty = self.idle_since.is_some_and(|t| now - t >= EMPTY_AFTER);
         if matches!(self.state, State::Shedding | State::Emptying) && !empty {
             let tripped = self.guard.as_mut().and_then(|g| g.trips(now, health).then_some(g.before));
             if let Some(before) = tripped {
-                steps.push(Step::Guarded(before, health.good));
-                return self.go(now, State::Restored, steps);
+                effects.push(Effect::GuardTripped(before, health.good));
+                return self.set_state(now, State::Restored, effects);
             }
         }
         match self.state {
-            State::Shedding if now - self.since >= grace => self.go(now, State::Emptying, steps),
-            State::Emptying | State::Expired | State::Failed if empty => self.go(now, State::Empty, steps),
+            State::Shedding if now - self.since >= grace => self.set_state(now, State::Emptying, effects),
+            State::Emptying | State::Expired | State::Failed if empty => {
+                self.set_state(now, State::Empty, effects)
+            }
             // A late answer, or a call of the program's earlier life that was found again.
-            State::Empty if !load.is_zero() => self.go(now, State::Emptying, steps),
-            State::Emptying if self.cut.is_some_and(|t| now - t >= CUT_WAIT) => {
-                self.go(now, State::Failed, steps);
+            State::Empty if !load.is_zero() => self.set_state(now, State::Emptying, effects),
+            State::Emptying if self.cut_at.is_some_and(|t| now - t >= CUT_TIMEOUT) => {
+                self.set_state(now, State::Failed, effects);
             }
             _ => {}
         }
         if self.limit.is_some_and(|limit| now >= limit) && !self.limit_done {
             self.limit_done = true;
             match self.at_limit {
-                AtLimit::Restore => self.go(now, State::Restored, steps),
-                AtLimit::Keep if self.state != State::Empty => self.go(now, State::Expired, steps),
+                AtLimit::Restore => self.set_state(now, State::Restored, effects),
+                AtLimit::Keep if self.state != State::Empty => self.set_state(now, State::Expired, effects),
                 AtLimit::Cut if self.state != State::Empty => {
-                    self.cut = Some(now);
-                    self.go(now, State::Emptying, steps);
-                    steps.push(Step::Cut);
+                    self.cut_at = Some(now);
+                    self.set_state(now, State::Emptying, effects);
+                    effects.push(Effect::Cut);
                 }
                 AtLimit::Keep | AtLimit::Cut => {}
             }
@@ -261,15 +266,15 @@
     }
 
     fn drain(at_limit: AtLimit, limit: Option<Micros>) -> Drain {
-        Drain { at_limit, limit, ..Drain::asked(1, Target::Exchange(Exchange(3)), 0) }
+        Drain { at_limit, limit, ..Drain::new(1, Target::Exchange(Exchange(3)), 0) }
     }
 
     /// Looks at each of these times and gives the states gone through.
-    fn run(d: &mut Drain, looks: &[(Micros, Load)]) -> Vec<Step> {
-        let mut steps = Vec::new();
-        d.begin(0, &mut steps);
-        looks.iter().for_each(|&(now, load)| d.evaluate(now, load, Health::default(), GRACE, &mut steps));
-        steps
+    fn run(d: &mut Drain, looks: &[(Micros, Load)]) -> Vec<Effect> {
+        let mut effects = Vec::new();
+        d.activate(0, &mut effects);
+        looks.iter().for_each(|&(now, load)| d.evaluate(now, load, Health::default(), GRACE, &mut effects));
+        effects
     }
 
     #[test]
@@ -283,7 +288,8 @@
             (SECOND + EMPTY_AFTER, load(0, 0)),
             (3 * SECOND, load(0, 1)),
         ];
-        let states = [State::Shedding, State::Emptying, State::Empty, State::Emptying].map(Step::To);
+        let states =
+            [State::Shedding, State::Emptying, State::Empty, State::Emptying].map(Effect::StateChanged);
         assert_eq!(run(&mut d, &looks), states);
         assert_eq!(d.peak, load(1, 5));
     }
@@ -292,13 +298,16 @@
     fn a_limit_keeps_restores_or_cuts_once() {
         let busy = [(GRACE, load(0, 2)), (5 * SECOND, load(0, 2)), (6 * SECOND, load(0, 2))];
         let last = |at| run(&mut drain(at, Some(5 * SECOND)), &busy).split_off(2);
-        assert_eq!(last(AtLimit::Keep), [Step::To(State::Expired)]);
-        assert_eq!(last(AtLimit::Restore), [Step::To(State::Restored)]);
-        assert_eq!(last(AtLimit::Cut), [Step::Cut]);
+        assert_eq!(last(AtLimit::Keep), [Effect::StateChanged(State::Expired)]);
+        assert_eq!(last(AtLimit::Restore), [Effect::StateChanged(State::Restored)]);
+        assert_eq!(last(AtLimit::Cut), [Effect::Cut]);
         let mut d = drain(AtLimit::Cut, Some(5 * SECOND));
         run(&mut d, &busy);
-        let mut steps = Vec::new();
-        d.evaluate(5 * SECOND + CUT_WAIT, load(0, 1), Health::default(), GRACE, &mut steps);
-        assert_eq!((steps.as_slice(), d.state.in_force()), (&[Step::To(State::Failed)][..], true));
+        let mut effects = Vec::new();
+        d.evaluate(5 * SECOND + CUT_TIMEOUT, load(0, 1), Health::default(), GRACE, &mut effects);
+        assert_eq!(
+            (effects.as_slice(), d.state.in_force()),
+            (&[Effect::StateChanged(State::Failed)][..], true)
+        );
     }
 }
--- a/crates/drains/src/policy.rs
+++ b/crates/drains/src/policy.rs
@@ -131,7 +131,7 @@
         own: Option<Exchange>,
     ) -> Result<(), Denied> {
         if let Some(d) = drains.iter().find(|d| d.target == target) {
-            return Err(Denied::Already { target, order: d.order, who: d.who.clone() });
+            return Err(Denied::Already { target, order: d.order, who: d.requested_by.clone() });
         }
         let (Target::Exchange(e) | Target::Group(e)) = target else { return Ok(()) };
         if Some(e) == own {
--- a/crates/drains/tests/model.rs
+++ b/crates/drains/tests/model.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::{BTreeMap, BTreeSet};
-use walnuthatch_drains::drain::{AtLimit, Drain, State, CUT_WAIT};
+use walnuthatch_drains::drain::{AtLimit, Drain, State, CUT_TIMEOUT};
 use walnuthatch_drains::impact::Traffic;
 use walnuthatch_drains::policy::Policy;
 use walnuthatch_drains::registry::*;
@@ -271,7 +271,7 @@
             if d.state == State::Failed {
                 assert!(
                     self.steady - d.since >= 0 && d.at_limit == AtLimit::Cut,
-                    "{CUT_WAIT} µs after a cut"
+                    "{CUT_TIMEOUT} µs after a cut"
                 );
             }
             assert!((0.0..=1.0).contains(&d.progress()), "{d:?}");
