--- a/crates/drains/src/drain.rs
+++ b/crates/drains/src/drain.rs
@@ -204,8 +204,8 @@
             return;
         }
         self.load = load;
-        self.peak.out = self.peak.out.max(load.out);
-        self.peak.standing = self.peak.standing.max(load.standing);
+        self.peak.pending_setups = self.peak.pending_setups.max(load.pending_setups);
+        self.peak.established = self.peak.established.max(load.established);
         self.idle_since = if load.is_zero() { self.idle_since.or(Some(now)) } else { None };
         let empty = self.idle_since.is_some_and(|t| now - t >= EMPTY_AFTER);
         if matches!(self.state, State::Shedding | State::Emptying) && !empty {
@@ -244,7 +244,10 @@
 
     /// How much of what was there at most has gone, from 0 to 1.
     pub fn progress(&self) -> f64 {
-        let (peak, left) = (self.peak.out + self.peak.standing, self.load.out + self.load.standing);
+        let (peak, left) = (
+            self.peak.pending_setups + self.peak.established,
+            self.load.pending_setups + self.load.established,
+        );
         match self.state {
             State::Asked => 0.0,
             State::Empty | State::Restored => 1.0,
@@ -261,8 +264,8 @@
 
     const GRACE: Micros = 250_000;
 
-    fn load(out: u32, standing: u32) -> Load {
-        Load { out, standing }
+    fn load(pending_setups: u32, established: u32) -> Load {
+        Load { pending_setups, established }
     }
 
     fn drain(at_limit: AtLimit, limit: Option<Micros>) -> Drain {
--- a/crates/drains/src/impact.rs
+++ b/crates/drains/src/impact.rs
@@ -236,7 +236,7 @@
     struct Triangle;
     impl Site for Triangle {
         fn load(&self, _: Target) -> Load {
-            Load { out: 0, standing: 3 }
+            Load { pending_setups: 0, established: 3 }
         }
         fn neighbours(&self) -> Vec<Neighbour> {
             // No direct group to 3: its calls go over 1 or 2.
--- a/crates/drains/src/target.rs
+++ b/crates/drains/src/target.rs
@@ -67,15 +67,15 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
     /// Set-ups that are out.
-    pub out: u32,
+    pub pending_setups: u32,
     /// Calls that stand.
-    pub standing: u32,
+    pub established: u32,
 }
 
 impl Load {
     /// Nothing is there.
     pub fn is_zero(self) -> bool {
-        self.out == 0 && self.standing == 0
+        self.pending_setups == 0 && self.established == 0
     }
 }
 
--- a/crates/drains/tests/model.rs
+++ b/crates/drains/tests/model.rs
@@ -64,7 +64,7 @@
 
 impl Site for World {
     fn load(&self, target: Target) -> Load {
-        Load { out: 0, standing: self.calls.get(&target).copied().unwrap_or(0) }
+        Load { pending_setups: 0, established: self.calls.get(&target).copied().unwrap_or(0) }
     }
     fn neighbours(&self) -> Vec<Neighbour> {
         let of = |(&n, &ready)| Neighbour { exchange: Exchange(n), ready, group: Some((9.0, 10.0)) };
--- a/src/program/alarms.rs
+++ b/src/program/alarms.rs
@@ -85,7 +85,7 @@
     }
     for d in book.drains() {
         let stuck = matches!(d.state, State::Failed | State::Expired);
-        let text = format!("{}: {} calls still stand there", d.state.name(), d.load.standing);
+        let text = format!("{}: {} calls still stand there", d.state.name(), d.load.established);
         add("drain", d.target.to_string(), f64::from(u8::from(stuck)), at_once(Severity::Warning), text);
     }
     for w in book.windows() {
--- a/src/program/appliance.rs
+++ b/src/program/appliance.rs
@@ -669,8 +669,8 @@
             lost_per_minute: c.lost_per_minute,
             direct_per_minute: c.direct_per_minute,
             tandem_per_minute: c.tandem_per_minute,
-            out: c.load.out,
-            standing: c.load.standing,
+            out: c.load.pending_setups,
+            standing: c.load.established,
             displaced: c
                 .displaced
                 .into_iter()
@@ -711,8 +711,8 @@
         limit_left_s: limit.map(|l| seconds(l - now.steady)),
         at_limit: format!("{:?}", d.at_limit).to_lowercase(),
         forced: d.forced,
-        out: d.load.out,
-        standing: d.load.standing,
+        out: d.load.pending_setups,
+        standing: d.load.established,
         progress: d.progress(),
     }
 }
@@ -738,8 +738,8 @@
             format!(
                 "{target}: {} ({} stand, {} out; order {order} of {requested_by})",
                 state.name(),
-                load.standing,
-                load.out
+                load.established,
+                load.pending_setups
             ),
         ),
         DrainEvent::GuardTripped { target, before, now } => (
--- a/src/program/views.rs
+++ b/src/program/views.rs
@@ -96,7 +96,8 @@
         let figures: BTreeMap<OfficeId, _> = self.ledger.withdrawals().figures().collect();
         let of = |office: &OfficeId, exchange: ExchangeNo, name: &str, address: String, state, connected| {
             let known = figures.get(office);
-            let Load { out, standing } = loads.load(Target::Group(target::Exchange(exchange.0)));
+            let Load { pending_setups: out, established: standing } =
+                loads.load(Target::Group(target::Exchange(exchange.0)));
             Exchange {
                 exchange: exchange.0,
                 member: name.to_owned(),
@@ -186,8 +187,8 @@
         if target == Target::Controller {
             let of = |n: usize| u32::try_from(n).unwrap_or(u32::MAX);
             return Load {
-                out: of(self.scene.ledger.open_calls()),
-                standing: of(self.scene.ledger.standing_calls()),
+                pending_setups: of(self.scene.ledger.open_calls()),
+                established: of(self.scene.ledger.standing_calls()),
             };
         }
         let at = |leg: ExchangeNo, to: ExchangeNo| match target {
@@ -197,7 +198,10 @@
             Target::Controller => true,
         };
         let found = self.loads.iter().filter(|(&(leg, to), _)| at(leg, to));
-        found.fold(Load::default(), |sum, (_, l)| Load { out: sum.out + l.0, standing: sum.standing + l.1 })
+        found.fold(Load::default(), |sum, (_, l)| Load {
+            pending_setups: sum.pending_setups + l.0,
+            established: sum.established + l.1,
+        })
     }
 
     fn neighbours(&self) -> Vec<Neighbour> {
