--- a/crates/drains/src/drain.rs
+++ b/crates/drains/src/drain.rs
@@ -211,7 +211,7 @@
         if matches!(self.state, State::Shedding | State::Emptying) && !empty {
             let tripped = self.guard.as_mut().and_then(|g| g.trips(now, health).then_some(g.before));
             if let Some(before) = tripped {
-                effects.push(Effect::GuardTripped(before, health.good));
+                effects.push(Effect::GuardTripped(before, health.good_share));
                 return self.set_state(now, State::Restored, effects);
             }
         }
--- a/crates/drains/src/guard.rs
+++ b/crates/drains/src/guard.rs
@@ -28,8 +28,8 @@
 impl Guard {
     /// A guard that compares with this; `None` where too little is known, or the margin leaves nothing to guard.
     pub fn new(health: Health, margin: f64, until: Micros) -> Option<Guard> {
-        let known = health.answered >= FEW && health.good > margin;
-        known.then_some(Guard { before: health.good, margin, until, worse: None })
+        let known = health.answered >= FEW && health.good_share > margin;
+        known.then_some(Guard { before: health.good_share, margin, until, worse: None })
     }
 
     /// Looks at service; `true`: the drain must end.
@@ -37,7 +37,7 @@
         if now > self.until {
             return false;
         }
-        if health.answered < FEW || health.good >= self.before - self.margin {
+        if health.answered < FEW || health.good_share >= self.before - self.margin {
             self.worse = None;
             return false;
         }
@@ -49,8 +49,8 @@
 mod tests {
     use super::*;
 
-    fn health(good: f64) -> Health {
-        Health { answered: 100, good }
+    fn health(good_share: f64) -> Health {
+        Health { answered: 100, good_share }
     }
 
     #[test]
@@ -64,7 +64,7 @@
         assert_eq!(run(|s| if s < 10 { 0.98 } else { 0.8 }), Some(15));
         assert_eq!(run(|s| if s % 4 == 0 { 0.98 } else { 0.5 }), None, "it swings");
         assert_eq!(run(|s| if s < 58 { 0.98 } else { 0.1 }), None, "too late to tell cause from chance");
-        assert!(!guard().trips(9 * SECOND, Health { answered: 3, good: 0.0 }));
-        assert!(Guard::new(Health { answered: 3, good: 1.0 }, 0.05, 1).is_none());
+        assert!(!guard().trips(9 * SECOND, Health { answered: 3, good_share: 0.0 }));
+        assert!(Guard::new(Health { answered: 3, good_share: 1.0 }, 0.05, 1).is_none());
     }
 }
--- a/crates/drains/src/plan.rs
+++ b/crates/drains/src/plan.rs
@@ -105,7 +105,7 @@
     }
 
     fn is_healthy(&self, health: Health) -> bool {
-        health.answered < FEW || health.good >= self.baseline - self.margin
+        health.answered < FEW || health.good_share >= self.baseline - self.margin
     }
 
     /// Looks whether it can go on. `drain`: the state of the drain at hand; `None` if there is none any more.
@@ -118,7 +118,7 @@
                     now,
                     format!(
                         "calls fare worse than before the round: {:.0}% well served",
-                        health.good * 100.0
+                        health.good_share * 100.0
                     ),
                 );
                 None
@@ -192,8 +192,8 @@
     use super::*;
     use crate::target::Exchange;
 
-    const WELL: Health = Health { answered: 100, good: 0.99 };
-    const ILL: Health = Health { answered: 100, good: 0.7 };
+    const WELL: Health = Health { answered: 100, good_share: 0.99 };
+    const ILL: Health = Health { answered: 100, good_share: 0.7 };
 
     fn plan(pause: Option<Micros>) -> Plan {
         Plan {
--- a/crates/drains/src/target.rs
+++ b/crates/drains/src/target.rs
@@ -96,7 +96,7 @@
     /// Calls answered.
     pub answered: u32,
     /// Share of them that stand within the aim; 0 if there were none.
-    pub good: f64,
+    pub good_share: f64,
 }
 
 /// The site as it stands now; whoever runs a [`crate::registry::DrainRegistry`] shows it to it.
--- a/crates/drains/tests/model.rs
+++ b/crates/drains/tests/model.rs
@@ -71,7 +71,7 @@
         self.ready.iter().map(of).collect()
     }
     fn health(&self) -> Health {
-        Health { answered: 100, good: self.good }
+        Health { answered: 100, good_share: self.good }
     }
     fn linked(&self, _: Exchange, _: Exchange) -> Option<bool> {
         Some(true)
--- a/src/program/appliance.rs
+++ b/src/program/appliance.rs
@@ -337,8 +337,9 @@
     fn health(&self) -> Health {
         let short = self.service.windows()[0];
         let answered = short.answered() - short.of(Fate::Drained);
-        let good = if answered > 0 { f64::from(short.of(Fate::InAim)) / f64::from(answered) } else { 0.0 };
-        Health { answered, good }
+        let good_share =
+            if answered > 0 { f64::from(short.of(Fate::InAim)) / f64::from(answered) } else { 0.0 };
+        Health { answered, good_share }
     }
 
     // ---- What follows ----
