--- a/crates/drains/src/impact.rs
+++ b/crates/drains/src/impact.rs
@@ -18,10 +18,10 @@
 /// What went from here to one destination by one first leg.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct Flow {
-    sent: u32,
-    stood: u32,
+    setups: u32,
+    established: u32,
     /// Circuit time (µs).
-    held: Micros,
+    held_time: Micros,
 }
 
 /// Flows by destination and first leg.
@@ -33,7 +33,7 @@
     /// By their starts, oldest first.
     spans: VecDeque<(Micros, Flows)>,
     /// What was not told apart since the flows were too many.
-    pub lost: u64,
+    pub untracked: u64,
     since: Option<Micros>,
 }
 
@@ -49,35 +49,42 @@
         }
         let span = &mut self.spans.back_mut()?.1;
         if span.len() >= FLOWS && !span.contains_key(&key) {
-            self.lost += 1;
+            self.untracked += 1;
             return None;
         }
         Some(span.entry(key).or_default())
     }
 
     /// A set-up left for `destination` by the group toward `leg`.
-    pub fn sent(&mut self, now: Micros, destination: Exchange, leg: Exchange) {
+    pub fn record_setup(&mut self, now: Micros, destination: Exchange, leg: Exchange) {
         if let Some(f) = self.flow(now, (destination, leg)) {
-            f.sent += 1;
+            f.setups += 1;
         }
     }
 
     /// One of them stood.
-    pub fn stood(&mut self, now: Micros, destination: Exchange, leg: Exchange) {
+    pub fn record_established(&mut self, now: Micros, destination: Exchange, leg: Exchange) {
         if let Some(f) = self.flow(now, (destination, leg)) {
-            f.stood += 1;
+            f.established += 1;
         }
     }
 
     /// So many calls stood that way for the last `span`.
-    pub fn held(&mut self, now: Micros, destination: Exchange, leg: Exchange, calls: u32, span: Micros) {
+    pub fn record_held(
+        &mut self,
+        now: Micros,
+        destination: Exchange,
+        leg: Exchange,
+        calls: u32,
+        span: Micros,
+    ) {
         if let Some(f) = self.flow(now, (destination, leg)) {
-            f.held += Micros::from(calls) * span.max(0);
+            f.held_time += Micros::from(calls) * span.max(0);
         }
     }
 
     /// How far back it tells (µs).
-    pub fn covers(&self, now: Micros) -> Micros {
+    pub fn covered_time(&self, now: Micros) -> Micros {
         self.since.map_or(0, |s| (now - s).clamp(0, SPAN * SPANS as Micros))
     }
 
@@ -86,9 +93,9 @@
         let fresh = self.spans.iter().filter(|s| now - s.0 < SPAN * SPANS as Micros);
         for (key, f) in fresh.flat_map(|s| s.1.iter()) {
             let sum = all.entry(*key).or_default();
-            sum.sent += f.sent;
-            sum.stood += f.stood;
-            sum.held += f.held;
+            sum.setups += f.setups;
+            sum.established += f.established;
+            sum.held_time += f.held_time;
         }
         all
     }
@@ -163,11 +170,11 @@
     traffic: &Traffic,
     site: &dyn Site,
 ) -> Impact {
-    let over = traffic.covers(now);
+    let over = traffic.covered_time(now);
     let minutes = (over as f64 / 60e6).max(1.0 / 60.0);
     let totals = traffic.totals(now);
     let mut out = Impact { over, load: site.load(target), ..Impact::default() };
-    let rate = |f: &Flow| f64::from(f.sent) / minutes;
+    let rate = |f: &Flow| f64::from(f.setups) / minutes;
     let (Target::Exchange(e) | Target::Group(e)) = target else {
         out.lost_per_minute = totals.values().map(rate).sum();
         return out;
@@ -197,7 +204,7 @@
         if serves(to) {
             return vec![to];
         }
-        let observed = |t: Exchange| totals.get(&(to, t)).is_some_and(|f| f.stood > 0);
+        let observed = |t: Exchange| totals.get(&(to, t)).is_some_and(|f| f.established > 0);
         let leads = |t: Exchange| observed(t) || site.linked(t, to).unwrap_or(true);
         neighbours.iter().map(|n| n.exchange).filter(|&t| t != to && serves(t) && leads(t)).collect()
     };
@@ -211,8 +218,8 @@
         if !now_by.is_empty() && then_by.is_empty() {
             out.no_way.push(to);
         }
-        let Some(f) = totals.get(&(to, e)).filter(|f| f.sent > 0) else { continue };
-        let erlangs = f.held as f64 / over.max(SECOND) as f64;
+        let Some(f) = totals.get(&(to, e)).filter(|f| f.setups > 0) else { continue };
+        let erlangs = f.held_time as f64 / over.max(SECOND) as f64;
         for &way in &then_by {
             *extra.entry(way).or_default() += erlangs / then_by.len() as f64;
         }
@@ -261,9 +268,9 @@
         for i in 0..60 {
             let now = i * SECOND;
             for (to, leg) in [(1, 1), (3, 1)] {
-                t.sent(now, Exchange(to), Exchange(leg));
-                t.stood(now, Exchange(to), Exchange(leg));
-                t.held(now, Exchange(to), Exchange(leg), 10, SECOND);
+                t.record_setup(now, Exchange(to), Exchange(leg));
+                t.record_established(now, Exchange(to), Exchange(leg));
+                t.record_held(now, Exchange(to), Exchange(leg), 10, SECOND);
             }
         }
         t
@@ -302,11 +309,11 @@
     fn memory_is_bounded_whatever_is_called_and_old_traffic_is_forgotten() {
         let mut t = Traffic::default();
         for n in 0..60_000u32 {
-            t.sent(0, Exchange(n as u16), Exchange(1));
+            t.record_setup(0, Exchange(n as u16), Exchange(1));
         }
-        assert_eq!((t.spans[0].1.len(), t.lost), (FLOWS, 60_000 - FLOWS as u64));
+        assert_eq!((t.spans[0].1.len(), t.untracked), (FLOWS, 60_000 - FLOWS as u64));
         for i in 0..100 {
-            t.sent(i * SPAN, Exchange(1), Exchange(1));
+            t.record_setup(i * SPAN, Exchange(1), Exchange(1));
         }
         assert_eq!(t.spans.len(), SPANS);
     }
--- a/src/program/appliance.rs
+++ b/src/program/appliance.rs
@@ -174,7 +174,7 @@
             ("control.requests", c.requests),
             ("control.cut", c.cut),
             ("log.lost", self.log.as_ref().map_or(0, |l| l.lost())),
-            ("traffic.not_told_apart", self.traffic.lost),
+            ("traffic.not_told_apart", self.traffic.untracked),
             ("alarms.lost", self.alarms.lost),
         ]
         .map(|(name, n)| (name.to_owned(), n))
@@ -189,7 +189,7 @@
             LedgerOutput::SetUp { call, office, .. } => {
                 let leg = ledger.withdrawals().exchange_of(*office);
                 let Some((leg, offer)) = leg.zip(ledger.offer_of(*call)) else { return };
-                self.traffic.sent(now, Exchange(offer.ask.destination.0), Exchange(leg.0));
+                self.traffic.record_setup(now, Exchange(offer.ask.destination.0), Exchange(leg.0));
                 if let Some(e) = self.exchanges.of(leg.0) {
                     e.sent(now);
                 }
@@ -206,7 +206,7 @@
                     Answer::Refused { .. } => self.refusal(*destination, *last),
                     Answer::Stands(_) => {
                         if let Some(Last { leg: Some(leg), took, .. }) = last {
-                            self.traffic.stood(now, Exchange(destination.0), Exchange(leg.0));
+                            self.traffic.record_established(now, Exchange(destination.0), Exchange(leg.0));
                             if let Some(e) = self.exchanges.of(leg.0) {
                                 e.set_ups.count(now, *took);
                             }
@@ -299,7 +299,7 @@
         let span = now.steady - self.second;
         self.second = now.steady;
         for (leg, to, calls) in site.standing() {
-            self.traffic.held(now.steady, Exchange(to.0), Exchange(leg.0), calls, span);
+            self.traffic.record_held(now.steady, Exchange(to.0), Exchange(leg.0), calls, span);
         }
         let abandoned = scene.ledger.tally().abandoned;
         (self.abandoned..abandoned).for_each(|_| self.service.count(now.steady, Fate::Abandoned));
