--- a/crates/drains/src/impact.rs
+++ b/crates/drains/src/impact.rs
@@ -103,7 +103,7 @@
 
 /// Calls that would have to go another way.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Displaced {
+pub struct DisplacedCalls {
     /// Where they go.
     pub destination: Exchange,
     /// Calls a minute.
@@ -111,12 +111,12 @@
     /// Circuits that they keep busy.
     pub erlangs: f64,
     /// First legs that remain for them.
-    pub ways: Vec<Exchange>,
+    pub alternatives: Vec<Exchange>,
 }
 
 /// A group that would take displaced calls.
 #[derive(Clone, Debug, PartialEq)]
-pub struct GroupRoom {
+pub struct GroupImpact {
     /// The exchange at its far end.
     pub group: Exchange,
     /// Circuits.
@@ -124,18 +124,18 @@
     /// Circuits busy now.
     pub busy: f64,
     /// Circuits that displaced calls would keep busy besides.
-    pub extra: f64,
+    pub displaced: f64,
     /// Share of calls that it blocks now, by estimate.
-    pub before: f64,
+    pub blocking_before: f64,
     /// Share that it would block.
-    pub after: f64,
+    pub blocking_after: f64,
 }
 
 /// The cost of a drain.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Impact {
     /// The span of traffic that it rests on (µs); with little of it the estimate is poor.
-    pub over: Micros,
+    pub observed_time: Micros,
     /// Calls a minute whose destination would be out of service, or all calls for a drain of the controller.
     pub lost_per_minute: f64,
     /// Calls a minute that go direct to the target now.
@@ -145,11 +145,11 @@
     /// What is there now.
     pub load: Load,
     /// Calls that would go another way.
-    pub displaced: Vec<Displaced>,
+    pub displaced: Vec<DisplacedCalls>,
     /// The groups that they would go over.
-    pub groups: Vec<GroupRoom>,
+    pub groups: Vec<GroupImpact>,
     /// Destinations that would be left without any way.
-    pub no_way: Vec<Exchange>,
+    pub unreachable: Vec<Exchange>,
 }
 
 /// Erlang's B formula: the share of calls that `circuits` block when `offered` erlangs are offered.
@@ -170,10 +170,10 @@
     traffic: &Traffic,
     site: &dyn Site,
 ) -> Impact {
-    let over = traffic.covered_time(now);
-    let minutes = (over as f64 / 60e6).max(1.0 / 60.0);
+    let observed_time = traffic.covered_time(now);
+    let minutes = (observed_time as f64 / 60e6).max(1.0 / 60.0);
     let totals = traffic.totals(now);
-    let mut out = Impact { over, load: site.load(target), ..Impact::default() };
+    let mut out = Impact { observed_time, load: site.load(target), ..Impact::default() };
     let rate = |f: &Flow| f64::from(f.setups) / minutes;
     let (Target::Exchange(e) | Target::Group(e)) = target else {
         out.lost_per_minute = totals.values().map(rate).sum();
@@ -189,9 +189,9 @@
         }
     }
     let neighbours = site.neighbours();
-    let mut after = drained.clone();
-    after.insert(target);
-    let ways = |to: Exchange, gone: &BTreeSet<Target>| -> Vec<Exchange> {
+    let mut drained_after = drained.clone();
+    drained_after.insert(target);
+    let first_legs = |to: Exchange, gone: &BTreeSet<Target>| -> Vec<Exchange> {
         let serves = |leg: Exchange| {
             let out = [Target::Exchange(leg), Target::Group(leg)].iter().any(|t| gone.contains(t));
             // A group that was never heard of may be there; one of no circuits is not.
@@ -208,29 +208,34 @@
         let leads = |t: Exchange| observed(t) || site.linked(t, to).unwrap_or(true);
         neighbours.iter().map(|n| n.exchange).filter(|&t| t != to && serves(t) && leads(t)).collect()
     };
-    let mut extra: BTreeMap<Exchange, f64> = BTreeMap::new();
+    let mut displaced_load: BTreeMap<Exchange, f64> = BTreeMap::new();
     for n in &neighbours {
         let to = n.exchange;
         if to == e && whole {
             continue;
         }
-        let (now_by, then_by) = (ways(to, drained), ways(to, &after));
-        if !now_by.is_empty() && then_by.is_empty() {
-            out.no_way.push(to);
+        let (legs_before, legs_after) = (first_legs(to, drained), first_legs(to, &drained_after));
+        if !legs_before.is_empty() && legs_after.is_empty() {
+            out.unreachable.push(to);
         }
         let Some(f) = totals.get(&(to, e)).filter(|f| f.setups > 0) else { continue };
-        let erlangs = f.held_time as f64 / over.max(SECOND) as f64;
-        for &way in &then_by {
-            *extra.entry(way).or_default() += erlangs / then_by.len() as f64;
+        let erlangs = f.held_time as f64 / observed_time.max(SECOND) as f64;
+        for &alternative in &legs_after {
+            *displaced_load.entry(alternative).or_default() += erlangs / legs_after.len() as f64;
         }
-        out.displaced.push(Displaced { destination: to, per_minute: rate(f), erlangs, ways: then_by });
+        out.displaced.push(DisplacedCalls {
+            destination: to,
+            per_minute: rate(f),
+            erlangs,
+            alternatives: legs_after,
+        });
     }
-    for (group, extra) in extra {
+    for (group, displaced) in displaced_load {
         let known = neighbours.iter().find(|n| n.exchange == group).and_then(|n| n.group);
         let Some((free, size)) = known else { continue };
         let busy = (size - free).max(0.0);
-        let (before, after) = (erlang_b(busy, size), erlang_b(busy + extra, size));
-        out.groups.push(GroupRoom { group, size, busy, extra, before, after });
+        let (blocking_before, blocking_after) = (erlang_b(busy, size), erlang_b(busy + displaced, size));
+        out.groups.push(GroupImpact { group, size, busy, displaced, blocking_before, blocking_after });
     }
     out
 }
@@ -289,19 +294,19 @@
     fn an_only_tandem_is_found_and_a_drained_groups_calls_take_the_other_ways() {
         let cost =
             impact(60 * SECOND, Target::Exchange(Exchange(1)), &BTreeSet::new(), &traffic(), &Triangle);
-        assert_eq!(cost.no_way, [Exchange(3)]);
+        assert_eq!(cost.unreachable, [Exchange(3)]);
         assert!((cost.lost_per_minute - 60.0).abs() < 1.0 && (cost.tandem_per_minute - 60.0).abs() < 1.0);
         let cost = impact(60 * SECOND, Target::Group(Exchange(1)), &BTreeSet::new(), &traffic(), &Triangle);
         let to_1 = cost.displaced.iter().find(|d| d.destination == Exchange(1)).unwrap();
-        assert_eq!((to_1.ways.as_slice(), cost.lost_per_minute), (&[Exchange(2)][..], 0.0));
+        assert_eq!((to_1.alternatives.as_slice(), cost.lost_per_minute), (&[Exchange(2)][..], 0.0));
         // 10 calls stood all the time: 10 erlangs, on the 10 busy ones of 20.
         assert!((to_1.erlangs - 10.0).abs() < 0.2, "{}", to_1.erlangs);
         let room = cost.groups.iter().find(|g| g.group == Exchange(2)).unwrap();
-        assert!(room.before < 0.01 && room.after > 0.15, "{room:?}");
+        assert!(room.blocking_before < 0.01 && room.blocking_after > 0.15, "{room:?}");
         // What is without a way already is not this drain's doing.
         let gone = BTreeSet::from([Target::Group(Exchange(1))]);
         assert!(impact(60 * SECOND, Target::Exchange(Exchange(2)), &gone, &traffic(), &Triangle)
-            .no_way
+            .unreachable
             .contains(&Exchange(1)));
     }
 
--- a/crates/drains/src/policy.rs
+++ b/crates/drains/src/policy.rs
@@ -152,12 +152,16 @@
                 which: which.join(", "),
             });
         }
-        if !impact.no_way.is_empty() {
-            return Err(Denied::NoWay(impact.no_way.clone()));
+        if !impact.unreachable.is_empty() {
+            return Err(Denied::NoWay(impact.unreachable.clone()));
         }
-        let fullest = impact.groups.iter().max_by(|a, b| a.after.total_cmp(&b.after));
-        match fullest.filter(|g| g.after > self.most_blocking && g.after > g.before) {
-            Some(g) => Err(Denied::NoRoom { group: g.group, blocking: g.after, most: self.most_blocking }),
+        let fullest = impact.groups.iter().max_by(|a, b| a.blocking_after.total_cmp(&b.blocking_after));
+        match fullest
+            .filter(|g| g.blocking_after > self.most_blocking && g.blocking_after > g.blocking_before)
+        {
+            Some(g) => {
+                Err(Denied::NoRoom { group: g.group, blocking: g.blocking_after, most: self.most_blocking })
+            }
             None => Ok(()),
         }
     }
--- a/src/program/appliance.rs
+++ b/src/program/appliance.rs
@@ -666,7 +666,7 @@
         Body::Cost(views::Cost {
             target: target.to_string(),
             denied: denied.map(|d| d.to_string()),
-            over_s: seconds(c.over),
+            over_s: seconds(c.observed_time),
             lost_per_minute: c.lost_per_minute,
             direct_per_minute: c.direct_per_minute,
             tandem_per_minute: c.tandem_per_minute,
@@ -679,7 +679,7 @@
                     destination: d.destination.0,
                     per_minute: d.per_minute,
                     erlangs: d.erlangs,
-                    ways: d.ways.into_iter().map(|w| w.0).collect(),
+                    ways: d.alternatives.into_iter().map(|w| w.0).collect(),
                 })
                 .collect(),
             groups: c
@@ -689,12 +689,12 @@
                     group: g.group.0,
                     size: g.size,
                     busy: g.busy,
-                    extra: g.extra,
-                    blocking_now: g.before,
-                    blocking_then: g.after,
+                    extra: g.displaced,
+                    blocking_now: g.blocking_before,
+                    blocking_then: g.blocking_after,
                 })
                 .collect(),
-            no_way: c.no_way.into_iter().map(|e| e.0).collect(),
+            no_way: c.unreachable.into_iter().map(|e| e.0).collect(),
         })
     }
 }
