--- a/crates/drains/src/policy.rs
+++ b/crates/drains/src/policy.rs
@@ -9,38 +9,38 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Policy {
     /// Exchanges and groups that may be drained at once.
-    pub most_at_once: usize,
+    pub max_concurrent: usize,
     /// Limit of a drain that names none (µs); `None`: no limit.
-    pub usual_limit: Option<Micros>,
-    /// The longest limit that may be asked for (µs).
-    pub longest: Micros,
+    pub default_limit: Option<Micros>,
+    /// The max_limit limit that may be asked for (µs).
+    pub max_limit: Micros,
     /// A drain that would push calls onto groups that then block more than this share of them is turned down.
-    pub most_blocking: f64,
+    pub max_blocking: f64,
     /// The guard of a drain acts when the share of calls that are well served falls by more than this; 1: never.
     pub guard_margin: f64,
     /// It watches for so long (µs).
-    pub guard_span: Micros,
+    pub guard_period: Micros,
     /// A reason must be given.
-    pub reason_needed: bool,
+    pub reason_required: bool,
     /// New calls may go to a drained exchange or group for this long after the drain came into force (µs); the
     /// site's rule on drains sets it.
     pub grace: Micros,
     /// The same for this controller: callers are turned away by its tests first, and need time to go (µs).
-    pub own_grace: Micros,
+    pub controller_grace: Micros,
 }
 
 impl Default for Policy {
     fn default() -> Self {
         Policy {
-            most_at_once: 1,
-            usual_limit: None,
-            longest: 7 * 24 * 3600 * SECOND,
-            most_blocking: 0.05,
+            max_concurrent: 1,
+            default_limit: None,
+            max_limit: 7 * 24 * 3600 * SECOND,
+            max_blocking: 0.05,
             guard_margin: 0.1,
-            guard_span: 60 * SECOND,
-            reason_needed: false,
+            guard_period: 60 * SECOND,
+            reason_required: false,
             grace: 250_000,
-            own_grace: 3 * SECOND,
+            controller_grace: 3 * SECOND,
         }
     }
 }
@@ -144,11 +144,11 @@
             return Err(Denied::Unknown(target));
         }
         let others: Vec<&Drain> = drains.iter().filter(|d| d.target != Target::Controller).collect();
-        if others.len() >= self.most_at_once {
+        if others.len() >= self.max_concurrent {
             let which: Vec<String> = others.iter().map(|d| d.target.to_string()).collect();
             return Err(Denied::TooMany {
                 now: others.len(),
-                most: self.most_at_once,
+                most: self.max_concurrent,
                 which: which.join(", "),
             });
         }
@@ -156,11 +156,10 @@
             return Err(Denied::NoWay(impact.unreachable.clone()));
         }
         let fullest = impact.groups.iter().max_by(|a, b| a.blocking_after.total_cmp(&b.blocking_after));
-        match fullest
-            .filter(|g| g.blocking_after > self.most_blocking && g.blocking_after > g.blocking_before)
+        match fullest.filter(|g| g.blocking_after > self.max_blocking && g.blocking_after > g.blocking_before)
         {
             Some(g) => {
-                Err(Denied::NoRoom { group: g.group, blocking: g.blocking_after, most: self.most_blocking })
+                Err(Denied::NoRoom { group: g.group, blocking: g.blocking_after, most: self.max_blocking })
             }
             None => Ok(()),
         }
@@ -169,12 +168,12 @@
     /// The limit of a drain that asks for `asked` (µs).
     ///
     /// # Errors
-    /// If it is not from a second to the longest one allowed.
+    /// If it is not from a second to the max_limit one allowed.
     pub fn limit(&self, asked: Option<Micros>) -> Result<Option<Micros>, Denied> {
         match asked {
-            None => Ok(self.usual_limit),
-            Some(l) if (SECOND..=self.longest).contains(&l) => Ok(Some(l)),
-            Some(l) => Err(Denied::Limit(l / SECOND, self.longest / SECOND)),
+            None => Ok(self.default_limit),
+            Some(l) if (SECOND..=self.max_limit).contains(&l) => Ok(Some(l)),
+            Some(l) => Err(Denied::Limit(l / SECOND, self.max_limit / SECOND)),
         }
     }
 }
--- a/crates/drains/tests/model.rs
+++ b/crates/drains/tests/model.rs
@@ -104,7 +104,7 @@
         at_end: AtLimit::Restore,
         force: true,
     };
-    DrainRegistry::new(Policy { most_at_once: 2, ..Policy::default() }, vec![window], Some(OWN), true)
+    DrainRegistry::new(Policy { max_concurrent: 2, ..Policy::default() }, vec![window], Some(OWN), true)
 }
 
 impl Run {
--- a/src/program/appliance_file.rs
+++ b/src/program/appliance_file.rs
@@ -391,20 +391,20 @@
     let windows = windows(c, &f.window);
     let usual = Policy::default();
     let d = &f.drains;
-    let longest = d.longest_s.map_or(usual.longest, |s| Micros::from(s) * SECOND);
+    let longest = d.longest_s.map_or(usual.max_limit, |s| Micros::from(s) * SECOND);
     let usual_limit = d.usual_limit_s.filter(|s| *s > 0).map(|s| Micros::from(s) * SECOND);
     if usual_limit.is_some_and(|l| l > longest) {
         c.add("drains.usual_limit_s", "longer than drains.longest_s");
     }
     let policy = Policy {
-        most_at_once: d.most_at_once.map_or(usual.most_at_once, |n| n as usize),
-        usual_limit,
-        longest,
-        most_blocking: d.most_blocking.unwrap_or(usual.most_blocking),
+        max_concurrent: d.most_at_once.map_or(usual.max_concurrent, |n| n as usize),
+        default_limit: usual_limit,
+        max_limit: longest,
+        max_blocking: d.most_blocking.unwrap_or(usual.max_blocking),
         guard_margin: d.guard_margin.unwrap_or(usual.guard_margin),
-        guard_span: d.guard_s.map_or(usual.guard_span, |s| Micros::from(s) * SECOND),
-        reason_needed: d.reason_needed.unwrap_or(usual.reason_needed),
-        own_grace: d.own_grace_ms.map_or(usual.own_grace, |ms| Micros::from(ms) * 1000),
+        guard_period: d.guard_s.map_or(usual.guard_period, |s| Micros::from(s) * SECOND),
+        reason_required: d.reason_needed.unwrap_or(usual.reason_required),
+        controller_grace: d.own_grace_ms.map_or(usual.controller_grace, |ms| Micros::from(ms) * 1000),
         ..usual
     };
     let platform = platform(c, &f, &nets);
