--- a/crates/drains/src/windows.rs
+++ b/crates/drains/src/windows.rs
@@ -12,7 +12,7 @@
 
 /// When a window is open.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum When {
+pub enum Schedule {
     /// Once, from this moment on (wall).
     Once(Micros),
     /// On some days of the week, from the same time of day.
@@ -32,7 +32,7 @@
     /// What is drained.
     pub target: Target,
     /// When it is open.
-    pub when: When,
+    pub schedule: Schedule,
     /// For how long (µs).
     pub length: Micros,
     /// What happens at its end to calls that are still there; the target goes back into service unless this says
@@ -50,9 +50,9 @@
 impl Window {
     /// The start of the occurrence that is open at `wall`, if one is.
     pub fn open_at(&self, wall: Micros) -> Option<Micros> {
-        match &self.when {
-            When::Once(start) => (*start..start + self.length).contains(&wall).then_some(*start),
-            When::Weekly { days, from } => {
+        match &self.schedule {
+            Schedule::Once(start) => (*start..start + self.length).contains(&wall).then_some(*start),
+            Schedule::Weekly { days, from } => {
                 // One that began on an earlier day may still be open.
                 let today = wall.div_euclid(DAY) * DAY + from;
                 let starts = (0..=self.length / DAY + 1).map(|back| today - back * DAY);
@@ -63,9 +63,9 @@
 
     /// The next start after `wall`, if there is one.
     pub fn next_after(&self, wall: Micros) -> Option<Micros> {
-        match &self.when {
-            When::Once(start) => (*start > wall).then_some(*start),
-            When::Weekly { days, from } => {
+        match &self.schedule {
+            Schedule::Once(start) => (*start > wall).then_some(*start),
+            Schedule::Weekly { days, from } => {
                 let today = wall.div_euclid(DAY) * DAY + from;
                 (0..=7).map(|on| today + on * DAY).find(|&s| s > wall && days[weekday(s)])
             }
@@ -78,11 +78,11 @@
     use super::*;
     use crate::target::Exchange;
 
-    fn window(when: When, hours: i64) -> Window {
+    fn window(schedule: Schedule, hours: i64) -> Window {
         Window {
             name: "w".into(),
             target: Target::Exchange(Exchange(1)),
-            when,
+            schedule,
             length: hours * 3600 * SECOND,
             at_end: AtLimit::Restore,
             force: false,
@@ -96,7 +96,7 @@
         assert_eq!(weekday(tuesday), 1);
         let hour = 3600 * SECOND;
         let w = window(
-            When::Weekly { days: [false, true, false, false, false, false, false], from: 23 * hour },
+            Schedule::Weekly { days: [false, true, false, false, false, false, false], from: 23 * hour },
             3,
         );
         assert_eq!(w.open_at(tuesday + 23 * hour - 1), None);
@@ -105,7 +105,7 @@
         assert_eq!(w.open_at(tuesday + 26 * hour - 1), start, "Wednesday, before 02:00");
         assert_eq!(w.open_at(tuesday + 26 * hour), None);
         assert_eq!(w.next_after(tuesday + 23 * hour), Some(tuesday + 7 * DAY + 23 * hour));
-        let once = window(When::Once(5 * hour), 1);
+        let once = window(Schedule::Once(5 * hour), 1);
         assert_eq!((once.open_at(5 * hour), once.next_after(5 * hour)), (Some(5 * hour), None));
     }
 }
--- a/crates/drains/tests/model.rs
+++ b/crates/drains/tests/model.rs
@@ -10,7 +10,7 @@
 use walnuthatch_drains::registry::*;
 use walnuthatch_drains::saved::Saved;
 use walnuthatch_drains::target::*;
-use walnuthatch_drains::windows::{When, Window};
+use walnuthatch_drains::windows::{Schedule, Window};
 use walnuthatch_drains::SECOND;
 
 const OWN: Exchange = Exchange(0);
@@ -99,7 +99,7 @@
     let window = Window {
         name: "night".into(),
         target: Target::Exchange(Exchange(2)),
-        when: When::Weekly { days: [true; 7], from: 3600 * SECOND },
+        schedule: Schedule::Weekly { days: [true; 7], from: 3600 * SECOND },
         length: 1800 * SECOND,
         at_end: AtLimit::Restore,
         force: true,
--- a/src/program/appliance_file.rs
+++ b/src/program/appliance_file.rs
@@ -16,7 +16,7 @@
 use walnuthatch_drains::drain::AtLimit;
 use walnuthatch_drains::policy::Policy;
 use walnuthatch_drains::target::Target;
-use walnuthatch_drains::windows::{When, Window};
+use walnuthatch_drains::windows::{Schedule, Window};
 use walnuthatch_drains::SECOND;
 
 /// Where the file lies, from the folder that the program is started in.
@@ -495,9 +495,9 @@
         }
         let target = w.target.parse::<Target>().map_err(|e| c.add(key("target"), e)).ok();
         let length = Micros::from(w.minutes) * 60 * SECOND;
-        let when = match (&w.once, &w.at, w.days.is_empty()) {
+        let schedule = match (&w.once, &w.at, w.days.is_empty()) {
             (Some(once), None, true) => match once.parse::<jiff::Timestamp>() {
-                Ok(t) => Some(When::Once(t.as_microsecond())),
+                Ok(t) => Some(Schedule::Once(t.as_microsecond())),
                 Err(_) => {
                     c.add(key("once"), format!("found {once:?}, expected a moment, as 2026-12-01T02:00:00Z"));
                     None
@@ -508,7 +508,7 @@
                     let mut days = [false; 7];
                     w.days.iter().for_each(|d| days[*d as usize] = true);
                     let from = (Micros::from(t.hour()) * 60 + Micros::from(t.minute())) * 60 * SECOND;
-                    Some(When::Weekly { days, from })
+                    Some(Schedule::Weekly { days, from })
                 }
                 Err(_) => {
                     c.add(key("at"), format!("found {at:?}, expected a time of day, as 02:00"));
@@ -520,13 +520,13 @@
                 None
             }
         };
-        let (Some(target), Some(when)) = (target, when) else { continue };
+        let (Some(target), Some(schedule)) = (target, schedule) else { continue };
         let at_end = match w.at_end {
             AtEnd::Restore => AtLimit::Restore,
             AtEnd::Keep => AtLimit::Keep,
             AtEnd::Cut => AtLimit::Cut,
         };
-        out.push(Window { name: w.name.clone(), target, when, length, at_end, force: w.force });
+        out.push(Window { name: w.name.clone(), target, schedule, length, at_end, force: w.force });
     }
     out
 }
@@ -611,8 +611,8 @@
     fn a_good_file_is_read_and_one_that_is_off_is_not() {
         let a = read("f", GOOD).unwrap().unwrap();
         assert_eq!(
-            a.windows[0].when,
-            When::Weekly { days: [true, false, false, true, false, false, false], from: 7200 * SECOND }
+            a.windows[0].schedule,
+            Schedule::Weekly { days: [true, false, false, true, false, false, false], from: 7200 * SECOND }
         );
         assert!(a.links.contains(&(ExchangeNo(5), ExchangeNo(4))) && a.list.unwrap().contains("yoff"));
         let config = super::super::config::parse(&a.platform.unwrap()).unwrap();
