--- a/crates/drains/tests/folder.rs
+++ b/crates/drains/tests/folder.rs
@@ -43,7 +43,7 @@
     fs::write(&current, text.replace("next = 2", "next = 7")).unwrap();
     let loaded = Folder::at(&path).load();
     assert_eq!(loaded.saved.unwrap().next, 1);
-    assert!(loaded.complaints[0].contains("drains.state: the checksum"), "{:?}", loaded.complaints);
+    assert!(loaded.warnings[0].contains("drains.state: the checksum"), "{:?}", loaded.warnings);
 }
 
 #[test]
@@ -56,7 +56,7 @@
     fs::write(&current, &text).unwrap();
     let mut f = Folder::at(&path);
     let loaded = f.load();
-    assert!(loaded.saved.is_none() && loaded.complaints[0].contains("version 2"));
+    assert!(loaded.saved.is_none() && loaded.warnings[0].contains("version 2"));
     assert!(matches!(f.save(&saved(5)), Err(FolderError::Newer(_))));
     assert_eq!(fs::read_to_string(&current).unwrap(), text);
 }
