--- a/crates/drains/tests/folder.rs
+++ b/crates/drains/tests/folder.rs
@@ -2,7 +2,7 @@
 
 use std::fs;
 use std::path::PathBuf;
-use walnuthatch_drains::folder::{Folder, FolderError, STAGES};
+use walnuthatch_drains::folder::{Folder, FolderError, SAVE_STEPS};
 use walnuthatch_drains::saved::Saved;
 
 fn folder(name: &str) -> PathBuf {
@@ -17,31 +17,31 @@
 
 #[test]
 fn a_kill_before_any_step_leaves_the_last_saving_or_the_new_one_whole() {
-    for (n, stage) in STAGES.into_iter().enumerate() {
+    for (n, step) in SAVE_STEPS.into_iter().enumerate() {
         let path = folder(&format!("kill-{n}"));
-        let mut f = Folder::at(&path);
+        let mut f = Folder::new(&path);
         f.save(&saved(1)).unwrap();
         f.save(&saved(2)).unwrap();
-        f.save_until(&saved(3), |s| s != stage).unwrap();
-        let mut after = Folder::at(&path);
+        f.save_until(&saved(3), |s| s != step).unwrap();
+        let mut after = Folder::new(&path);
         let next = after.load().saved.unwrap().next;
-        assert!(next == 2 || next == 3 && n >= 3, "{stage:?}: {next}");
+        assert!(next == 2 || next == 3 && n >= 3, "{step:?}: {next}");
         // And it goes on from there.
         after.save(&saved(9)).unwrap();
-        assert_eq!(Folder::at(&path).load().saved.unwrap().next, 9, "{stage:?}");
+        assert_eq!(Folder::new(&path).load().saved.unwrap().next, 9, "{step:?}");
     }
 }
 
 #[test]
 fn a_spoilt_newest_file_gives_way_to_the_last_good_one_and_that_is_said() {
     let path = folder("spoilt");
-    let mut f = Folder::at(&path);
+    let mut f = Folder::new(&path);
     f.save(&saved(1)).unwrap();
     f.save(&saved(2)).unwrap();
     let current = path.join("drains.state");
     let text = fs::read_to_string(&current).unwrap();
     fs::write(&current, text.replace("next = 2", "next = 7")).unwrap();
-    let loaded = Folder::at(&path).load();
+    let loaded = Folder::new(&path).load();
     assert_eq!(loaded.saved.unwrap().next, 1);
     assert!(loaded.warnings[0].contains("drains.state: the checksum"), "{:?}", loaded.warnings);
 }
@@ -49,12 +49,12 @@
 #[test]
 fn a_newer_programs_folder_is_left_as_it_is() {
     let path = folder("newer");
-    let mut f = Folder::at(&path);
+    let mut f = Folder::new(&path);
     f.save(&saved(1)).unwrap();
     let current = path.join("drains.state");
     let text = fs::read_to_string(&current).unwrap().replacen(" 1 ", " 2 ", 1);
     fs::write(&current, &text).unwrap();
-    let mut f = Folder::at(&path);
+    let mut f = Folder::new(&path);
     let loaded = f.load();
     assert!(loaded.saved.is_none() && loaded.warnings[0].contains("version 2"));
     assert!(matches!(f.save(&saved(5)), Err(FolderError::Newer(_))));
@@ -65,7 +65,7 @@
 fn a_folder_that_cannot_be_is_an_error_that_names_it() {
     let path = folder("file");
     fs::write(&path, "in the way").unwrap();
-    let mut f = Folder::at(&path);
+    let mut f = Folder::new(&path);
     assert!(f.load().saved.is_none());
     let error = f.save(&saved(1)).unwrap_err().to_string();
     assert!(error.contains("file-"), "{error}");
