--- a/crates/drains/src/saved.rs
+++ b/crates/drains/src/saved.rs
@@ -39,10 +39,10 @@
     pub plan: Option<SavedPlan>,
     /// Requests that were answered, oldest first.
     #[serde(default)]
-    pub requests: Vec<Request>,
+    pub requests: Vec<AnsweredRequest>,
     /// Orders given, oldest first.
     #[serde(default)]
-    pub audit: Vec<Audit>,
+    pub audit: Vec<AuditEntry>,
 }
 
 /// A drain that is not over.
@@ -97,7 +97,7 @@
 
 /// A request by its id, and what was answered: the same one again acts no more.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Request {
+pub struct AnsweredRequest {
     /// The id that the operator's program chose.
     pub id: String,
     /// The command, to tell a repeat from another command under the same id.
@@ -112,7 +112,7 @@
 
 /// A line of the audit log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Audit {
+pub struct AuditEntry {
     /// When (wall).
     pub wall: Micros,
     /// Who.
@@ -191,7 +191,7 @@
 
     fn sample() -> String {
         let audit =
-            Audit { wall: -5, who: "a\n\"b\"".into(), what: "drain é".into(), answer: "[x]\n".into() };
+            AuditEntry { wall: -5, who: "a\n\"b\"".into(), what: "drain é".into(), answer: "[x]\n".into() };
         encode(7, &Saved { wall: 9, next: 3, audit: vec![audit], ..Saved::default() }).unwrap()
     }
 
--- a/src/program/appliance.rs
+++ b/src/program/appliance.rs
@@ -650,7 +650,7 @@
     }
 
     fn audit(&self) -> Body {
-        let of = |a: &walnuthatch_drains::saved::Audit| views::Audit {
+        let of = |a: &walnuthatch_drains::saved::AuditEntry| views::Audit {
             at_ms: a.wall / 1000,
             who: a.who.clone(),
             what: a.what.clone(),
