--- a/crates/drains/src/drain.rs
+++ b/crates/drains/src/drain.rs
@@ -20,7 +20,7 @@
 
 /// A target counts as empty once nothing has been there for so long: after an unclear end circuits may stay taken
 /// for the quiet period of 500 ms, in which a late answer can still bring a call back (µs).
-pub const EMPTY_AFTER: Micros = 600_000;
+pub const EMPTY_CONFIRMATION: Micros = 600_000;
 /// After a cut the releases have this long to be carried out before the drain counts as failed: a release is passed
 /// on within 1 s, and given up after 8 s (µs).
 pub const CUT_TIMEOUT: Micros = 8 * SECOND;
@@ -182,7 +182,7 @@
             State::Shedding => Some(self.since + grace),
             State::Emptying | State::Expired => self
                 .idle_since
-                .map(|t| t + EMPTY_AFTER)
+                .map(|t| t + EMPTY_CONFIRMATION)
                 .into_iter()
                 .chain(self.cut_at.map(|t| t + CUT_TIMEOUT))
                 .min(),
@@ -207,9 +207,9 @@
         self.peak.pending_setups = self.peak.pending_setups.max(load.pending_setups);
         self.peak.established = self.peak.established.max(load.established);
         self.idle_since = if load.is_zero() { self.idle_since.or(Some(now)) } else { None };
-        let empty = self.idle_since.is_some_and(|t| now - t >= EMPTY_AFTER);
+        let empty = self.idle_since.is_some_and(|t| now - t >= EMPTY_CONFIRMATION);
         if matches!(self.state, State::Shedding | State::Emptying) && !empty {
-            let tripped = self.guard.as_mut().and_then(|g| g.trips(now, health).then_some(g.before));
+            let tripped = self.guard.as_mut().and_then(|g| g.trips(now, health).then_some(g.baseline));
             if let Some(before) = tripped {
                 effects.push(Effect::GuardTripped(before, health.good_share));
                 return self.set_state(now, State::Restored, effects);
@@ -287,8 +287,8 @@
             (GRACE - 1, load(1, 4)),
             (GRACE, load(0, 5)),
             (SECOND, load(0, 0)),
-            (SECOND + EMPTY_AFTER - 1, load(0, 0)),
-            (SECOND + EMPTY_AFTER, load(0, 0)),
+            (SECOND + EMPTY_CONFIRMATION - 1, load(0, 0)),
+            (SECOND + EMPTY_CONFIRMATION, load(0, 0)),
             (3 * SECOND, load(0, 1)),
         ];
         let states =
--- a/crates/drains/src/guard.rs
+++ b/crates/drains/src/guard.rs
@@ -8,28 +8,28 @@
 use crate::{Micros, SECOND};
 
 /// Service must be worse for so long: a value that swings must end no drain (µs).
-pub const HOLD: Micros = 5 * SECOND;
+pub const TRIP_DELAY: Micros = 5 * SECOND;
 /// With fewer calls than this in its window a share says nothing.
-pub const FEW: u32 = 20;
+pub const MIN_ANSWERED: u32 = 20;
 
 /// A guard at work.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Guard {
     /// Share of calls that were well served before the drain.
-    pub before: f64,
+    pub baseline: f64,
     /// By how much less the guard acts.
     pub margin: f64,
     /// It watches until then (program's clock).
     pub until: Micros,
-    /// Since when service is worse.
-    worse: Option<Micros>,
+    /// Since when service is worse_since.
+    worse_since: Option<Micros>,
 }
 
 impl Guard {
     /// A guard that compares with this; `None` where too little is known, or the margin leaves nothing to guard.
     pub fn new(health: Health, margin: f64, until: Micros) -> Option<Guard> {
-        let known = health.answered >= FEW && health.good_share > margin;
-        known.then_some(Guard { before: health.good_share, margin, until, worse: None })
+        let enough_data = health.answered >= MIN_ANSWERED && health.good_share > margin;
+        enough_data.then_some(Guard { baseline: health.good_share, margin, until, worse_since: None })
     }
 
     /// Looks at service; `true`: the drain must end.
@@ -37,11 +37,11 @@
         if now > self.until {
             return false;
         }
-        if health.answered < FEW || health.good_share >= self.before - self.margin {
-            self.worse = None;
+        if health.answered < MIN_ANSWERED || health.good_share >= self.baseline - self.margin {
+            self.worse_since = None;
             return false;
         }
-        now - *self.worse.get_or_insert(now) >= HOLD
+        now - *self.worse_since.get_or_insert(now) >= TRIP_DELAY
     }
 }
 
--- a/crates/drains/src/impact.rs
+++ b/crates/drains/src/impact.rs
@@ -1,6 +1,6 @@
 //! What a drain would cost, estimated from the traffic of the last minutes.
 //!
-//! Traffic is kept as flows, one for each pair of destination and first leg, in a ring of spans. What a drain
+//! Traffic is kept as flows, one for each pair of destination and first leg, in a ring of buckets. What a drain
 //! displaces is spread evenly over the ways that remain, and each group's blocking is estimated before and after
 //! by Erlang's B formula (A. K. Erlang, 1917): the share of calls lost on `n` circuits offered `a` erlangs.
 
@@ -9,11 +9,11 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Length of one span of the ring (µs).
-pub const SPAN: Micros = 10 * SECOND;
+pub const BUCKET_LENGTH: Micros = 10 * SECOND;
 /// Spans kept: five minutes.
-pub const SPANS: usize = 30;
+pub const MAX_BUCKETS: usize = 30;
 /// Flows told apart in one span. Guards memory: a site has under 250 exchanges, but calls may name any number.
-pub const FLOWS: usize = 4096;
+pub const MAX_FLOWS_PER_BUCKET: usize = 4096;
 
 /// What went from here to one destination by one first leg.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Traffic {
     /// By their starts, oldest first.
-    spans: VecDeque<(Micros, Flows)>,
+    buckets: VecDeque<(Micros, Flows)>,
     /// What was not told apart since the flows were too many.
     pub untracked: u64,
     since: Option<Micros>,
@@ -40,19 +40,19 @@
 impl Traffic {
     fn flow(&mut self, now: Micros, key: (Exchange, Exchange)) -> Option<&mut Flow> {
         self.since.get_or_insert(now);
-        let start = now.div_euclid(SPAN) * SPAN;
-        if self.spans.back().is_none_or(|s| s.0 < start) {
-            self.spans.push_back((start, BTreeMap::new()));
+        let start = now.div_euclid(BUCKET_LENGTH) * BUCKET_LENGTH;
+        if self.buckets.back().is_none_or(|s| s.0 < start) {
+            self.buckets.push_back((start, BTreeMap::new()));
         }
-        while self.spans.front().is_some_and(|s| start - s.0 >= SPAN * SPANS as Micros) {
-            self.spans.pop_front();
+        while self.buckets.front().is_some_and(|s| start - s.0 >= BUCKET_LENGTH * MAX_BUCKETS as Micros) {
+            self.buckets.pop_front();
         }
-        let span = &mut self.spans.back_mut()?.1;
-        if span.len() >= FLOWS && !span.contains_key(&key) {
+        let bucket = &mut self.buckets.back_mut()?.1;
+        if bucket.len() >= MAX_FLOWS_PER_BUCKET && !bucket.contains_key(&key) {
             self.untracked += 1;
             return None;
         }
-        Some(span.entry(key).or_default())
+        Some(bucket.entry(key).or_default())
     }
 
     /// A set-up left for `destination` by the group toward `leg`.
@@ -85,12 +85,12 @@
 
     /// How far back it tells (µs).
     pub fn covered_time(&self, now: Micros) -> Micros {
-        self.since.map_or(0, |s| (now - s).clamp(0, SPAN * SPANS as Micros))
+        self.since.map_or(0, |s| (now - s).clamp(0, BUCKET_LENGTH * MAX_BUCKETS as Micros))
     }
 
     fn totals(&self, now: Micros) -> Flows {
         let mut all = Flows::new();
-        let fresh = self.spans.iter().filter(|s| now - s.0 < SPAN * SPANS as Micros);
+        let fresh = self.buckets.iter().filter(|s| now - s.0 < BUCKET_LENGTH * MAX_BUCKETS as Micros);
         for (key, f) in fresh.flat_map(|s| s.1.iter()) {
             let sum = all.entry(*key).or_default();
             sum.setups += f.setups;
@@ -316,10 +316,13 @@
         for n in 0..60_000u32 {
             t.record_setup(0, Exchange(n as u16), Exchange(1));
         }
-        assert_eq!((t.spans[0].1.len(), t.untracked), (FLOWS, 60_000 - FLOWS as u64));
+        assert_eq!(
+            (t.buckets[0].1.len(), t.untracked),
+            (MAX_FLOWS_PER_BUCKET, 60_000 - MAX_FLOWS_PER_BUCKET as u64)
+        );
         for i in 0..100 {
-            t.record_setup(i * SPAN, Exchange(1), Exchange(1));
+            t.record_setup(i * BUCKET_LENGTH, Exchange(1), Exchange(1));
         }
-        assert_eq!(t.spans.len(), SPANS);
+        assert_eq!(t.buckets.len(), MAX_BUCKETS);
     }
 }
--- a/crates/drains/src/plan.rs
+++ b/crates/drains/src/plan.rs
@@ -10,17 +10,17 @@
 //! A round that is halted leaves what is drained as it is, says why, and goes on when somebody says so.
 
 use crate::drain::{Order, State};
-use crate::guard::FEW;
+use crate::guard::MIN_ANSWERED;
 use crate::target::{Health, Target};
 use crate::{Micros, SECOND};
 use serde::{Deserialize, Serialize};
 
 /// The most targets of one round.
-pub const TARGETS: usize = 64;
+pub const MAX_TARGETS: usize = 64;
 /// A target that came back must work for so long before the next one goes: a cold exchange is warm after 15 s (µs).
-pub const SETTLE: Micros = 20 * SECOND;
+pub const SETTLE_PERIOD: Micros = 20 * SECOND;
 /// A round that can't tell whether service is well again after so long is halted (µs).
-pub const SETTLE_MOST: Micros = 300 * SECOND;
+pub const SETTLE_TIMEOUT: Micros = 300 * SECOND;
 
 /// Where a round is.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -105,7 +105,7 @@
     }
 
     fn is_healthy(&self, health: Health) -> bool {
-        health.answered < FEW || health.good_share >= self.baseline - self.margin
+        health.answered < MIN_ANSWERED || health.good_share >= self.baseline - self.margin
     }
 
     /// Looks whether it can go on. `drain`: the state of the drain at hand; `None` if there is none any more.
@@ -145,7 +145,8 @@
                 Some(_) => None,
             },
             Stage::Settling => {
-                let (settled, timed_out) = (now - self.since >= SETTLE, now - self.since >= SETTLE_MOST);
+                let (settled, timed_out) =
+                    (now - self.since >= SETTLE_PERIOD, now - self.since >= SETTLE_TIMEOUT);
                 if settled && self.is_healthy(health) {
                     self.target_index += 1;
                     let last = self.target_index >= self.targets.len();
@@ -226,10 +227,10 @@
             assert_eq!(p.evaluate(now, Some(State::Empty), WELL), Some(Action::Undrain(target)));
             p.evaluate(now, None, WELL);
             assert_eq!(p.stage, Stage::Settling);
-            assert_eq!(p.evaluate(now + SETTLE - 1, None, WELL), None);
-            p.evaluate(now + SETTLE, None, ILL);
+            assert_eq!(p.evaluate(now + SETTLE_PERIOD - 1, None, WELL), None);
+            p.evaluate(now + SETTLE_PERIOD, None, ILL);
             assert_eq!(p.stage, Stage::Settling, "not while calls fare badly");
-            now += SETTLE + SECOND;
+            now += SETTLE_PERIOD + SECOND;
             p.evaluate(now, None, WELL);
         }
         assert_eq!((p.stage.clone(), p.evaluate(now, None, WELL)), (Stage::Done, None));
@@ -249,7 +250,7 @@
             p.drain_requested(0, Ok(3));
             p.evaluate(0, drain, health);
             assert!(halted(&p), "{drain:?}");
-            assert_eq!(p.evaluate(SETTLE_MOST * 9, None, WELL), None, "it waits for somebody");
+            assert_eq!(p.evaluate(SETTLE_TIMEOUT * 9, None, WELL), None, "it waits for somebody");
         }
         let mut p = plan(None);
         p.evaluate(0, None, ILL);
@@ -259,7 +260,7 @@
         p.drain_requested(1, Err("too many".into()));
         assert_eq!(p.stage, Stage::Halted("too many".into()));
         p.enter_stage(2, Stage::Settling);
-        p.evaluate(2 + SETTLE_MOST, None, ILL);
+        p.evaluate(2 + SETTLE_TIMEOUT, None, ILL);
         assert!(halted(&p));
     }
 }
--- a/crates/drains/src/policy.rs
+++ b/crates/drains/src/policy.rs
@@ -49,24 +49,24 @@
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Denied {
     /// The target is drained already.
-    #[error("{target} is drained already, by order {order} of {who}")]
-    Already {
+    #[error("{target} is drained already, by order {order} of {requested_by}")]
+    AlreadyDrained {
         /// The target.
         target: Target,
         /// The order in force.
         order: u64,
         /// Whose it is.
-        who: String,
+        requested_by: String,
     },
     /// There is no such drain.
     #[error("{0} is not drained")]
     NotDrained(Target),
     /// The list has no such exchange.
     #[error("{0} is not on the list of exchanges (force overrides)")]
-    Unknown(Target),
+    NotListed(Target),
     /// The controller's own exchange: nothing is sent to it.
     #[error("{0} is the own exchange: drain the controller instead")]
-    Own(Target),
+    OwnExchange(Target),
     /// Too many at once.
     #[error("{now} drained at once already, and {most} may be: {which} (force overrides)")]
     TooMany {
@@ -79,10 +79,10 @@
     },
     /// Destinations would be left without a way.
     #[error("no way would be left to {} (force overrides)", list(.0))]
-    NoWay(Vec<Exchange>),
+    Unreachable(Vec<Exchange>),
     /// The remaining groups have no room.
     #[error("group:{} would block {:.0}% of its calls, more than {:.0}% (force overrides)", .group.0, .blocking * 100.0, .most * 100.0)]
-    NoRoom {
+    BlockingTooHigh {
         /// The group that would be the fullest.
         group: Exchange,
         /// The share that it would block.
@@ -92,7 +92,7 @@
     },
     /// The limit is too long, or none.
     #[error("limit: {0} s is not from 1 to {1} s")]
-    Limit(Micros, Micros),
+    LimitOutOfRange(Micros, Micros),
     /// No reason was given.
     #[error("reason: missing, and the policy wants one")]
     NoReason,
@@ -128,20 +128,24 @@
         drains: &[Drain],
         impact: &Impact,
         site: &dyn Site,
-        own: Option<Exchange>,
+        own_exchange: Option<Exchange>,
     ) -> Result<(), Denied> {
         if let Some(d) = drains.iter().find(|d| d.target == target) {
-            return Err(Denied::Already { target, order: d.order, who: d.requested_by.clone() });
+            return Err(Denied::AlreadyDrained {
+                target,
+                order: d.order,
+                requested_by: d.requested_by.clone(),
+            });
         }
         let (Target::Exchange(e) | Target::Group(e)) = target else { return Ok(()) };
-        if Some(e) == own {
-            return Err(Denied::Own(target));
+        if Some(e) == own_exchange {
+            return Err(Denied::OwnExchange(target));
         }
         if force {
             return Ok(());
         }
         if !site.neighbours().iter().any(|n| n.exchange == e) {
-            return Err(Denied::Unknown(target));
+            return Err(Denied::NotListed(target));
         }
         let others: Vec<&Drain> = drains.iter().filter(|d| d.target != Target::Controller).collect();
         if others.len() >= self.max_concurrent {
@@ -153,27 +157,29 @@
             });
         }
         if !impact.unreachable.is_empty() {
-            return Err(Denied::NoWay(impact.unreachable.clone()));
+            return Err(Denied::Unreachable(impact.unreachable.clone()));
         }
         let fullest = impact.groups.iter().max_by(|a, b| a.blocking_after.total_cmp(&b.blocking_after));
         match fullest.filter(|g| g.blocking_after > self.max_blocking && g.blocking_after > g.blocking_before)
         {
-            Some(g) => {
-                Err(Denied::NoRoom { group: g.group, blocking: g.blocking_after, most: self.max_blocking })
-            }
+            Some(g) => Err(Denied::BlockingTooHigh {
+                group: g.group,
+                blocking: g.blocking_after,
+                most: self.max_blocking,
+            }),
             None => Ok(()),
         }
     }
 
-    /// The limit of a drain that asks for `asked` (µs).
+    /// The limit of a drain that asks for `requested` (µs).
     ///
     /// # Errors
     /// If it is not from a second to the max_limit one allowed.
-    pub fn limit(&self, asked: Option<Micros>) -> Result<Option<Micros>, Denied> {
-        match asked {
+    pub fn limit(&self, requested: Option<Micros>) -> Result<Option<Micros>, Denied> {
+        match requested {
             None => Ok(self.default_limit),
             Some(l) if (SECOND..=self.max_limit).contains(&l) => Ok(Some(l)),
-            Some(l) => Err(Denied::Limit(l / SECOND, self.max_limit / SECOND)),
+            Some(l) => Err(Denied::LimitOutOfRange(l / SECOND, self.max_limit / SECOND)),
         }
     }
 }
--- a/crates/drains/src/saved.rs
+++ b/crates/drains/src/saved.rs
@@ -16,9 +16,9 @@
 use std::collections::BTreeMap;
 
 /// The version that is written, and the newest that is read.
-pub const VERSION: u32 = 1;
+pub const FORMAT_VERSION: u32 = 1;
 /// The longest file that is read (bytes); what is kept is bounded far below.
-pub const LONGEST: u64 = 4 * 1024 * 1024;
+pub const MAX_FILE_BYTES: u64 = 4 * 1024 * 1024;
 const MAGIC: &str = "walnuthatch-drains";
 
 /// All that survives.
@@ -130,15 +130,15 @@
     #[error("not a file of drains")]
     Foreign,
     /// A newer program wrote it.
-    #[error("version {0}, and this program reads up to {VERSION}")]
+    #[error("version {0}, and this program reads up to {FORMAT_VERSION}")]
     Newer(u32),
     /// It is shorter or longer than its header says.
-    #[error("{found} bytes where the header says {said}")]
+    #[error("{found} bytes where the header says {expected}")]
     Length {
         /// Bytes there are.
         found: usize,
         /// Bytes there ought to be.
-        said: usize,
+        expected: usize,
     },
     /// It is not what was written.
     #[error("the checksum does not fit")]
@@ -155,7 +155,7 @@
 pub fn encode(generation: u64, saved: &Saved) -> Result<String, StateError> {
     let body = toml::to_string(saved).map_err(|e| StateError::Body(e.to_string()))?;
     let sum = blake3::hash(body.as_bytes()).to_hex();
-    Ok(format!("{MAGIC} {VERSION} generation={generation} length={} blake3={sum}\n{body}", body.len()))
+    Ok(format!("{MAGIC} {FORMAT_VERSION} generation={generation} length={} blake3={sum}\n{body}", body.len()))
 }
 
 /// Reads a saving: its generation and contents.
@@ -168,14 +168,14 @@
     let mut words = header.split(' ');
     let (magic, version) = (words.next(), words.next().and_then(|v| v.parse::<u32>().ok()));
     let version = version.filter(|_| magic == Some(MAGIC)).ok_or(StateError::Foreign)?;
-    if version > VERSION {
+    if version > FORMAT_VERSION {
         return Err(StateError::Newer(version));
     }
     let fields: BTreeMap<&str, &str> = words.filter_map(|w| w.split_once('=')).collect();
     let number = |key| fields.get(key).and_then(|v| v.parse::<u64>().ok()).ok_or(StateError::Foreign);
-    let (generation, said) = (number("generation")?, number("length")? as usize);
-    if body.len() != said {
-        return Err(StateError::Length { found: body.len(), said });
+    let (generation, expected) = (number("generation")?, number("length")? as usize);
+    if body.len() != expected {
+        return Err(StateError::Length { found: body.len(), expected });
     }
     if fields.get("blake3").copied() != Some(blake3::hash(body.as_bytes()).to_hex().as_str()) {
         return Err(StateError::Checksum);
--- a/crates/drains/src/target.rs
+++ b/crates/drains/src/target.rs
@@ -35,24 +35,24 @@
 /// A text that names no target.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0:?} is no target: expected exchange:NUMBER, group:NUMBER or controller")]
-pub struct NoTarget(pub String);
+pub struct ParseTargetError(pub String);
 
 impl FromStr for Target {
-    type Err = NoTarget;
-    fn from_str(text: &str) -> Result<Self, NoTarget> {
-        let number = |n: &str| n.trim().parse().map(Exchange).map_err(|_| NoTarget(text.to_owned()));
+    type Err = ParseTargetError;
+    fn from_str(text: &str) -> Result<Self, ParseTargetError> {
+        let number = |n: &str| n.trim().parse().map(Exchange).map_err(|_| ParseTargetError(text.to_owned()));
         match text.trim().split_once([':', ' ']) {
             None if text.trim() == "controller" => Ok(Target::Controller),
             Some(("exchange", n)) => number(n).map(Target::Exchange),
             Some(("group", n)) => number(n).map(Target::Group),
-            _ => Err(NoTarget(text.to_owned())),
+            _ => Err(ParseTargetError(text.to_owned())),
         }
     }
 }
 
 impl TryFrom<String> for Target {
-    type Error = NoTarget;
-    fn try_from(text: String) -> Result<Self, NoTarget> {
+    type Error = ParseTargetError;
+    fn try_from(text: String) -> Result<Self, ParseTargetError> {
         text.parse()
     }
 }
--- a/crates/drains/tests/model.rs
+++ b/crates/drains/tests/model.rs
@@ -292,7 +292,8 @@
             assert!(p.is_stopped() || ours.len() <= 1, "{ours:?}");
         }
         assert!(
-            self.registry.audit().count() <= AUDIT && self.registry.finished().count() <= MAX_FINISHED_DRAINS
+            self.registry.audit().count() <= MAX_AUDIT_ENTRIES
+                && self.registry.finished().count() <= MAX_FINISHED_DRAINS
         );
     }
 
@@ -391,7 +392,7 @@
         let n = run.saving[0].0;
         match hangs {
             true => {
-                run.steady += SAVE_WAIT;
+                run.steady += SAVE_TIMEOUT;
                 run.registry.evaluate(run.now(), &Traffic::default(), &run.world);
             }
             false => run.registry.save_finished(run.now(), n, Err("disk full".into())),
