--- a/crates/drains/src/drain.rs
+++ b/crates/drains/src/drain.rs
@@ -79,13 +79,13 @@
 }
 
 /// The number of a drain or of an order; orders are carried out in this order.
-pub type Order = u64;
+pub type OrderNumber = u64;
 
 /// A drain.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Drain {
     /// The order that began it.
-    pub order: Order,
+    pub order: OrderNumber,
     /// What it takes out of service.
     pub target: Target,
     /// Where it is.
@@ -133,7 +133,7 @@
 
 impl Drain {
     /// A drain as it was asked for.
-    pub fn new(order: Order, target: Target, now: Micros) -> Drain {
+    pub fn new(order: OrderNumber, target: Target, now: Micros) -> Drain {
         Drain {
             order,
             target,
--- a/crates/drains/src/plan.rs
+++ b/crates/drains/src/plan.rs
@@ -9,7 +9,7 @@
 //!
 //! A round that is halted leaves what is drained as it is, says why, and goes on when somebody says so.
 
-use crate::drain::{Order, State};
+use crate::drain::{OrderNumber, State};
 use crate::guard::MIN_ANSWERED;
 use crate::target::{Health, Target};
 use crate::{Micros, SECOND};
@@ -29,9 +29,9 @@
     /// The next target is about to be drained.
     Next,
     /// It is being drained, by this order.
-    Draining(Order),
+    Draining(OrderNumber),
     /// It is empty, by this order: the work on it can be done.
-    Working(Order),
+    Working(OrderNumber),
     /// It is back, and is watched.
     Settling,
     /// Nothing more is done, for this reason.
@@ -58,7 +58,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
     /// The order that began it.
-    pub order: Order,
+    pub order: OrderNumber,
     /// What is drained, one after the other.
     pub targets: Vec<Target>,
     /// Which of them is at hand.
@@ -161,7 +161,7 @@
     }
 
     /// What became of the drain that was asked for.
-    pub fn drain_requested(&mut self, now: Micros, how: Result<Order, String>) {
+    pub fn drain_requested(&mut self, now: Micros, how: Result<OrderNumber, String>) {
         match how {
             Ok(order) => self.enter_stage(now, Stage::Draining(order)),
             Err(why) => self.halt(now, why),
--- a/crates/drains/src/saved.rs
+++ b/crates/drains/src/saved.rs
@@ -8,7 +8,7 @@
 //! what follows, so that a file that was cut off, or spoilt, is told from a whole one. TOML is the form of all our
 //! own files.
 
-use crate::drain::{AtLimit, Order, State};
+use crate::drain::{AtLimit, OrderNumber, State};
 use crate::plan::Stage;
 use crate::target::Target;
 use crate::Micros;
@@ -27,7 +27,7 @@
     /// The wall's clock at the saving.
     pub wall: Micros,
     /// The next order's number.
-    pub next: Order,
+    pub next: OrderNumber,
     /// The last start of each window that was begun or given up (wall).
     #[serde(default)]
     pub windows: BTreeMap<String, Micros>,
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SavedDrain {
     /// Its order.
-    pub order: Order,
+    pub order: OrderNumber,
     /// What it drains.
     pub target: Target,
     /// Where it was; one that was asked for is in force once it is read back.
@@ -78,7 +78,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SavedPlan {
     /// Its order.
-    pub order: Order,
+    pub order: OrderNumber,
     /// What it drains.
     pub targets: Vec<Target>,
     /// Which is at hand.
@@ -105,7 +105,7 @@
     /// Whether it was done.
     pub done: bool,
     /// The order's number, if it became one.
-    pub order: Option<Order>,
+    pub order: Option<OrderNumber>,
     /// The answer.
     pub text: String,
 }
