--- a/crates/drains/src/drain.rs
+++ b/crates/drains/src/drain.rs
@@ -1,7 +1,7 @@
-//! One drain: its states and what moves it from one to the next.
+//! The state machine of a single drain.
 //!
 //! ```text
-//!            saved                grace over            nothing left
+//!            saved               grace passed           no load left
 //!   asked ----------> shedding ----------> emptying <---------------> empty
 //!     |                  |                    |  limit passed, keep      |
 //!     |                  |                    +---------> expired -------+
@@ -10,48 +10,48 @@
 //!     +------------------+--------------------+------------- undrain, or limit passed, restore --> restored
 //! ```
 //!
-//! In every state but asked and restored the target is out of service: a drain that went wrong stays on the safe
-//! side until somebody ends it.
+//! The target is out of service in every state except asked and restored. A drain that expires or fails keeps its
+//! target out of service until an operator ends it, which is the safe side.
 
 use crate::guard::Guard;
 use crate::target::{Health, Load, Target};
 use crate::{Micros, SECOND};
 use serde::{Deserialize, Serialize};
 
-/// A target counts as empty once nothing has been there for so long: after an unclear end circuits may stay taken
-/// for the quiet period of 500 ms, in which a late answer can still bring a call back (µs).
+/// How long a target must be without load before it counts as empty (µs). After an attempt of unknown outcome its
+/// circuits may stay reserved for the quiet period of 500 ms, during which a late answer can still establish the call.
 pub const EMPTY_CONFIRMATION: Micros = 600_000;
-/// After a cut the releases have this long to be carried out before the drain counts as failed: a release is passed
-/// on within 1 s, and given up after 8 s (µs).
+/// How long after a cut the drain may take to empty before it counts as failed (µs). A release is passed on within
+/// 1 s and abandoned after 8 s.
 pub const CUT_TIMEOUT: Micros = 8 * SECOND;
 
-/// Where a drain is.
+/// The state of a drain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// Taken from the operator, and not yet in force: it is being saved.
+    /// Accepted but not yet in force: the order is being saved.
     Asked,
-    /// In force; set-ups may still go there until the grace is over.
+    /// In force; set-ups may still be sent to the target until the grace period ends.
     Shedding,
-    /// Nothing new goes there; what is there ends by itself.
+    /// No new calls are sent to the target; existing calls end normally.
     Emptying,
-    /// Nothing is there.
+    /// No set-ups or calls remain at the target.
     Empty,
-    /// Over: the target is back in service.
+    /// Finished: the target is back in service.
     Restored,
-    /// The limit has passed with calls still there, and the target is kept out of service.
+    /// The limit passed while calls remained; the target stays out of service.
     Expired,
-    /// What was there was cut at the limit, and is there still.
+    /// The remaining calls were cut at the limit, but calls still remain.
     Failed,
 }
 
 impl State {
-    /// Whether the target is out of service.
+    /// Whether a drain in this state keeps its target out of service.
     pub fn in_force(self) -> bool {
         !matches!(self, State::Asked | State::Restored)
     }
 
-    /// Its name.
+    /// The name of the state, as shown to operators.
     pub fn name(self) -> &'static str {
         match self {
             State::Asked => "asked",
@@ -72,67 +72,68 @@
     /// The target stays out of service.
     #[default]
     Keep,
-    /// It goes back into service.
+    /// The target returns to service.
     Restore,
-    /// The calls that are still there are cut, and it stays out of service.
+    /// The remaining calls are cut, and the target stays out of service.
     Cut,
 }
 
-/// The number of a drain or of an order; orders are carried out in this order.
+/// The number of an order, and of the drain that it starts. Orders are executed in number order.
 pub type OrderNumber = u64;
 
-/// A drain.
+/// A drain of one target.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Drain {
-    /// The order that began it.
+    /// The order that started the drain.
     pub order: OrderNumber,
-    /// What it takes out of service.
+    /// The target that is taken out of service.
     pub target: Target,
-    /// Where it is.
+    /// The current state.
     pub state: State,
-    /// Since when (program's clock).
+    /// When the current state was entered (monotonic clock).
     pub since: Micros,
-    /// Why it was asked for.
+    /// The reason given by the operator.
     pub reason: String,
-    /// Who asked.
+    /// The operator, window or round that requested the drain.
     pub requested_by: String,
-    /// When, by the wall's clock.
+    /// When the drain was requested (wall clock).
     pub requested_wall: Micros,
-    /// When it must be over, by the program's clock, whatever is done to the wall's.
+    /// When the limit passes (monotonic clock, so that changes of the wall clock do not move it).
     pub limit: Option<Micros>,
-    /// What happens then.
+    /// What to do when the limit passes.
     pub at_limit: AtLimit,
-    /// The limit has passed and was acted on.
+    /// Whether the limit has passed and been acted on.
     pub limit_done: bool,
-    /// The policy was overridden.
+    /// Whether the policy was overridden.
     pub forced: bool,
-    /// The maintenance window that began it, and when that occurrence started (wall).
+    /// The maintenance window that started the drain, and the start of that occurrence (wall clock).
     pub window: Option<(String, Micros)>,
-    /// What ends it if service falls as it takes hold.
+    /// Ends the drain if service degrades after it comes into force.
     pub guard: Option<Guard>,
-    /// The most that was there since it came into force.
+    /// The highest load seen since the drain came into force.
     pub peak: Load,
-    /// What was there at the last look.
+    /// The load at the last evaluation.
     pub load: Load,
-    /// Since when nothing is there (program's clock).
+    /// Since when the target has had no load (monotonic clock).
     pub(crate) idle_since: Option<Micros>,
-    /// When what was left was cut (program's clock).
+    /// When the remaining calls were cut (monotonic clock).
     pub(crate) cut_at: Option<Micros>,
 }
 
-/// What a drain asks for when it moves.
+/// A consequence of evaluating a drain, for the registry to act on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Effect {
-    /// It went on to this state.
+    /// The drain entered this state.
     StateChanged(State),
-    /// Release the calls that stand at the target.
+    /// The established calls at the target must be released.
     Cut,
-    /// Service fell from the first share to the second, and the guard ended the drain.
+    /// The guard ended the drain because the share of calls served within the objective fell from the first value
+    /// to the second.
     GuardTripped(f64, f64),
 }
 
 impl Drain {
-    /// A drain as it was asked for.
+    /// Creates a drain in state [`State::Asked`], without a limit.
     pub fn new(order: OrderNumber, target: Target, now: Micros) -> Drain {
         Drain {
             order,
@@ -162,19 +163,19 @@
         }
     }
 
-    /// It has been saved, or can't be: it comes into force.
+    /// Puts the drain into force, once it has been saved or saving has failed.
     pub fn activate(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         if self.state == State::Asked {
             self.set_state(now, State::Shedding, effects);
         }
     }
 
-    /// It is ended by order.
+    /// Ends the drain and returns the target to service.
     pub fn restore(&mut self, now: Micros, effects: &mut Vec<Effect>) {
         self.set_state(now, State::Restored, effects);
     }
 
-    /// When it must be looked at again whatever happens, if ever.
+    /// The next time at which the drain changes state without a change in load, if there is one.
     pub fn next_deadline(&self, grace: Micros) -> Option<Micros> {
         let limit = self.limit.filter(|_| !self.limit_done);
         let own = match self.state {
@@ -191,7 +192,8 @@
         own.into_iter().chain(limit.filter(|_| self.state.in_force())).min()
     }
 
-    /// Looks at what is at the target. `grace`: how long new calls may go there after it came into force.
+    /// Advances the drain for the current load of its target. `grace` is how long new calls may still be sent to the
+    /// target after the drain came into force.
     pub fn evaluate(
         &mut self,
         now: Micros,
@@ -220,7 +222,7 @@
             State::Emptying | State::Expired | State::Failed if empty => {
                 self.set_state(now, State::Empty, effects)
             }
-            // A late answer, or a call of the program's earlier life that was found again.
+            // Caused by a late answer, or by a call of an earlier run of the program that was found again.
             State::Empty if !load.is_zero() => self.set_state(now, State::Emptying, effects),
             State::Emptying if self.cut_at.is_some_and(|t| now - t >= CUT_TIMEOUT) => {
                 self.set_state(now, State::Failed, effects);
@@ -242,9 +244,9 @@
         }
     }
 
-    /// How much of what was there at most has gone, from 0 to 1.
+    /// The fraction of the peak load that has left the target, from 0 to 1.
     pub fn progress(&self) -> f64 {
-        let (peak, left) = (
+        let (peak, remaining) = (
             self.peak.pending_setups + self.peak.established,
             self.load.pending_setups + self.load.established,
         );
@@ -252,7 +254,7 @@
             State::Asked => 0.0,
             State::Empty | State::Restored => 1.0,
             _ if peak == 0 => 0.0,
-            _ => 1.0 - f64::from(left) / f64::from(peak),
+            _ => 1.0 - f64::from(remaining) / f64::from(peak),
         }
     }
 }
@@ -272,18 +274,20 @@
         Drain { at_limit, limit, ..Drain::new(1, Target::Exchange(Exchange(3)), 0) }
     }
 
-    /// Looks at each of these times and gives the states gone through.
-    fn run(d: &mut Drain, looks: &[(Micros, Load)]) -> Vec<Effect> {
+    /// Evaluates a drain at each of these times and returns the effects.
+    fn run(d: &mut Drain, evaluations: &[(Micros, Load)]) -> Vec<Effect> {
         let mut effects = Vec::new();
         d.activate(0, &mut effects);
-        looks.iter().for_each(|&(now, load)| d.evaluate(now, load, Health::default(), GRACE, &mut effects));
+        evaluations
+            .iter()
+            .for_each(|&(now, load)| d.evaluate(now, load, Health::default(), GRACE, &mut effects));
         effects
     }
 
     #[test]
-    fn it_sheds_empties_and_takes_back_what_comes_late() {
+    fn a_drain_sheds_empties_and_reopens_for_a_late_call() {
         let mut d = drain(AtLimit::Keep, None);
-        let looks = [
+        let evaluations = [
             (GRACE - 1, load(1, 4)),
             (GRACE, load(0, 5)),
             (SECOND, load(0, 0)),
@@ -293,12 +297,12 @@
         ];
         let states =
             [State::Shedding, State::Emptying, State::Empty, State::Emptying].map(Effect::StateChanged);
-        assert_eq!(run(&mut d, &looks), states);
+        assert_eq!(run(&mut d, &evaluations), states);
         assert_eq!(d.peak, load(1, 5));
     }
 
     #[test]
-    fn a_limit_keeps_restores_or_cuts_once() {
+    fn the_limit_action_is_taken_once() {
         let busy = [(GRACE, load(0, 2)), (5 * SECOND, load(0, 2)), (6 * SECOND, load(0, 2))];
         let last = |at| run(&mut drain(at, Some(5 * SECOND)), &busy).split_off(2);
         assert_eq!(last(AtLimit::Keep), [Effect::StateChanged(State::Expired)]);
--- a/crates/drains/src/impact.rs
+++ b/crates/drains/src/impact.rs
@@ -1,43 +1,47 @@
-//! What a drain would cost, estimated from the traffic of the last minutes.
+//! The impact of a drain, estimated from the traffic of the last minutes.
 //!
-//! Traffic is kept as flows, one for each pair of destination and first leg, in a ring of buckets. What a drain
-//! displaces is spread evenly over the ways that remain, and each group's blocking is estimated before and after
-//! by Erlang's B formula (A. K. Erlang, 1917): the share of calls lost on `n` circuits offered `a` erlangs.
+//! Traffic is recorded as flows, one for each pair of destination and first hop, in a ring of time buckets. The
+//! displaced traffic of a drain is spread evenly over the remaining routes, and the blocking of each group is
+//! estimated before and after by the Erlang B formula (A. K. Erlang, 1917): the share of calls lost on `n` circuits
+//! offered `a` erlangs.
 
 use crate::target::{Exchange, Load, Site, Target};
 use crate::{Micros, SECOND};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Length of one span of the ring (µs).
+/// Length of one time bucket (µs).
 pub const BUCKET_LENGTH: Micros = 10 * SECOND;
-/// Spans kept: five minutes.
+/// Number of buckets kept, which cover five minutes.
 pub const MAX_BUCKETS: usize = 30;
-/// Flows told apart in one span. Guards memory: a site has under 250 exchanges, but calls may name any number.
+/// Maximum number of flows in one bucket. It bounds memory: a site has fewer than 250 exchanges, but calls may name
+/// any number.
 pub const MAX_FLOWS_PER_BUCKET: usize = 4096;
 
-/// What went from here to one destination by one first leg.
+/// Traffic from this controller to one destination by one first hop.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct Flow {
     setups: u32,
     established: u32,
-    /// Circuit time (µs).
+    /// Total time for which established calls held a circuit (µs).
     held_time: Micros,
 }
 
-/// Flows by destination and first leg.
+/// Flows by destination and first hop.
 type Flows = BTreeMap<(Exchange, Exchange), Flow>;
 
 /// The traffic of the last minutes.
 #[derive(Clone, Debug, Default)]
 pub struct Traffic {
-    /// By their starts, oldest first.
+    /// Buckets with their start times, oldest first.
     buckets: VecDeque<(Micros, Flows)>,
-    /// What was not told apart since the flows were too many.
+    /// Number of records dropped because a bucket was full.
     pub untracked: u64,
+    /// Time of the first record.
     since: Option<Micros>,
 }
 
 impl Traffic {
+    /// The flow of the current bucket for a key; `None` if the bucket is full.
     fn flow(&mut self, now: Micros, key: (Exchange, Exchange)) -> Option<&mut Flow> {
         self.since.get_or_insert(now);
         let start = now.div_euclid(BUCKET_LENGTH) * BUCKET_LENGTH;
@@ -55,43 +59,44 @@
         Some(bucket.entry(key).or_default())
     }
 
-    /// A set-up left for `destination` by the group toward `leg`.
-    pub fn record_setup(&mut self, now: Micros, destination: Exchange, leg: Exchange) {
-        if let Some(f) = self.flow(now, (destination, leg)) {
+    /// Records a set-up sent for `destination` over the group to `first_hop`.
+    pub fn record_setup(&mut self, now: Micros, destination: Exchange, first_hop: Exchange) {
+        if let Some(f) = self.flow(now, (destination, first_hop)) {
             f.setups += 1;
         }
     }
 
-    /// One of them stood.
-    pub fn record_established(&mut self, now: Micros, destination: Exchange, leg: Exchange) {
-        if let Some(f) = self.flow(now, (destination, leg)) {
+    /// Records that a call to `destination` over `first_hop` was established.
+    pub fn record_established(&mut self, now: Micros, destination: Exchange, first_hop: Exchange) {
+        if let Some(f) = self.flow(now, (destination, first_hop)) {
             f.established += 1;
         }
     }
 
-    /// So many calls stood that way for the last `span`.
+    /// Records that `calls` calls were established on this flow for the last `duration` (µs).
     pub fn record_held(
         &mut self,
         now: Micros,
         destination: Exchange,
-        leg: Exchange,
+        first_hop: Exchange,
         calls: u32,
-        span: Micros,
+        duration: Micros,
     ) {
-        if let Some(f) = self.flow(now, (destination, leg)) {
-            f.held_time += Micros::from(calls) * span.max(0);
+        if let Some(f) = self.flow(now, (destination, first_hop)) {
+            f.held_time += Micros::from(calls) * duration.max(0);
         }
     }
 
-    /// How far back it tells (µs).
+    /// The time that the recorded traffic covers (µs).
     pub fn covered_time(&self, now: Micros) -> Micros {
         self.since.map_or(0, |s| (now - s).clamp(0, BUCKET_LENGTH * MAX_BUCKETS as Micros))
     }
 
+    /// Sums the flows of all buckets that have not expired.
     fn totals(&self, now: Micros) -> Flows {
         let mut all = Flows::new();
-        let fresh = self.buckets.iter().filter(|s| now - s.0 < BUCKET_LENGTH * MAX_BUCKETS as Micros);
-        for (key, f) in fresh.flat_map(|s| s.1.iter()) {
+        let recent = self.buckets.iter().filter(|s| now - s.0 < BUCKET_LENGTH * MAX_BUCKETS as Micros);
+        for (key, f) in recent.flat_map(|s| s.1.iter()) {
             let sum = all.entry(*key).or_default();
             sum.setups += f.setups;
             sum.established += f.established;
@@ -101,68 +106,68 @@
     }
 }
 
-/// Calls that would have to go another way.
+/// Calls to one destination that would have to take another route.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DisplacedCalls {
-    /// Where they go.
+    /// The destination of the calls.
     pub destination: Exchange,
-    /// Calls a minute.
+    /// Calls per minute.
     pub per_minute: f64,
-    /// Circuits that they keep busy.
+    /// Average number of circuits that the calls occupy.
     pub erlangs: f64,
-    /// First legs that remain for them.
+    /// First hops that remain for the calls.
     pub alternatives: Vec<Exchange>,
 }
 
-/// A group that would take displaced calls.
+/// The effect of displaced calls on one group that would carry them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GroupImpact {
-    /// The exchange at its far end.
+    /// The exchange at the far end of the group.
     pub group: Exchange,
-    /// Circuits.
+    /// Total circuits.
     pub size: f64,
-    /// Circuits busy now.
+    /// Circuits in use now.
     pub busy: f64,
-    /// Circuits that displaced calls would keep busy besides.
+    /// Additional circuits that displaced calls would occupy.
     pub displaced: f64,
-    /// Share of calls that it blocks now, by estimate.
+    /// Estimated share of calls that the group blocks now.
     pub blocking_before: f64,
-    /// Share that it would block.
+    /// Estimated share of calls that the group would block.
     pub blocking_after: f64,
 }
 
-/// The cost of a drain.
+/// The estimated impact of a drain.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Impact {
-    /// The span of traffic that it rests on (µs); with little of it the estimate is poor.
+    /// Time covered by the recorded traffic (µs). The estimate is poor if it is short.
     pub observed_time: Micros,
-    /// Calls a minute whose destination would be out of service, or all calls for a drain of the controller.
+    /// Calls per minute to destinations that would be out of service; for a drain of the controller, all calls.
     pub lost_per_minute: f64,
-    /// Calls a minute that go direct to the target now.
+    /// Calls per minute that go direct to the target now.
     pub direct_per_minute: f64,
-    /// Calls a minute that use it as a tandem now.
+    /// Calls per minute that use the target as a tandem now.
     pub tandem_per_minute: f64,
-    /// What is there now.
+    /// The current load of the target.
     pub load: Load,
-    /// Calls that would go another way.
+    /// Calls that would take another route, by destination.
     pub displaced: Vec<DisplacedCalls>,
-    /// The groups that they would go over.
+    /// The groups that would carry the displaced calls.
     pub groups: Vec<GroupImpact>,
-    /// Destinations that would be left without any way.
+    /// Destinations that would have no route left.
     pub unreachable: Vec<Exchange>,
 }
 
-/// Erlang's B formula: the share of calls that `circuits` block when `offered` erlangs are offered.
+/// The Erlang B formula: the share of calls that `circuits` circuits block at an offered load of `offered` erlangs.
 pub fn erlang_b(offered: f64, circuits: f64) -> f64 {
     if offered <= 0.0 {
         return 0.0;
     }
-    // The usual recursion; circuits are a whole number and a group has at most some thousands.
+    // The usual recursion. The number of circuits is whole, and a group has at most a few thousand.
     let n = circuits.clamp(0.0, 100_000.0) as u32;
     (1..=n).fold(1.0, |b, k| offered * b / (f64::from(k) + offered * b))
 }
 
-/// Estimates what draining `target` would cost beside the drains in force, `drained`.
+/// Estimates the impact of draining `target` in addition to the targets in `drained`.
 pub fn impact(
     now: Micros,
     target: Target,
@@ -179,55 +184,62 @@
         out.lost_per_minute = totals.values().map(rate).sum();
         return out;
     };
-    let whole = target == Target::Exchange(e);
-    for ((to, leg), f) in totals.iter().filter(|t| t.0 .1 == e || t.0 .0 == e) {
-        if *to == e && whole {
+    let whole_exchange = target == Target::Exchange(e);
+    for ((to, first_hop), f) in totals.iter().filter(|t| t.0 .1 == e || t.0 .0 == e) {
+        if *to == e && whole_exchange {
             out.lost_per_minute += rate(f);
         }
-        if *leg == e {
+        if *first_hop == e {
             *(if *to == e { &mut out.direct_per_minute } else { &mut out.tandem_per_minute }) += rate(f);
         }
     }
     let neighbours = site.neighbours();
     let mut drained_after = drained.clone();
     drained_after.insert(target);
-    let first_legs = |to: Exchange, gone: &BTreeSet<Target>| -> Vec<Exchange> {
-        let serves = |leg: Exchange| {
-            let out = [Target::Exchange(leg), Target::Group(leg)].iter().any(|t| gone.contains(t));
-            // A group that was never heard of may be there; one of no circuits is not.
-            let n = neighbours.iter().find(|n| n.exchange == leg && n.ready);
-            !out && n.is_some_and(|n| n.group.is_none_or(|g| g.1 >= 1.0))
+    let first_hops = |to: Exchange, out_of_service: &BTreeSet<Target>| -> Vec<Exchange> {
+        let usable = |first_hop: Exchange| {
+            let drained = [Target::Exchange(first_hop), Target::Group(first_hop)]
+                .iter()
+                .any(|t| out_of_service.contains(t));
+            // A group without a report is assumed to exist; a group without circuits is unusable.
+            let n = neighbours.iter().find(|n| n.exchange == first_hop && n.ready);
+            !drained && n.is_some_and(|n| n.group.is_none_or(|g| g.1 >= 1.0))
         };
-        if gone.contains(&Target::Exchange(to)) {
+        if out_of_service.contains(&Target::Exchange(to)) {
             return Vec::new();
         }
-        if serves(to) {
+        if usable(to) {
             return vec![to];
         }
         let observed = |t: Exchange| totals.get(&(to, t)).is_some_and(|f| f.established > 0);
-        let leads = |t: Exchange| observed(t) || site.linked(t, to).unwrap_or(true);
-        neighbours.iter().map(|n| n.exchange).filter(|&t| t != to && serves(t) && leads(t)).collect()
+        let leads_to_destination = |t: Exchange| observed(t) || site.linked(t, to).unwrap_or(true);
+        neighbours
+            .iter()
+            .map(|n| n.exchange)
+            .filter(|&t| t != to && usable(t) && leads_to_destination(t))
+            .collect()
     };
     let mut displaced_load: BTreeMap<Exchange, f64> = BTreeMap::new();
     for n in &neighbours {
         let to = n.exchange;
-        if to == e && whole {
+        if to == e && whole_exchange {
             continue;
         }
-        let (legs_before, legs_after) = (first_legs(to, drained), first_legs(to, &drained_after));
-        if !legs_before.is_empty() && legs_after.is_empty() {
+        let (hops_before, hops_after) = (first_hops(to, drained), first_hops(to, &drained_after));
+        // A destination that is already unreachable is not attributed to this drain.
+        if !hops_before.is_empty() && hops_after.is_empty() {
             out.unreachable.push(to);
         }
         let Some(f) = totals.get(&(to, e)).filter(|f| f.setups > 0) else { continue };
         let erlangs = f.held_time as f64 / observed_time.max(SECOND) as f64;
-        for &alternative in &legs_after {
-            *displaced_load.entry(alternative).or_default() += erlangs / legs_after.len() as f64;
+        for &alternative in &hops_after {
+            *displaced_load.entry(alternative).or_default() += erlangs / hops_after.len() as f64;
         }
         out.displaced.push(DisplacedCalls {
             destination: to,
             per_minute: rate(f),
             erlangs,
-            alternatives: legs_after,
+            alternatives: hops_after,
         });
     }
     for (group, displaced) in displaced_load {
@@ -251,7 +263,7 @@
             Load { pending_setups: 0, established: 3 }
         }
         fn neighbours(&self) -> Vec<Neighbour> {
-            // No direct group to 3: its calls go over 1 or 2.
+            // There is no direct group to 3, so its calls go over 1 or 2.
             [(1, 20.0), (2, 20.0), (3, 0.0)]
                 .map(|(n, size)| Neighbour {
                     exchange: Exchange(n),
@@ -282,8 +294,8 @@
     }
 
     #[test]
-    fn the_formula_gives_the_values_of_the_tables() {
-        // From any table of Erlang B: 10 erlangs on 10 circuits, 5 on 10, 100 on 117 (1%).
+    fn erlang_b_matches_published_tables() {
+        // Values of published Erlang B tables: 10 erlangs on 10 circuits, 5 on 10, 100 on 117 (1%).
         for (a, n, b) in [(10.0, 10.0, 0.2146), (5.0, 10.0, 0.0184), (100.0, 117.0, 0.0098)] {
             assert!((erlang_b(a, n) - b).abs() < 0.0005, "{a} on {n}: {}", erlang_b(a, n));
         }
@@ -291,7 +303,7 @@
     }
 
     #[test]
-    fn an_only_tandem_is_found_and_a_drained_groups_calls_take_the_other_ways() {
+    fn an_only_tandem_is_reported_and_calls_of_a_drained_group_take_other_routes() {
         let cost =
             impact(60 * SECOND, Target::Exchange(Exchange(1)), &BTreeSet::new(), &traffic(), &Triangle);
         assert_eq!(cost.unreachable, [Exchange(3)]);
@@ -299,19 +311,19 @@
         let cost = impact(60 * SECOND, Target::Group(Exchange(1)), &BTreeSet::new(), &traffic(), &Triangle);
         let to_1 = cost.displaced.iter().find(|d| d.destination == Exchange(1)).unwrap();
         assert_eq!((to_1.alternatives.as_slice(), cost.lost_per_minute), (&[Exchange(2)][..], 0.0));
-        // 10 calls stood all the time: 10 erlangs, on the 10 busy ones of 20.
+        // 10 calls were established all the time: 10 erlangs, added to 10 of 20 circuits in use.
         assert!((to_1.erlangs - 10.0).abs() < 0.2, "{}", to_1.erlangs);
         let room = cost.groups.iter().find(|g| g.group == Exchange(2)).unwrap();
         assert!(room.blocking_before < 0.01 && room.blocking_after > 0.15, "{room:?}");
-        // What is without a way already is not this drain's doing.
-        let gone = BTreeSet::from([Target::Group(Exchange(1))]);
-        assert!(impact(60 * SECOND, Target::Exchange(Exchange(2)), &gone, &traffic(), &Triangle)
+        // With group 1 drained, exchange 1 is reached only over exchange 2.
+        let already_drained = BTreeSet::from([Target::Group(Exchange(1))]);
+        assert!(impact(60 * SECOND, Target::Exchange(Exchange(2)), &already_drained, &traffic(), &Triangle)
             .unreachable
             .contains(&Exchange(1)));
     }
 
     #[test]
-    fn memory_is_bounded_whatever_is_called_and_old_traffic_is_forgotten() {
+    fn memory_is_bounded_for_any_destinations_and_old_traffic_expires() {
         let mut t = Traffic::default();
         for n in 0..60_000u32 {
             t.record_setup(0, Exchange(n as u16), Exchange(1));
--- a/crates/drains/src/lib.rs
+++ b/crates/drains/src/lib.rs
@@ -1,14 +1,14 @@
-//! Drains: taking an exchange, a trunk group or this controller out of service so that no call is harmed, and
-//! bringing it back.
+//! Drains: takes an exchange, a trunk group or this controller out of service without harming calls, and returns it
+//! to service.
 //!
-//! A drain is state, not a flag: it is asked for, sheds new calls, empties, and is restored; it has a reason,
-//! somebody who asked, and a limit in time. [`registry::DrainRegistry`] holds all of them and every order that was given.
-//! [`impact`] tells beforehand what a drain would cost, [`policy`] turns down what must not be drained,
-//! [`windows`] starts and ends drains by the clock, [`guard`] ends one under which service falls, [`plan`] drains one
-//! after the other, and [`saved`] is the form that survives the program.
+//! A drain is a state machine rather than a flag: it is asked for, sheds new calls, empties and is restored. It has a
+//! reason, a requester and a time limit. [`registry::DrainRegistry`] holds all drains and every order that was given.
+//! [`impact`] estimates the effect of a drain beforehand, [`policy`] denies drains that must not happen, [`windows`]
+//! starts and ends drains by the wall clock, [`guard`] ends a drain that degrades service, [`plan`] drains several
+//! targets one at a time, and [`saved`] is the file format in which the state persists across restarts.
 //!
-//! Nothing here has a clock or does input or output, but for [`folder`], which keeps the saved form in files.
-//! What becomes of a single call is not decided here: the decision module is told what is out of service.
+//! Nothing here reads a clock or does input or output, except [`folder`], which stores the state in files. Individual
+//! calls are not handled here: the routing decision is told what is out of service.
 #![forbid(unsafe_code)]
 
 pub mod drain;
@@ -22,9 +22,9 @@
 pub mod target;
 pub mod windows;
 
-/// A moment or a span, in microseconds. Moments are of one of two clocks: the program's, which goes on evenly,
-/// or the wall's, which counts from 1970 UTC and may jump.
+/// A point in time or a duration, in microseconds. Points in time are of one of two clocks: the program's monotonic
+/// clock, or the wall clock, which counts from 1970 UTC and may jump.
 pub type Micros = i64;
 
-/// A second.
+/// One second.
 pub const SECOND: Micros = 1_000_000;
--- a/crates/drains/src/plan.rs
+++ b/crates/drains/src/plan.rs
@@ -1,13 +1,13 @@
-//! A round of maintenance: exchanges or groups drained one after the other, each put back and seen to work before the
-//! next one goes.
+//! A maintenance round: drains exchanges or groups one at a time. Each returns to service and must work again before
+//! the next one is drained.
 //!
 //! ```text
-//! draining --empty--> working --next, or its pause--> settling --warm and well--> the next one, or done
-//!     |                  |                                |
-//!     +--- turned down, expired, failed, ended by others, service worse than before: halted (nothing more is drained)
+//! draining --empty--> working --next, or pause passed--> settling --warm and healthy--> next target, or done
+//!     |                  |                                   |
+//!     +--- denied, expired, failed, ended by an operator, service degraded: halted (nothing more is drained)
 //! ```
 //!
-//! A round that is halted leaves what is drained as it is, says why, and goes on when somebody says so.
+//! A halted round leaves a drained target as it is, reports the reason and continues when an operator says so.
 
 use crate::drain::{OrderNumber, State};
 use crate::guard::MIN_ANSWERED;
@@ -15,33 +15,34 @@
 use crate::{Micros, SECOND};
 use serde::{Deserialize, Serialize};
 
-/// The most targets of one round.
+/// Maximum number of targets in one round.
 pub const MAX_TARGETS: usize = 64;
-/// A target that came back must work for so long before the next one goes: a cold exchange is warm after 15 s (µs).
+/// How long a restored target must work before the next one is drained (µs). The cold start of an exchange takes
+/// 15 s.
 pub const SETTLE_PERIOD: Micros = 20 * SECOND;
-/// A round that can't tell whether service is well again after so long is halted (µs).
+/// A round is halted if service has not recovered within this time after a target was restored (µs).
 pub const SETTLE_TIMEOUT: Micros = 300 * SECOND;
 
-/// Where a round is.
+/// The stage of a round.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Stage {
     /// The next target is about to be drained.
     Next,
-    /// It is being drained, by this order.
+    /// The current target is being drained, by this order.
     Draining(OrderNumber),
-    /// It is empty, by this order: the work on it can be done.
+    /// The current target is empty, drained by this order, so that work on it can be done.
     Working(OrderNumber),
-    /// It is back, and is watched.
+    /// The current target is back in service and is being observed.
     Settling,
-    /// Nothing more is done, for this reason.
+    /// The round is halted, for this reason.
     Halted(String),
-    /// All targets were drained and came back.
+    /// All targets have been drained and restored.
     Done,
 }
 
 impl Stage {
-    /// Its name.
+    /// The name of the stage, as shown to operators.
     pub fn name(&self) -> &'static str {
         match self {
             Stage::Next => "next",
@@ -54,52 +55,53 @@
     }
 }
 
-/// A round.
+/// The plan of a maintenance round and its progress.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// The order that began it.
+    /// The order that started the round.
     pub order: OrderNumber,
-    /// What is drained, one after the other.
+    /// The targets, in the order in which they are drained.
     pub targets: Vec<Target>,
-    /// Which of them is at hand.
+    /// Index of the current target.
     pub target_index: usize,
-    /// Where it is.
+    /// The current stage.
     pub stage: Stage,
-    /// Since when (program's clock).
+    /// When the current stage was entered (monotonic clock).
     pub since: Micros,
-    /// Who asked.
+    /// The operator who requested the round.
     pub requested_by: String,
-    /// Why.
+    /// The reason given by the operator.
     pub reason: String,
-    /// An empty target is put back by itself after so long; `None`: when somebody says so.
+    /// Delay after which an empty target returns to service automatically (µs); `None`: it waits for the operator.
     pub pause: Option<Micros>,
-    /// Share of calls that were well served before; a round never goes on with less, but for the margin.
+    /// Share of calls served within the objective before the round. The round continues only while the share is no
+    /// more than `margin` below it.
     pub baseline: f64,
-    /// That margin.
+    /// Tolerated drop below `baseline`.
     pub margin: f64,
 }
 
-/// What a round asks for.
+/// An action that a round requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Drain this.
+    /// Drain this target.
     Drain(Target),
-    /// Put this back.
+    /// Return this target to service.
     Undrain(Target),
 }
 
 impl Plan {
-    /// The target at hand, while there is one.
+    /// The current target; `None` once the round is done.
     pub fn target(&self) -> Option<Target> {
         (self.stage != Stage::Done).then(|| self.targets.get(self.target_index).copied()).flatten()
     }
 
-    /// Whether it is over or waits for somebody.
+    /// Whether the round is done, or halted until an operator continues it.
     pub fn is_stopped(&self) -> bool {
         matches!(self.stage, Stage::Halted(_) | Stage::Done)
     }
 
-    /// Goes to another stage.
+    /// Enters another stage.
     pub fn enter_stage(&mut self, now: Micros, stage: Stage) {
         (self.stage, self.since) = (stage, now);
     }
@@ -108,8 +110,8 @@
         health.answered < MIN_ANSWERED || health.good_share >= self.baseline - self.margin
     }
 
-    /// Looks whether it can go on. `drain`: the state of the drain at hand; `None` if there is none any more.
-    /// Whatever it asks for must be told back by [`Plan::drain_requested`] or [`Plan::enter_stage`].
+    /// Advances the round if possible. `drain` is the state of the current target's drain, `None` if it has none.
+    /// The caller reports the result of the returned action by [`Plan::drain_requested`] or [`Plan::enter_stage`].
     pub fn evaluate(&mut self, now: Micros, drain: Option<State>, health: Health) -> Option<Action> {
         let target = self.target()?;
         match self.stage {
@@ -136,7 +138,7 @@
                 None
             }
             Stage::Working(_) => match drain {
-                // Somebody ended the drain by hand: that is as good as to say next.
+                // Ending the drain by hand has the same effect as the command to continue.
                 None | Some(State::Restored) => {
                     self.enter_stage(now, Stage::Settling);
                     None
@@ -160,24 +162,24 @@
         }
     }
 
-    /// What became of the drain that was asked for.
-    pub fn drain_requested(&mut self, now: Micros, how: Result<OrderNumber, String>) {
-        match how {
+    /// Records the result of [`Action::Drain`]: the number of the order, or why it was denied.
+    pub fn drain_requested(&mut self, now: Micros, result: Result<OrderNumber, String>) {
+        match result {
             Ok(order) => self.enter_stage(now, Stage::Draining(order)),
             Err(why) => self.halt(now, why),
         }
     }
 
-    /// Nothing more is done.
+    /// Halts the round for this reason.
     pub fn halt(&mut self, now: Micros, why: String) {
         self.enter_stage(now, Stage::Halted(why));
     }
 
-    /// Somebody says to go on: an empty target is put back, a round that was halted tries again.
+    /// Continues the round at the operator's command: an empty target returns to service, a halted round tries again.
     pub fn advance(&mut self, now: Micros, drain: Option<State>) -> Option<Action> {
         match (&self.stage, drain) {
             (Stage::Working(_), _) => self.target().map(Action::Undrain),
-            // What is drained still is looked at again, or put back if it is empty and had been worked on.
+            // A target that is still drained returns to service before the round continues.
             (Stage::Halted(_), Some(state)) if state != State::Restored => self.target().map(Action::Undrain),
             (Stage::Halted(_), _) => {
                 self.enter_stage(now, Stage::Next);
@@ -193,8 +195,8 @@
     use super::*;
     use crate::target::Exchange;
 
-    const WELL: Health = Health { answered: 100, good_share: 0.99 };
-    const ILL: Health = Health { answered: 100, good_share: 0.7 };
+    const HEALTHY: Health = Health { answered: 100, good_share: 0.99 };
+    const DEGRADED: Health = Health { answered: 100, good_share: 0.7 };
 
     fn plan(pause: Option<Micros>) -> Plan {
         Plan {
@@ -212,55 +214,59 @@
     }
 
     #[test]
-    fn one_after_the_other_each_seen_to_work_before_the_next() {
+    fn targets_are_drained_one_at_a_time_and_must_work_before_the_next() {
         let mut p = plan(Some(5 * SECOND));
         let mut now = 0;
         for n in 1..=2 {
             let target = Target::Exchange(Exchange(n));
-            assert_eq!(p.evaluate(now, None, WELL), Some(Action::Drain(target)));
+            assert_eq!(p.evaluate(now, None, HEALTHY), Some(Action::Drain(target)));
             p.drain_requested(now, Ok(10));
-            assert_eq!(p.evaluate(now, Some(State::Emptying), WELL), None);
-            p.evaluate(now, Some(State::Empty), WELL);
+            assert_eq!(p.evaluate(now, Some(State::Emptying), HEALTHY), None);
+            p.evaluate(now, Some(State::Empty), HEALTHY);
             assert_eq!(p.stage, Stage::Working(10));
-            assert_eq!(p.evaluate(now + 5 * SECOND - 1, Some(State::Empty), WELL), None);
+            assert_eq!(p.evaluate(now + 5 * SECOND - 1, Some(State::Empty), HEALTHY), None);
             now += 5 * SECOND;
-            assert_eq!(p.evaluate(now, Some(State::Empty), WELL), Some(Action::Undrain(target)));
-            p.evaluate(now, None, WELL);
+            assert_eq!(p.evaluate(now, Some(State::Empty), HEALTHY), Some(Action::Undrain(target)));
+            p.evaluate(now, None, HEALTHY);
             assert_eq!(p.stage, Stage::Settling);
-            assert_eq!(p.evaluate(now + SETTLE_PERIOD - 1, None, WELL), None);
-            p.evaluate(now + SETTLE_PERIOD, None, ILL);
-            assert_eq!(p.stage, Stage::Settling, "not while calls fare badly");
+            assert_eq!(p.evaluate(now + SETTLE_PERIOD - 1, None, HEALTHY), None);
+            p.evaluate(now + SETTLE_PERIOD, None, DEGRADED);
+            assert_eq!(p.stage, Stage::Settling, "not while service is degraded");
             now += SETTLE_PERIOD + SECOND;
-            p.evaluate(now, None, WELL);
+            p.evaluate(now, None, HEALTHY);
         }
-        assert_eq!((p.stage.clone(), p.evaluate(now, None, WELL)), (Stage::Done, None));
+        assert_eq!((p.stage.clone(), p.evaluate(now, None, HEALTHY)), (Stage::Done, None));
     }
 
     #[test]
-    fn whatever_goes_wrong_halts_it_and_it_goes_on_when_told() {
+    fn any_failure_halts_the_round_until_the_operator_continues_it() {
         let halted = |p: &Plan| matches!(p.stage, Stage::Halted(_));
         for (drain, health) in [
-            (Some(State::Expired), WELL),
-            (Some(State::Failed), WELL),
-            (None, WELL),
-            (Some(State::Restored), WELL),
+            (Some(State::Expired), HEALTHY),
+            (Some(State::Failed), HEALTHY),
+            (None, HEALTHY),
+            (Some(State::Restored), HEALTHY),
         ] {
             let mut p = plan(None);
-            p.evaluate(0, None, WELL);
+            p.evaluate(0, None, HEALTHY);
             p.drain_requested(0, Ok(3));
             p.evaluate(0, drain, health);
             assert!(halted(&p), "{drain:?}");
-            assert_eq!(p.evaluate(SETTLE_TIMEOUT * 9, None, WELL), None, "it waits for somebody");
+            assert_eq!(
+                p.evaluate(SETTLE_TIMEOUT * 9, None, HEALTHY),
+                None,
+                "a halted round waits for the operator"
+            );
         }
         let mut p = plan(None);
-        p.evaluate(0, None, ILL);
+        p.evaluate(0, None, DEGRADED);
         assert!(halted(&p));
         assert_eq!(p.advance(1, None), None);
-        assert!(p.evaluate(1, None, WELL).is_some());
+        assert!(p.evaluate(1, None, HEALTHY).is_some());
         p.drain_requested(1, Err("too many".into()));
         assert_eq!(p.stage, Stage::Halted("too many".into()));
         p.enter_stage(2, Stage::Settling);
-        p.evaluate(2 + SETTLE_TIMEOUT, None, ILL);
+        p.evaluate(2 + SETTLE_TIMEOUT, None, DEGRADED);
         assert!(halted(&p));
     }
 }
--- a/crates/drains/src/policy.rs
+++ b/crates/drains/src/policy.rs
@@ -1,4 +1,4 @@
-//! What may be drained, and what is turned down unless it is forced.
+//! The rules that decide whether a drain is accepted. Most of them can be overridden by force.
 
 use crate::drain::Drain;
 use crate::impact::Impact;
@@ -8,24 +8,24 @@
 /// The operator's rules for drains.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Policy {
-    /// Exchanges and groups that may be drained at once.
+    /// Maximum number of exchanges and groups that are drained at the same time.
     pub max_concurrent: usize,
-    /// Limit of a drain that names none (µs); `None`: no limit.
+    /// Limit of a drain that was requested without one (µs); `None`: no limit.
     pub default_limit: Option<Micros>,
-    /// The max_limit limit that may be asked for (µs).
+    /// Maximum limit that may be requested (µs).
     pub max_limit: Micros,
-    /// A drain that would push calls onto groups that then block more than this share of them is turned down.
+    /// Maximum estimated blocking of the groups that take displaced calls; a drain that would exceed it is denied.
     pub max_blocking: f64,
-    /// The guard of a drain acts when the share of calls that are well served falls by more than this; 1: never.
+    /// The guard ends a drain if the share of calls served within the objective falls by more than this; 1: never.
     pub guard_margin: f64,
-    /// It watches for so long (µs).
+    /// How long the guard watches service after a drain was accepted (µs).
     pub guard_period: Micros,
-    /// A reason must be given.
+    /// Whether a reason must be given.
     pub reason_required: bool,
-    /// New calls may go to a drained exchange or group for this long after the drain came into force (µs); the
-    /// site's rule on drains sets it.
+    /// How long new calls may be sent to a drained exchange or group after the drain came into force (µs). The
+    /// site's rules set it.
     pub grace: Micros,
-    /// The same for this controller: callers are turned away by its tests first, and need time to go (µs).
+    /// The same for this controller (µs): it first fails the callers' health checks, and callers need time to leave.
     pub controller_grace: Micros,
 }
 
@@ -45,67 +45,67 @@
     }
 }
 
-/// Why an order was turned down.
+/// The reason why an order was denied.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Denied {
-    /// The target is drained already.
+    /// The target is already drained.
     #[error("{target} is drained already, by order {order} of {requested_by}")]
     AlreadyDrained {
-        /// The target.
+        /// The target that is drained.
         target: Target,
         /// The order in force.
         order: u64,
-        /// Whose it is.
+        /// The operator, window or round that requested it.
         requested_by: String,
     },
-    /// There is no such drain.
+    /// The target is not drained.
     #[error("{0} is not drained")]
     NotDrained(Target),
-    /// The list has no such exchange.
+    /// The exchange is not on the list of exchanges.
     #[error("{0} is not on the list of exchanges (force overrides)")]
     NotListed(Target),
-    /// The controller's own exchange: nothing is sent to it.
+    /// The target is the controller's own exchange, to which no calls are sent.
     #[error("{0} is the own exchange: drain the controller instead")]
     OwnExchange(Target),
-    /// Too many at once.
+    /// The maximum number of concurrent drains is reached.
     #[error("{now} drained at once already, and {most} may be: {which} (force overrides)")]
     TooMany {
-        /// Those in force.
+        /// Number of current drains.
         now: usize,
-        /// Those allowed.
+        /// Maximum number of drains.
         most: usize,
-        /// Their targets.
+        /// Targets of the current drains.
         which: String,
     },
-    /// Destinations would be left without a way.
+    /// Destinations would become unreachable.
     #[error("no way would be left to {} (force overrides)", list(.0))]
     Unreachable(Vec<Exchange>),
-    /// The remaining groups have no room.
+    /// The remaining groups would block too many calls.
     #[error("group:{} would block {:.0}% of its calls, more than {:.0}% (force overrides)", .group.0, .blocking * 100.0, .most * 100.0)]
     BlockingTooHigh {
-        /// The group that would be the fullest.
+        /// The group with the highest blocking.
         group: Exchange,
-        /// The share that it would block.
+        /// Share of calls that it would block.
         blocking: f64,
-        /// The share allowed.
+        /// Maximum share of blocked calls.
         most: f64,
     },
-    /// The limit is too long, or none.
+    /// The requested limit (s) is shorter than a second or longer than the maximum (s).
     #[error("limit: {0} s is not from 1 to {1} s")]
     LimitOutOfRange(Micros, Micros),
-    /// No reason was given.
+    /// The policy requires a reason, and none was given.
     #[error("reason: missing, and the policy wants one")]
     NoReason,
-    /// A text is too long.
+    /// The named text is longer than the maximum (bytes).
     #[error("{0}: longer than {1} bytes")]
     TooLong(&'static str, usize),
-    /// A request id came again with another command.
+    /// A request id was reused for another command.
     #[error("request {0}: the same id was used for another command")]
     IdReused(String),
-    /// There is a round already, or none.
+    /// The round command does not fit the state of the round, or its targets are invalid.
     #[error("{0}")]
     Round(&'static str),
-    /// Another order ended this one before it was saved.
+    /// A later order ended this one before it was saved.
     #[error("order {0} of {1} came after this one and ended it")]
     Superseded(u64, String),
 }
@@ -116,11 +116,11 @@
 }
 
 impl Policy {
-    /// Checks a drain that is asked for against those in force and what it would cost. `force` leaves only what
-    /// makes no sense at all.
+    /// Checks a requested drain against the current drains and its estimated impact. With `force`, only drains that
+    /// make no sense at all are denied.
     ///
     /// # Errors
-    /// The first reason to turn it down.
+    /// The first rule that denies the drain.
     pub fn check(
         &self,
         target: Target,
@@ -171,10 +171,10 @@
         }
     }
 
-    /// The limit of a drain that asks for `requested` (µs).
+    /// Returns the limit for a drain whose operator requested `requested` (µs), or the default limit for none.
     ///
     /// # Errors
-    /// If it is not from a second to the max_limit one allowed.
+    /// Denied if the limit is shorter than a second or longer than the maximum.
     pub fn limit(&self, requested: Option<Micros>) -> Result<Option<Micros>, Denied> {
         match requested {
             None => Ok(self.default_limit),
--- a/crates/drains/src/saved.rs
+++ b/crates/drains/src/saved.rs
@@ -1,12 +1,13 @@
-//! The form in which drains survive the program: a line of header, then TOML.
+//! The file format in which drains persist across restarts: a header line followed by TOML.
 //!
 //! ```text
 //! walnuthatch-drains 1 generation=17 length=512 blake3=9f…
 //! ```
 //!
-//! The header names the version of the form, the running number of the saving, and the length and checksum of
-//! what follows, so that a file that was cut off, or spoilt, is told from a whole one. TOML is the form of all our
-//! own files.
+//! The header gives the version of the format, the generation of the save, and the length and checksum of the body,
+//! so that truncated and corrupted files are detected. The body is TOML, like all files of the program.
+//!
+//! The names of the fields are part of the file format.
 
 use crate::drain::{AtLimit, OrderNumber, State};
 use crate::plan::Stage;
@@ -15,153 +16,153 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The version that is written, and the newest that is read.
+/// The format version that is written, and the newest that can be read.
 pub const FORMAT_VERSION: u32 = 1;
-/// The longest file that is read (bytes); what is kept is bounded far below.
+/// Maximum size of a file that is read (bytes). The limits on the stored state keep files far smaller.
 pub const MAX_FILE_BYTES: u64 = 4 * 1024 * 1024;
 const MAGIC: &str = "walnuthatch-drains";
 
-/// All that survives.
+/// The state that persists across restarts.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Saved {
-    /// The wall's clock at the saving.
+    /// Time of the save (wall clock).
     pub wall: Micros,
-    /// The next order's number.
+    /// The number of the next order.
     pub next: OrderNumber,
-    /// The last start of each window that was begun or given up (wall).
+    /// Start of the last occurrence of each window that was started (wall clock).
     #[serde(default)]
     pub windows: BTreeMap<String, Micros>,
-    /// Drains that are not over.
+    /// Drains that have not finished.
     #[serde(default)]
     pub drains: Vec<SavedDrain>,
-    /// The round of maintenance.
+    /// The maintenance round.
     #[serde(default)]
     pub plan: Option<SavedPlan>,
-    /// Requests that were answered, oldest first.
+    /// Answered requests, oldest first.
     #[serde(default)]
     pub requests: Vec<AnsweredRequest>,
-    /// Orders given, oldest first.
+    /// The audit log, oldest first.
     #[serde(default)]
     pub audit: Vec<AuditEntry>,
 }
 
-/// A drain that is not over.
+/// A drain that has not finished.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SavedDrain {
-    /// Its order.
+    /// The order that started the drain.
     pub order: OrderNumber,
-    /// What it drains.
+    /// The target of the drain.
     pub target: Target,
-    /// Where it was; one that was asked for is in force once it is read back.
+    /// The state at the time of the save. A drain in state asked is in force once it has been restored.
     pub state: State,
-    /// Why.
+    /// The reason given by the operator.
     pub reason: String,
-    /// Who asked.
+    /// The operator, window or round that requested the drain.
     pub who: String,
-    /// When (wall).
+    /// When the drain was requested (wall clock).
     pub asked_wall: Micros,
-    /// What was left of its limit at the saving (µs).
+    /// Time until the limit at the time of the save (µs).
     pub limit_left: Option<Micros>,
-    /// What happens then.
+    /// What to do when the limit passes.
     pub at_limit: AtLimit,
-    /// Whether it has happened.
+    /// Whether the limit has passed and been acted on.
     pub limit_done: bool,
-    /// The policy was overridden.
+    /// Whether the policy was overridden.
     pub forced: bool,
-    /// The window that began it.
+    /// The maintenance window that started the drain.
     pub window: Option<String>,
-    /// The start of that occurrence (wall).
+    /// The start of that occurrence (wall clock).
     pub window_start: Option<Micros>,
 }
 
-/// A round of maintenance.
+/// A maintenance round.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SavedPlan {
-    /// Its order.
+    /// The order that started the round.
     pub order: OrderNumber,
-    /// What it drains.
+    /// The targets, in the order in which they are drained.
     pub targets: Vec<Target>,
-    /// Which is at hand.
+    /// Index of the current target.
     pub at: usize,
-    /// Who asked.
+    /// The operator who requested the round.
     pub who: String,
-    /// Why.
+    /// The reason given by the operator.
     pub reason: String,
-    /// How long an empty target waits (µs).
+    /// Delay after which an empty target returns to service (µs).
     pub pause: Option<Micros>,
-    /// Share of calls that were well served before.
+    /// Share of calls served within the objective before the round.
     pub before: f64,
-    /// Where it was.
+    /// The stage at the time of the save.
     pub stage: Stage,
 }
 
-/// A request by its id, and what was answered: the same one again acts no more.
+/// A request that was answered, kept so that a repetition gets the same answer and is not executed again.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AnsweredRequest {
-    /// The id that the operator's program chose.
+    /// Id chosen by the operator's client.
     pub id: String,
-    /// The command, to tell a repeat from another command under the same id.
+    /// The text of the command, which distinguishes a repetition from another command under the same id.
     pub command: String,
-    /// Whether it was done.
+    /// Whether the command was executed.
     pub done: bool,
-    /// The order's number, if it became one.
+    /// The number of the order, if the request became one.
     pub order: Option<OrderNumber>,
-    /// The answer.
+    /// The text of the answer.
     pub text: String,
 }
 
-/// A line of the audit log.
+/// An entry of the audit log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AuditEntry {
-    /// When (wall).
+    /// Time of the order (wall clock).
     pub wall: Micros,
-    /// Who.
+    /// The operator, window or round that gave the order.
     pub who: String,
-    /// What.
+    /// The text of the command.
     pub what: String,
-    /// The answer.
+    /// The text of the answer.
     pub answer: String,
 }
 
-/// Why a file is of no use.
+/// The reason why a state file cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StateError {
-    /// It has no header of this kind.
-    #[error("not a file of drains")]
+    /// The file has no valid header.
+    #[error("not a drain state file")]
     Foreign,
-    /// A newer program wrote it.
-    #[error("version {0}, and this program reads up to {FORMAT_VERSION}")]
+    /// The file was written by a newer version of the program.
+    #[error("version {0} is newer than {FORMAT_VERSION}, the newest that this program reads")]
     Newer(u32),
-    /// It is shorter or longer than its header says.
-    #[error("{found} bytes where the header says {expected}")]
+    /// The body is shorter or longer than the header says.
+    #[error("the body has {found} bytes, but the header says {expected}")]
     Length {
-        /// Bytes there are.
+        /// Actual length of the body (bytes).
         found: usize,
-        /// Bytes there ought to be.
+        /// Length of the body according to the header (bytes).
         expected: usize,
     },
-    /// It is not what was written.
-    #[error("the checksum does not fit")]
+    /// The body does not match the checksum in the header.
+    #[error("the checksum does not match")]
     Checksum,
-    /// The checksum fits, and it can't be read all the same.
+    /// The body cannot be encoded or, in spite of a matching checksum, decoded.
     #[error("{0}")]
     Body(String),
 }
 
-/// The text of a saving.
+/// Encodes a state file.
 ///
 /// # Errors
-/// If the contents can't be written as TOML, which bounds on all texts and numbers rule out.
+/// Fails if the state cannot be written as TOML, which the bounds on all texts and numbers rule out.
 pub fn encode(generation: u64, saved: &Saved) -> Result<String, StateError> {
     let body = toml::to_string(saved).map_err(|e| StateError::Body(e.to_string()))?;
     let sum = blake3::hash(body.as_bytes()).to_hex();
     Ok(format!("{MAGIC} {FORMAT_VERSION} generation={generation} length={} blake3={sum}\n{body}", body.len()))
 }
 
-/// Reads a saving: its generation and contents.
+/// Decodes a state file and returns its generation and contents.
 ///
 /// # Errors
-/// Says what is wrong with the file.
+/// Describes what is wrong with the file.
 pub fn decode(bytes: &[u8]) -> Result<(u64, Saved), StateError> {
     let text = std::str::from_utf8(bytes).map_err(|_| StateError::Foreign)?;
     let (header, body) = text.split_once('\n').ok_or(StateError::Foreign)?;
@@ -196,7 +197,7 @@
     }
 
     #[test]
-    fn a_saving_is_read_back_and_every_fault_is_told() {
+    fn a_state_file_round_trips_and_every_fault_is_detected() {
         let text = sample();
         assert_eq!(decode(text.as_bytes()).unwrap().0, 7);
         assert_eq!(encode(7, &decode(text.as_bytes()).unwrap().1).unwrap(), text);
@@ -209,12 +210,12 @@
     proptest! {
         #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(5), ..ProptestConfig::default() })]
         #[test]
-        fn no_cut_and_no_flipped_bit_is_taken_for_a_saving(cut in 0usize..400, bit in 0u8..8) {
+        fn truncated_files_and_flipped_bits_are_rejected(cut in 0usize..400, bit in 0u8..8) {
             let mut bytes = sample().into_bytes();
             let at = cut % bytes.len();
             prop_assert!(decode(&bytes[..at]).is_err());
             bytes[at] ^= 1 << bit;
-            // A flipped bit of the generation alone leaves a whole saving, of another number.
+            // The checksum does not cover the generation, so a flipped bit there leaves a valid file.
             if let Ok((_, saved)) = decode(&bytes) {
                 prop_assert_eq!(saved, decode(sample().as_bytes()).unwrap().1);
             }
--- a/crates/drains/src/target.rs
+++ b/crates/drains/src/target.rs
@@ -1,22 +1,23 @@
-//! What can be drained, and what the outside tells of it.
+//! The targets of drains, and the view of the site that drains need.
 
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::str::FromStr;
 
-/// The number of an exchange, as calls name it.
+/// The number of an exchange, as used in calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Exchange(pub u16);
 
-/// What a drain takes out of service.
+/// The target of a drain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub enum Target {
-    /// Everything toward an exchange, whichever machine serves it: as a destination and as a tandem.
+    /// All traffic to an exchange, as a destination and as a tandem, whichever machine serves it.
     Exchange(Exchange),
-    /// The trunk group between the own exchange and that one. Calls for it may go over a tandem.
+    /// The trunk group between the controller's own exchange and this one. Calls to this exchange may still take a
+    /// tandem.
     Group(Exchange),
     /// This controller.
     Controller,
@@ -32,9 +33,9 @@
     }
 }
 
-/// A text that names no target.
+/// The error for a text that does not name a target.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{0:?} is no target: expected exchange:NUMBER, group:NUMBER or controller")]
+#[error("{0:?} is not a drain target: expected exchange:NUMBER, group:NUMBER or controller")]
 pub struct ParseTargetError(pub String);
 
 impl FromStr for Target {
@@ -63,65 +64,65 @@
     }
 }
 
-/// What is still at a target.
+/// The set-ups and calls that remain at a target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
-    /// Set-ups that are out.
+    /// Set-ups that were sent and have not been answered.
     pub pending_setups: u32,
-    /// Calls that stand.
+    /// Established calls.
     pub established: u32,
 }
 
 impl Load {
-    /// Nothing is there.
+    /// Whether no set-ups or calls remain.
     pub fn is_zero(self) -> bool {
         self.pending_setups == 0 && self.established == 0
     }
 }
 
-/// An exchange as the list and the own group toward it show it.
+/// An exchange on the list, with the state of the group to it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Neighbour {
-    /// Its number.
+    /// The number of the exchange.
     pub exchange: Exchange,
-    /// The list has it in service, whatever drains are there.
+    /// Whether the list has the exchange in service, regardless of drains.
     pub ready: bool,
-    /// Free circuits and size of the own group toward it, if that is known.
+    /// Free and total circuits of the group to it, if known.
     pub group: Option<(f64, f64)>,
 }
 
-/// How calls fare: those of the last seconds, but for those that were for what is drained.
+/// The service level of the calls of the last seconds, without calls to drained targets.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Health {
-    /// Calls answered.
+    /// Number of calls answered.
     pub answered: u32,
-    /// Share of them that stand within the aim; 0 if there were none.
+    /// Share of these calls that were established within the latency objective; 0 if there were no calls.
     pub good_share: f64,
 }
 
-/// The site as it stands now; whoever runs a [`crate::registry::DrainRegistry`] shows it to it.
+/// The current state of the site, provided by the owner of a [`crate::registry::DrainRegistry`].
 pub trait Site {
-    /// What is at a target.
+    /// The load of a target.
     fn load(&self, target: Target) -> Load;
-    /// The exchanges on the list, the own one left out.
+    /// The exchanges on the list, without the controller's own.
     fn neighbours(&self) -> Vec<Neighbour>;
-    /// How calls fare.
+    /// The current service level.
     fn health(&self) -> Health;
-    /// Whether a tandem is known to have a group with a destination; `None` where nothing is known.
+    /// Whether a tandem has a group to a destination; `None` if unknown.
     fn linked(&self, tandem: Exchange, destination: Exchange) -> Option<bool>;
 }
 
-/// Two clocks read at the same moment.
+/// The monotonic and the wall clock, read at the same time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Now {
-    /// The program's, which goes on evenly.
+    /// The program's monotonic clock (µs).
     pub steady: Micros,
-    /// The wall's.
+    /// The wall clock (µs since 1970 UTC).
     pub wall: Micros,
 }
 
 impl Now {
-    /// Both clocks, read now.
+    /// Combines readings of the two clocks.
     pub fn new(steady: Micros, wall: Micros) -> Now {
         Now { steady, wall }
     }
@@ -132,13 +133,13 @@
     use super::*;
 
     #[test]
-    fn targets_are_read_as_they_are_written_and_faults_named() {
+    fn targets_round_trip_as_text_and_errors_name_the_expected_form() {
         for t in [Target::Exchange(Exchange(7)), Target::Group(Exchange(0)), Target::Controller] {
             assert_eq!(t.to_string().parse(), Ok(t));
         }
         assert_eq!("exchange 4".parse(), Ok(Target::Exchange(Exchange(4))));
-        for odd in ["", "exchange", "exchange:x", "exchange:70000", "gruop:1", "controller:1"] {
-            assert!(odd.parse::<Target>().unwrap_err().to_string().contains("expected exchange:NUMBER"));
+        for invalid in ["", "exchange", "exchange:x", "exchange:70000", "gruop:1", "controller:1"] {
+            assert!(invalid.parse::<Target>().unwrap_err().to_string().contains("expected exchange:NUMBER"));
         }
     }
 }
--- a/crates/drains/src/windows.rs
+++ b/crates/drains/src/windows.rs
@@ -1,7 +1,7 @@
-//! Maintenance windows: drains that begin and end by the wall's clock.
+//! Maintenance windows: drains that start and end by the wall clock.
 //!
-//! The wall's clock may jump. An occurrence begins once, however often the clock passes its start; and it never
-//! lasts longer than its length by the program's own clock.
+//! The wall clock may jump. Each occurrence of a window starts only once, even if the clock passes its start again,
+//! and never lasts longer than its length by the monotonic clock.
 
 use crate::drain::AtLimit;
 use crate::target::Target;
@@ -10,16 +10,16 @@
 /// A day (µs).
 pub const DAY: Micros = 24 * 3600 * SECOND;
 
-/// When a window is open.
+/// The times at which a window opens.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Schedule {
-    /// Once, from this moment on (wall).
+    /// Once, at this time (wall clock).
     Once(Micros),
-    /// On some days of the week, from the same time of day.
+    /// On some days of the week, at the same time of day.
     Weekly {
-        /// Monday first.
+        /// The days on which the window opens, Monday first.
         days: [bool; 7],
-        /// From midnight UTC (µs).
+        /// Time of day, from midnight UTC (µs).
         from: Micros,
     },
 }
@@ -27,33 +27,32 @@
 /// A maintenance window.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Window {
-    /// Its name; no two have the same.
+    /// The unique name of the window.
     pub name: String,
-    /// What is drained.
+    /// The target that is drained.
     pub target: Target,
-    /// When it is open.
+    /// When the window opens.
     pub schedule: Schedule,
-    /// For how long (µs).
+    /// How long the window stays open (µs).
     pub length: Micros,
-    /// What happens at its end to calls that are still there; the target goes back into service unless this says
-    /// otherwise.
+    /// What to do at the end of the window if calls remain. With [`AtLimit::Restore`] the target returns to service.
     pub at_end: AtLimit,
-    /// The policy is overridden.
+    /// Whether the drain overrides the policy.
     pub force: bool,
 }
 
-/// Day of the week of a moment, Monday 0. 1970 began on a Thursday.
+/// The day of the week of a time, with Monday as 0. 1970-01-01 was a Thursday.
 fn weekday(wall: Micros) -> usize {
     (wall.div_euclid(DAY) + 3).rem_euclid(7) as usize
 }
 
 impl Window {
-    /// The start of the occurrence that is open at `wall`, if one is.
+    /// The start of the occurrence that is open at `wall`, if there is one.
     pub fn open_at(&self, wall: Micros) -> Option<Micros> {
         match &self.schedule {
             Schedule::Once(start) => (*start..start + self.length).contains(&wall).then_some(*start),
             Schedule::Weekly { days, from } => {
-                // One that began on an earlier day may still be open.
+                // An occurrence that started on an earlier day may still be open.
                 let today = wall.div_euclid(DAY) * DAY + from;
                 let starts = (0..=self.length / DAY + 1).map(|back| today - back * DAY);
                 starts.into_iter().find(|&s| days[weekday(s)] && (s..s + self.length).contains(&wall))
@@ -90,7 +89,7 @@
     }
 
     #[test]
-    fn a_weekly_window_is_open_on_its_days_also_past_midnight() {
+    fn a_weekly_window_opens_on_its_days_and_may_last_past_midnight() {
         // 2026-12-01 00:00 UTC, a Tuesday.
         let tuesday = 1_796_083_200 * SECOND;
         assert_eq!(weekday(tuesday), 1);
