--- a/crates/drains/tests/folder.rs
+++ b/crates/drains/tests/folder.rs
@@ -1,4 +1,4 @@
-//! The state folder: a kill before each step of a saving, files that are spoilt, and folders that can't be used.
+//! Tests the state folder: crashes before each step of a save, corrupted files and unusable folders.
 
 use std::fs;
 use std::path::PathBuf;
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_kill_before_any_step_leaves_the_last_saving_or_the_new_one_whole() {
+fn a_crash_before_any_step_leaves_the_previous_or_the_new_save_intact() {
     for (n, step) in SAVE_STEPS.into_iter().enumerate() {
         let path = folder(&format!("kill-{n}"));
         let mut f = Folder::new(&path);
@@ -26,14 +26,14 @@
         let mut after = Folder::new(&path);
         let next = after.load().saved.unwrap().next;
         assert!(next == 2 || next == 3 && n >= 3, "{step:?}: {next}");
-        // And it goes on from there.
+        // Saving works again after the crash.
         after.save(&saved(9)).unwrap();
         assert_eq!(Folder::new(&path).load().saved.unwrap().next, 9, "{step:?}");
     }
 }
 
 #[test]
-fn a_spoilt_newest_file_gives_way_to_the_last_good_one_and_that_is_said() {
+fn a_corrupted_newest_file_falls_back_to_the_last_valid_one_with_a_warning() {
     let path = folder("spoilt");
     let mut f = Folder::new(&path);
     f.save(&saved(1)).unwrap();
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_newer_programs_folder_is_left_as_it_is() {
+fn a_folder_of_a_newer_program_is_left_unchanged() {
     let path = folder("newer");
     let mut f = Folder::new(&path);
     f.save(&saved(1)).unwrap();
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_folder_that_cannot_be_is_an_error_that_names_it() {
+fn a_folder_that_cannot_be_created_is_an_error_that_names_it() {
     let path = folder("file");
     fs::write(&path, "in the way").unwrap();
     let mut f = Folder::new(&path);
--- a/crates/drains/tests/model.rs
+++ b/crates/drains/tests/model.rs
@@ -1,5 +1,5 @@
-//! The drain registry against a site that changes at random: list news, calls, orders, time, clocks that jump,
-//! savings that fail, and restarts. The rules are checked after each step.
+//! Tests the drain registry against a random sequence of list changes, calls, orders, passing time, jumps of the wall
+//! clock, failing saves and restarts. The invariants are checked after each operation.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -17,32 +17,32 @@
 const GRACE: i64 = 250_000;
 
 #[derive(Clone, Debug)]
-enum Do {
+enum Operation {
     Order { id: u8, drain: bool, target: u8, limit: Option<u8>, at: u8, force: bool },
-    Call { target: u8 },
-    End { target: u8 },
-    Listed { exchange: u8, ready: bool },
-    Pass { ms: u16 },
-    Jump { s: i16 },
-    Saved { ok: bool },
+    StartCall { target: u8 },
+    EndCall { target: u8 },
+    ListChange { exchange: u8, ready: bool },
+    PassTime { ms: u16 },
+    JumpWallClock { s: i16 },
+    FinishSave { ok: bool },
     Health { good: u8 },
-    Round { what: u8, targets: Vec<u8> },
+    Round { command: u8, targets: Vec<u8> },
     Restart,
 }
 
-fn steps() -> impl Strategy<Value = Vec<Do>> {
+fn operations() -> impl Strategy<Value = Vec<Operation>> {
     let one = prop_oneof![
         4 => (any::<u8>(), any::<bool>(), 0u8..7, proptest::option::of(1u8..20), 0u8..3, any::<bool>()).prop_map(
-            |(id, drain, target, limit, at, force)| Do::Order { id: id % 40, drain, target, limit, at, force }),
-        6 => (0u8..6).prop_map(|target| Do::Call { target }),
-        5 => (0u8..6).prop_map(|target| Do::End { target }),
-        1 => (1u8..4, any::<bool>()).prop_map(|(exchange, ready)| Do::Listed { exchange, ready }),
-        8 => (1u16..3000).prop_map(|ms| Do::Pass { ms }),
-        1 => any::<i16>().prop_map(|s| Do::Jump { s }),
-        4 => prop::bool::weighted(0.8).prop_map(|ok| Do::Saved { ok }),
-        1 => Just(Do::Restart),
-        1 => prop_oneof![Just(100u8), Just(100), 0u8..100].prop_map(|good| Do::Health { good }),
-        3 => (0u8..4, prop::collection::vec(0u8..6, 0..4)).prop_map(|(what, targets)| Do::Round { what, targets }),
+            |(id, drain, target, limit, at, force)| Operation::Order { id: id % 40, drain, target, limit, at, force }),
+        6 => (0u8..6).prop_map(|target| Operation::StartCall { target }),
+        5 => (0u8..6).prop_map(|target| Operation::EndCall { target }),
+        1 => (1u8..4, any::<bool>()).prop_map(|(exchange, ready)| Operation::ListChange { exchange, ready }),
+        8 => (1u16..3000).prop_map(|ms| Operation::PassTime { ms }),
+        1 => any::<i16>().prop_map(|s| Operation::JumpWallClock { s }),
+        4 => prop::bool::weighted(0.8).prop_map(|ok| Operation::FinishSave { ok }),
+        1 => Just(Operation::Restart),
+        1 => prop_oneof![Just(100u8), Just(100), 0u8..100].prop_map(|good| Operation::Health { good }),
+        3 => (0u8..4, prop::collection::vec(0u8..6, 0..4)).prop_map(|(command, targets)| Operation::Round { command, targets }),
     ];
     prop::collection::vec(one, 1..120)
 }
@@ -56,13 +56,13 @@
 }
 
 #[derive(Default)]
-struct World {
+struct FakeSite {
     calls: BTreeMap<Target, u32>,
     ready: BTreeMap<u16, bool>,
-    good: f64,
+    good_share: f64,
 }
 
-impl Site for World {
+impl Site for FakeSite {
     fn load(&self, target: Target) -> Load {
         Load { pending_setups: 0, established: self.calls.get(&target).copied().unwrap_or(0) }
     }
@@ -71,28 +71,29 @@
         self.ready.iter().map(of).collect()
     }
     fn health(&self) -> Health {
-        Health { answered: 100, good_share: self.good }
+        Health { answered: 100, good_share: self.good_share }
     }
     fn linked(&self, _: Exchange, _: Exchange) -> Option<bool> {
         Some(true)
     }
 }
 
-struct Run {
+struct Harness {
     registry: DrainRegistry,
-    world: World,
+    site: FakeSite,
     steady: i64,
     wall: i64,
-    /// Savings under way, oldest first, and the last one that reached the disk.
-    saving: Vec<(u64, Saved)>,
+    /// Saves that have not finished, oldest first.
+    pending_saves: Vec<(u64, Saved)>,
+    /// The last save that reached the disk.
     disk: Option<Saved>,
-    /// Since when each target is out of service, as the outside was told.
-    out: BTreeMap<Target, i64>,
-    waiting: BTreeSet<WaiterId>,
-    waiters: WaiterId,
-    /// What each request id was first used for, and the orders that it became.
-    ids: BTreeMap<String, (String, BTreeSet<u64>)>,
-    asked: BTreeMap<WaiterId, String>,
+    /// When each target was taken out of service, according to the outputs.
+    out_of_service_since: BTreeMap<Target, i64>,
+    awaiting_answer: BTreeSet<WaiterId>,
+    last_waiter: WaiterId,
+    /// The first command of each request id, and the numbers of the orders it led to.
+    request_uses: BTreeMap<String, (String, BTreeSet<u64>)>,
+    request_ids: BTreeMap<WaiterId, String>,
 }
 
 fn registry() -> DrainRegistry {
@@ -107,21 +108,22 @@
     DrainRegistry::new(Policy { max_concurrent: 2, ..Policy::default() }, vec![window], Some(OWN), true)
 }
 
-impl Run {
-    fn new() -> Run {
-        let world = World { ready: (1..=3).map(|n| (n, true)).collect(), good: 1.0, ..World::default() };
-        Run {
+impl Harness {
+    fn new() -> Harness {
+        let site =
+            FakeSite { ready: (1..=3).map(|n| (n, true)).collect(), good_share: 1.0, ..FakeSite::default() };
+        Harness {
             registry: registry(),
-            world,
+            site,
             steady: 1_000 * SECOND,
             wall: 3_590 * SECOND,
-            saving: Vec::new(),
+            pending_saves: Vec::new(),
             disk: None,
-            out: BTreeMap::new(),
-            waiting: BTreeSet::new(),
-            waiters: 0,
-            ids: BTreeMap::new(),
-            asked: BTreeMap::new(),
+            out_of_service_since: BTreeMap::new(),
+            awaiting_answer: BTreeSet::new(),
+            last_waiter: 0,
+            request_uses: BTreeMap::new(),
+            request_ids: BTreeMap::new(),
         }
     }
 
@@ -129,10 +131,10 @@
         Now::new(self.steady, self.wall)
     }
 
-    fn step(&mut self, what: Do) {
-        let (now, quiet) = (self.now(), Traffic::default());
-        match what {
-            Do::Order { id, drain, target: n, limit, at, force } => {
+    fn apply(&mut self, operation: Operation) {
+        let (now, no_traffic) = (self.now(), Traffic::default());
+        match operation {
+            Operation::Order { id, drain, target: n, limit, at, force } => {
                 let at_limit = [AtLimit::Keep, AtLimit::Restore, AtLimit::Cut][usize::from(at)];
                 let limit = limit.map(|l| i64::from(l) * SECOND);
                 let target = target(n);
@@ -140,103 +142,106 @@
                     true => Command::Drain { target, reason: String::new(), limit, at_limit, force },
                     false => Command::Undrain { target },
                 };
-                self.waiters += 1;
-                self.waiting.insert(self.waiters);
+                self.last_waiter += 1;
+                self.awaiting_answer.insert(self.last_waiter);
                 let request = if id < 10 { String::new() } else { format!("r{id}") };
-                self.asked.insert(self.waiters, request.clone());
+                self.request_ids.insert(self.last_waiter, request.clone());
                 if !request.is_empty() {
-                    let first = self.ids.entry(request.clone()).or_default();
+                    let first = self.request_uses.entry(request.clone()).or_default();
                     if first.0.is_empty() {
                         first.0 = command.to_string();
                     }
                 }
                 let request = OrderRequest { request_id: request, requested_by: "t".into(), command };
-                self.registry.submit(now, request, Some(self.waiters), &quiet, &self.world);
+                self.registry.submit(now, request, Some(self.last_waiter), &no_traffic, &self.site);
             }
-            Do::Health { good } => self.world.good = f64::from(good) / 100.0,
-            Do::Round { what, targets } => {
+            Operation::Health { good } => self.site.good_share = f64::from(good) / 100.0,
+            Operation::Round { command, targets } => {
                 let targets = targets.into_iter().map(target).collect();
-                let command = match what {
+                let command = match command {
                     0 => Command::Round { targets, reason: String::new(), pause: Some(SECOND) },
                     1 => Command::Round { targets, reason: String::new(), pause: None },
                     2 => Command::Next,
                     _ => Command::Halt,
                 };
-                self.waiters += 1;
-                self.waiting.insert(self.waiters);
-                self.asked.insert(self.waiters, String::new());
+                self.last_waiter += 1;
+                self.awaiting_answer.insert(self.last_waiter);
+                self.request_ids.insert(self.last_waiter, String::new());
                 let request = OrderRequest { request_id: String::new(), requested_by: "t".into(), command };
-                self.registry.submit(now, request, Some(self.waiters), &quiet, &self.world);
+                self.registry.submit(now, request, Some(self.last_waiter), &no_traffic, &self.site);
             }
-            // The ledger's rule: nothing new once the grace is over.
-            Do::Call { target: n } => {
+            // As in the ledger, no new calls are sent once the grace period has passed.
+            Operation::StartCall { target: n } => {
                 let t = target(n);
-                if self.out.get(&t).is_none_or(|since| self.steady - since <= GRACE) {
-                    *self.world.calls.entry(t).or_default() += 1;
+                if self.out_of_service_since.get(&t).is_none_or(|since| self.steady - since <= GRACE) {
+                    *self.site.calls.entry(t).or_default() += 1;
                 }
             }
-            Do::End { target: n } => {
-                if let Some(c) = self.world.calls.get_mut(&target(n)) {
+            Operation::EndCall { target: n } => {
+                if let Some(c) = self.site.calls.get_mut(&target(n)) {
                     *c = c.saturating_sub(1);
                 }
             }
-            Do::Listed { exchange, ready } => drop(self.world.ready.insert(exchange.into(), ready)),
-            Do::Pass { ms } => {
+            Operation::ListChange { exchange, ready } => drop(self.site.ready.insert(exchange.into(), ready)),
+            Operation::PassTime { ms } => {
                 let end = self.steady + i64::from(ms) * 1000;
                 while self.steady < end {
                     let next = self.registry.next_evaluation(self.now()).min(end);
-                    assert!(next > self.steady, "it asks to be looked at in the past");
+                    assert!(next > self.steady, "the next evaluation is in the past");
                     self.wall += next - self.steady;
                     self.steady = next;
-                    self.registry.evaluate(self.now(), &quiet, &self.world);
-                    self.take();
+                    self.registry.evaluate(self.now(), &no_traffic, &self.site);
+                    self.process_outputs();
                 }
             }
-            Do::Jump { s } => self.wall += i64::from(s) * SECOND,
-            Do::Saved { ok } => {
-                if !self.saving.is_empty() {
-                    let (n, saved) = self.saving.remove(0);
+            Operation::JumpWallClock { s } => self.wall += i64::from(s) * SECOND,
+            Operation::FinishSave { ok } => {
+                if !self.pending_saves.is_empty() {
+                    let (n, saved) = self.pending_saves.remove(0);
                     if ok {
                         self.disk = Some(saved);
                     }
                     self.registry.save_finished(now, n, if ok { Ok(()) } else { Err("no room".into()) });
                 }
             }
-            Do::Restart => {
-                // What was not on the disk is lost, and so is whoever waited.
+            Operation::Restart => {
+                // State that was not saved is lost, and so are the connections that wait for answers.
                 self.registry = registry();
-                self.saving.clear();
-                self.waiting.clear();
-                self.out.clear();
-                // Requests that were not saved are not known, and may act again.
+                self.pending_saves.clear();
+                self.awaiting_answer.clear();
+                self.out_of_service_since.clear();
+                // Requests that were not saved are forgotten and may be executed again.
                 let kept =
                     |id: &String| self.disk.as_ref().is_some_and(|d| d.requests.iter().any(|r| r.id == *id));
-                self.ids.retain(|id, _| kept(id));
+                self.request_uses.retain(|id, _| kept(id));
                 if let Some(saved) = self.disk.clone() {
                     let before: BTreeSet<Target> = saved.drains.iter().map(|d| d.target).collect();
                     self.registry.resume(now, saved);
                     let after = self.registry.drains().iter().map(|d| d.target).collect();
-                    assert_eq!(before, after, "what was saved is in force at once");
+                    assert_eq!(before, after, "saved drains are in force at once");
                     assert!(self.registry.drains().iter().all(|d| d.state.in_force()));
                 }
             }
         }
-        self.take();
-        self.check();
+        self.process_outputs();
+        self.check_invariants();
     }
 
-    fn take(&mut self) {
+    fn process_outputs(&mut self) {
         for output in self.registry.take_outputs() {
             match output {
-                Output::Save(n, saved) => self.saving.push((n, *saved)),
+                Output::Save(n, saved) => self.pending_saves.push((n, *saved)),
                 Output::Answer(waiter, answer) => {
-                    assert!(self.waiting.remove(&waiter), "answered twice, or nobody asked: {answer:?}");
-                    let request = &self.asked[&waiter];
+                    assert!(
+                        self.awaiting_answer.remove(&waiter),
+                        "answered twice or without a request: {answer:?}"
+                    );
+                    let request = &self.request_ids[&waiter];
                     if let (true, Some(order), Some(id)) =
-                        (answer.done, answer.order, self.ids.get_mut(request))
+                        (answer.done, answer.order, self.request_uses.get_mut(request))
                     {
                         id.1.insert(order);
-                        assert_eq!(id.1.len(), 1, "{request} acted again");
+                        assert_eq!(id.1.len(), 1, "{request} was executed again");
                     }
                 }
                 Output::SetOutOfService(w) => {
@@ -244,28 +249,28 @@
                     let groups = w.groups.iter().map(|&e| Target::Group(e));
                     let own = w.fail_health_checks.then_some(Target::Controller);
                     let now: BTreeSet<Target> = exchanges.chain(groups).chain(own).collect();
-                    self.out.retain(|t, _| now.contains(t));
+                    self.out_of_service_since.retain(|t, _| now.contains(t));
                     for t in now {
-                        self.out.entry(t).or_insert(self.steady);
+                        self.out_of_service_since.entry(t).or_insert(self.steady);
                     }
                 }
-                Output::Cut(t) => drop(self.world.calls.insert(t, 0)),
+                Output::Cut(t) => drop(self.site.calls.insert(t, 0)),
                 Output::Event(_) => {}
             }
         }
     }
 
-    fn check(&self) {
+    fn check_invariants(&self) {
         let in_force: BTreeSet<Target> =
             self.registry.drains().iter().filter(|d| d.state.in_force()).map(|d| d.target).collect();
-        let out: BTreeSet<Target> = self.out.keys().copied().collect();
-        assert_eq!(in_force, out, "what is in force is what the outside was told");
+        let out: BTreeSet<Target> = self.out_of_service_since.keys().copied().collect();
+        assert_eq!(in_force, out, "the outputs match the drains in force");
         let all: Vec<Target> = self.registry.drains().iter().map(|d| d.target).collect();
-        assert_eq!(all.iter().collect::<BTreeSet<_>>().len(), all.len(), "one drain for a target");
+        assert_eq!(all.iter().collect::<BTreeSet<_>>().len(), all.len(), "at most one drain per target");
         for d in self.registry.drains() {
             assert_ne!(d.target, Target::Exchange(OWN));
             if let Some(limit) = d.limit.filter(|_| d.state.in_force()) {
-                // A limit that has passed was acted on at the next look.
+                // A limit that has passed is acted on at the next evaluation.
                 assert!(d.limit_done || self.steady <= limit + SECOND, "{d:?}");
             }
             if d.state == State::Failed {
@@ -277,7 +282,7 @@
             assert!((0.0..=1.0).contains(&d.progress()), "{d:?}");
         }
         if let Some(p) = self.registry.plan() {
-            // A round never has more than the one target at hand drained by itself, and knows which.
+            // A running round drains at most its current target and has a valid index.
             assert!(
                 p.target_index <= p.targets.len()
                     && (p.target_index < p.targets.len()) == p.target().is_some(),
@@ -288,8 +293,8 @@
                 .drains()
                 .iter()
                 .filter(|d| d.reason.starts_with(&format!("round {} ", p.order)));
-            let ours: Vec<Target> = by_round.map(|d| d.target).collect();
-            assert!(p.is_stopped() || ours.len() <= 1, "{ours:?}");
+            let drained_by_round: Vec<Target> = by_round.map(|d| d.target).collect();
+            assert!(p.is_stopped() || drained_by_round.len() <= 1, "{drained_by_round:?}");
         }
         assert!(
             self.registry.audit().count() <= MAX_AUDIT_ENTRIES
@@ -297,14 +302,14 @@
         );
     }
 
-    /// Time passes with no calls left: everything that waits is answered.
-    fn come_to_rest(&mut self) {
-        self.world.calls.clear();
-        self.step(Do::Pass { ms: 3000 });
-        assert!(self.waiting.is_empty(), "{:?} got no answer", self.waiting);
-        // A window may have begun just now, and the controller has a longer grace.
-        let young = |d: &Drain| d.window.is_some() || d.target == Target::Controller;
-        assert!(self.registry.drains().iter().all(|d| d.state == State::Empty || young(d)));
+    /// Lets time pass without calls and checks that every request has been answered.
+    fn settle(&mut self) {
+        self.site.calls.clear();
+        self.apply(Operation::PassTime { ms: 3000 });
+        assert!(self.awaiting_answer.is_empty(), "{:?} got no answer", self.awaiting_answer);
+        // The drain of a window may have just started, and the controller has a longer grace period.
+        let may_still_drain = |d: &Drain| d.window.is_some() || d.target == Target::Controller;
+        assert!(self.registry.drains().iter().all(|d| d.state == State::Empty || may_still_drain(d)));
     }
 }
 
@@ -312,36 +317,36 @@
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, rng_seed: RngSeed::Fixed(8),
         ..ProptestConfig::default() })]
     #[test]
-    fn the_rules_hold_after_each_step(steps in steps()) {
-        let mut run = Run::new();
-        for step in steps {
-            run.step(step);
+    fn invariants_hold_after_each_operation(operations in operations()) {
+        let mut harness = Harness::new();
+        for operation in operations {
+            harness.apply(operation);
         }
-        run.come_to_rest();
+        harness.settle();
     }
 }
 
-fn order(run: &mut Run, id: &str, command: Command) -> WaiterId {
-    run.waiters += 1;
-    run.waiting.insert(run.waiters);
-    run.asked.insert(run.waiters, String::new());
+fn submit(harness: &mut Harness, id: &str, command: Command) -> WaiterId {
+    harness.last_waiter += 1;
+    harness.awaiting_answer.insert(harness.last_waiter);
+    harness.request_ids.insert(harness.last_waiter, String::new());
     let request = OrderRequest { request_id: id.into(), requested_by: "t".into(), command };
-    let (now, waiter) = (run.now(), run.waiters);
-    run.registry.submit(now, request, Some(waiter), &Traffic::default(), &run.world);
+    let (now, waiter) = (harness.now(), harness.last_waiter);
+    harness.registry.submit(now, request, Some(waiter), &Traffic::default(), &harness.site);
     waiter
 }
 
-fn drain_1() -> Command {
+fn drain_exchange_1() -> Command {
     let target = Target::Exchange(Exchange(1));
     Command::Drain { target, reason: String::new(), limit: None, at_limit: AtLimit::Keep, force: false }
 }
 
-fn answers(run: &mut Run) -> Vec<(WaiterId, bool, String)> {
+fn take_answers(harness: &mut Harness) -> Vec<(WaiterId, bool, String)> {
     let mut got = Vec::new();
-    for output in run.registry.take_outputs() {
+    for output in harness.registry.take_outputs() {
         match output {
             Output::Answer(w, a) => got.push((w, a.done, a.text)),
-            Output::Save(n, s) => run.saving.push((n, *s)),
+            Output::Save(n, s) => harness.pending_saves.push((n, *s)),
             _ => {}
         }
     }
@@ -349,133 +354,149 @@
 }
 
 #[test]
-fn a_request_that_comes_again_acts_once_also_after_a_restart() {
-    let mut run = Run::new();
-    order(&mut run, "a", drain_1());
-    let again = order(&mut run, "a", drain_1());
-    let _ = answers(&mut run);
-    assert_eq!(run.registry.drains().len(), 1);
-    let (n, saved) = run.saving.remove(0);
-    run.registry.save_finished(run.now(), n, Ok(()));
-    let got = answers(&mut run);
-    assert!(got.len() == 1 && got[0].0 == again && got[0].1, "the newest connection is answered: {got:?}");
-    // The program dies after the saving and before its answer is read.
-    run.registry = registry();
-    run.registry.resume(run.now(), saved);
-    let third = order(&mut run, "a", drain_1());
-    let got = answers(&mut run);
-    assert!(got[0].0 == third && got[0].1 && run.registry.drains().len() == 1, "{got:?}");
-    order(&mut run, "a", Command::Undrain { target: Target::Exchange(Exchange(1)) });
-    assert!(answers(&mut run)[0].2.contains("used for another command"));
+fn a_repeated_request_is_executed_once_even_after_a_restart() {
+    let mut harness = Harness::new();
+    submit(&mut harness, "a", drain_exchange_1());
+    let again = submit(&mut harness, "a", drain_exchange_1());
+    let _ = take_answers(&mut harness);
+    assert_eq!(harness.registry.drains().len(), 1);
+    let (n, saved) = harness.pending_saves.remove(0);
+    harness.registry.save_finished(harness.now(), n, Ok(()));
+    let got = take_answers(&mut harness);
+    assert!(
+        got.len() == 1 && got[0].0 == again && got[0].1,
+        "the newest connection gets the answer: {got:?}"
+    );
+    // The program crashes after the save and before its answer is read.
+    harness.registry = registry();
+    harness.registry.resume(harness.now(), saved);
+    let third = submit(&mut harness, "a", drain_exchange_1());
+    let got = take_answers(&mut harness);
+    assert!(got[0].0 == third && got[0].1 && harness.registry.drains().len() == 1, "{got:?}");
+    submit(&mut harness, "a", Command::Undrain { target: Target::Exchange(Exchange(1)) });
+    assert!(take_answers(&mut harness)[0].2.contains("used for another command"));
 }
 
 #[test]
-fn of_two_contrary_orders_both_are_told_which_came_last() {
-    let mut run = Run::new();
-    let first = order(&mut run, "a", drain_1());
-    let second = order(&mut run, "b", Command::Undrain { target: Target::Exchange(Exchange(1)) });
-    let got = answers(&mut run);
+fn answers_to_two_conflicting_orders_say_which_came_last() {
+    let mut harness = Harness::new();
+    let first = submit(&mut harness, "a", drain_exchange_1());
+    let second = submit(&mut harness, "b", Command::Undrain { target: Target::Exchange(Exchange(1)) });
+    let got = take_answers(&mut harness);
     assert!(got[0].0 == first && !got[0].1 && got[0].2.contains("came after this one"), "{got:?}");
-    let n = run.saving.last().unwrap().0;
-    run.registry.save_finished(run.now(), n, Ok(()));
-    let got = answers(&mut run);
+    let n = harness.pending_saves.last().unwrap().0;
+    harness.registry.save_finished(harness.now(), n, Ok(()));
+    let got = take_answers(&mut harness);
     assert!(got.len() == 1 && got[0].0 == second && got[0].1 && got[0].2.contains("order 1"), "{got:?}");
-    assert!(run.registry.drains().is_empty() && run.registry.out_of_service().exchanges.is_empty());
+    assert!(harness.registry.drains().is_empty() && harness.registry.out_of_service().exchanges.is_empty());
 }
 
 #[test]
-fn a_disk_that_fails_or_hangs_holds_no_order_up_and_is_told() {
+fn a_failing_or_hanging_disk_delays_no_order_and_is_reported() {
     for hangs in [true, false] {
-        let mut run = Run::new();
-        let waiter = order(&mut run, "a", drain_1());
-        let _ = answers(&mut run);
-        let n = run.saving[0].0;
+        let mut harness = Harness::new();
+        let waiter = submit(&mut harness, "a", drain_exchange_1());
+        let _ = take_answers(&mut harness);
+        let n = harness.pending_saves[0].0;
         match hangs {
             true => {
-                run.steady += SAVE_TIMEOUT;
-                run.registry.evaluate(run.now(), &Traffic::default(), &run.world);
+                harness.steady += SAVE_TIMEOUT;
+                harness.registry.evaluate(harness.now(), &Traffic::default(), &harness.site);
             }
-            false => run.registry.save_finished(run.now(), n, Err("disk full".into())),
+            false => harness.registry.save_finished(harness.now(), n, Err("disk full".into())),
         }
-        let got = answers(&mut run);
+        let got = take_answers(&mut harness);
         assert!(
             got.len() == 1 && got[0].0 == waiter && got[0].1 && got[0].2.contains("not saved"),
             "{got:?}"
         );
-        assert!(run.registry.unsaved() && run.registry.out_of_service().exchanges.contains(&Exchange(1)));
-        run.registry.save_finished(run.now(), n + 1, Ok(()));
-        assert!(!run.registry.unsaved() && answers(&mut run).is_empty());
+        assert!(
+            harness.registry.unsaved() && harness.registry.out_of_service().exchanges.contains(&Exchange(1))
+        );
+        harness.registry.save_finished(harness.now(), n + 1, Ok(()));
+        assert!(!harness.registry.unsaved() && take_answers(&mut harness).is_empty());
     }
 }
 
 #[test]
-fn a_window_begins_once_and_never_outlasts_its_length_though_the_clock_jumps() {
-    let mut run = Run::new();
-    run.step(Do::Pass { ms: 11_000 });
-    assert_eq!(run.registry.drains().len(), 1, "it is 01:00:01");
-    // Back before the start: it goes on, and ends by the program's clock.
-    run.wall -= 7200 * SECOND;
+fn a_window_starts_once_and_never_exceeds_its_length_when_the_clock_jumps() {
+    let mut harness = Harness::new();
+    harness.apply(Operation::PassTime { ms: 11_000 });
+    assert_eq!(harness.registry.drains().len(), 1, "it is 01:00:01");
+    // The wall clock jumps back before the start: the drain continues and ends by the monotonic clock.
+    harness.wall -= 7200 * SECOND;
     for _ in 0..1799 {
-        run.step(Do::Pass { ms: 1000 });
+        harness.apply(Operation::PassTime { ms: 1000 });
     }
-    assert!(run.registry.drains().is_empty());
-    // The same occurrence comes again by the wall's clock, and is over.
-    run.wall = 3_601 * SECOND;
-    run.step(Do::Pass { ms: 3000 });
-    assert!(run.registry.drains().is_empty());
-    // The next one ends early as the clock goes on by an hour.
-    run.wall += 24 * 3600 * SECOND;
-    run.step(Do::Pass { ms: 3000 });
-    assert_eq!(run.registry.drains().len(), 1);
-    run.wall += 3600 * SECOND;
-    run.step(Do::Pass { ms: 3000 });
-    assert!(run.registry.drains().is_empty());
+    assert!(harness.registry.drains().is_empty());
+    // The wall clock passes the start of the same occurrence again: it does not start twice.
+    harness.wall = 3_601 * SECOND;
+    harness.apply(Operation::PassTime { ms: 3000 });
+    assert!(harness.registry.drains().is_empty());
+    // The next occurrence ends early because the wall clock jumps forward by an hour.
+    harness.wall += 24 * 3600 * SECOND;
+    harness.apply(Operation::PassTime { ms: 3000 });
+    assert_eq!(harness.registry.drains().len(), 1);
+    harness.wall += 3600 * SECOND;
+    harness.apply(Operation::PassTime { ms: 3000 });
+    assert!(harness.registry.drains().is_empty());
 }
 
 #[test]
-fn the_guard_puts_back_what_makes_calls_fare_worse_but_never_what_is_empty() {
+fn the_guard_ends_a_drain_that_degrades_service_unless_the_target_is_empty() {
     for empty in [false, true] {
-        let mut run = Run::new();
-        // Far from the window.
-        run.wall += 10_000 * SECOND;
-        run.world.calls.insert(Target::Exchange(Exchange(1)), u32::from(!empty));
-        order(&mut run, "a", drain_1());
-        run.take();
-        let n = run.saving[0].0;
-        run.registry.save_finished(run.now(), n, Ok(()));
-        run.step(Do::Pass { ms: 2000 });
-        run.world.good = 0.5;
+        let mut harness = Harness::new();
+        // The wall clock is far from the maintenance window.
+        harness.wall += 10_000 * SECOND;
+        harness.site.calls.insert(Target::Exchange(Exchange(1)), u32::from(!empty));
+        submit(&mut harness, "a", drain_exchange_1());
+        harness.process_outputs();
+        let n = harness.pending_saves[0].0;
+        harness.registry.save_finished(harness.now(), n, Ok(()));
+        harness.apply(Operation::PassTime { ms: 2000 });
+        harness.site.good_share = 0.5;
         for _ in 0..4 {
-            run.step(Do::Pass { ms: 2000 });
+            harness.apply(Operation::PassTime { ms: 2000 });
         }
-        assert_eq!(run.registry.drains().is_empty(), !empty);
+        assert_eq!(harness.registry.drains().is_empty(), !empty);
     }
 }
 
 #[test]
-fn a_round_goes_on_at_the_word_and_where_it_was_after_a_restart() {
-    let mut run = Run::new();
-    run.wall += 10_000 * SECOND;
+fn a_round_continues_on_command_and_resumes_its_stage_after_a_restart() {
+    let mut harness = Harness::new();
+    harness.wall += 10_000 * SECOND;
     let targets = vec![Target::Exchange(Exchange(1)), Target::Group(Exchange(3))];
-    order(&mut run, "a", Command::Round { targets: targets.clone(), reason: String::new(), pause: None });
-    run.step(Do::Pass { ms: 3000 });
-    run.step(Do::Pass { ms: 3000 });
-    let stage = |run: &Run| run.registry.plan().unwrap().stage.name();
-    assert_eq!(stage(&run), "working");
-    let saved = run.saving.last().unwrap().1.clone();
-    run.registry = registry();
-    run.out.clear();
-    run.registry.resume(run.now(), saved);
-    run.take();
-    assert_eq!((stage(&run), run.registry.drains().len()), ("working", 1));
-    order(&mut run, "b", Command::Next);
-    run.step(Do::Pass { ms: 3000 });
-    assert_eq!((stage(&run), run.registry.drains().len()), ("settling", 0));
+    submit(
+        &mut harness,
+        "a",
+        Command::Round { targets: targets.clone(), reason: String::new(), pause: None },
+    );
+    harness.apply(Operation::PassTime { ms: 3000 });
+    harness.apply(Operation::PassTime { ms: 3000 });
+    let stage = |harness: &Harness| harness.registry.plan().unwrap().stage.name();
+    assert_eq!(stage(&harness), "working");
+    let saved = harness.pending_saves.last().unwrap().1.clone();
+    harness.registry = registry();
+    harness.out_of_service_since.clear();
+    harness.registry.resume(harness.now(), saved);
+    harness.process_outputs();
+    assert_eq!((stage(&harness), harness.registry.drains().len()), ("working", 1));
+    submit(&mut harness, "b", Command::Next);
+    harness.apply(Operation::PassTime { ms: 3000 });
+    assert_eq!((stage(&harness), harness.registry.drains().len()), ("settling", 0));
     for _ in 0..9 {
-        run.step(Do::Pass { ms: 3000 });
+        harness.apply(Operation::PassTime { ms: 3000 });
     }
-    assert_eq!((run.registry.plan().unwrap().target_index, run.registry.drains()[0].target), (1, targets[1]));
-    order(&mut run, "c", Command::Halt);
-    run.step(Do::Pass { ms: 3000 });
-    assert_eq!((stage(&run), run.registry.drains().len()), ("halted", 1), "what is drained stays so");
+    assert_eq!(
+        (harness.registry.plan().unwrap().target_index, harness.registry.drains()[0].target),
+        (1, targets[1])
+    );
+    submit(&mut harness, "c", Command::Halt);
+    harness.apply(Operation::PassTime { ms: 3000 });
+    assert_eq!(
+        (stage(&harness), harness.registry.drains().len()),
+        ("halted", 1),
+        "a drained target stays drained"
+    );
 }
