--- a/crates/drains/src/impact.rs
+++ b/crates/drains/src/impact.rs
@@ -178,25 +178,29 @@
     let observed_time = traffic.covered_time(now);
     let minutes = (observed_time as f64 / 60e6).max(1.0 / 60.0);
     let totals = traffic.totals(now);
-    let mut out = Impact { observed_time, load: site.load(target), ..Impact::default() };
+    let mut result = Impact { observed_time, load: site.load(target), ..Impact::default() };
     let rate = |f: &Flow| f64::from(f.setups) / minutes;
-    let (Target::Exchange(e) | Target::Group(e)) = target else {
-        out.lost_per_minute = totals.values().map(rate).sum();
-        return out;
+    let (Target::Exchange(exchange) | Target::Group(exchange)) = target else {
+        result.lost_per_minute = totals.values().map(rate).sum();
+        return result;
     };
-    let whole_exchange = target == Target::Exchange(e);
-    for ((to, first_hop), f) in totals.iter().filter(|t| t.0 .1 == e || t.0 .0 == e) {
-        if *to == e && whole_exchange {
-            out.lost_per_minute += rate(f);
+    let whole_exchange = target == Target::Exchange(exchange);
+    for ((destination, first_hop), f) in totals.iter().filter(|t| t.0 .1 == exchange || t.0 .0 == exchange) {
+        if *destination == exchange && whole_exchange {
+            result.lost_per_minute += rate(f);
         }
-        if *first_hop == e {
-            *(if *to == e { &mut out.direct_per_minute } else { &mut out.tandem_per_minute }) += rate(f);
+        if *first_hop == exchange {
+            *(if *destination == exchange {
+                &mut result.direct_per_minute
+            } else {
+                &mut result.tandem_per_minute
+            }) += rate(f);
         }
     }
     let neighbours = site.neighbours();
     let mut drained_after = drained.clone();
     drained_after.insert(target);
-    let first_hops = |to: Exchange, out_of_service: &BTreeSet<Target>| -> Vec<Exchange> {
+    let first_hops = |destination: Exchange, out_of_service: &BTreeSet<Target>| -> Vec<Exchange> {
         let usable = |first_hop: Exchange| {
             let drained = [Target::Exchange(first_hop), Target::Group(first_hop)]
                 .iter()
@@ -205,38 +209,39 @@
             let n = neighbours.iter().find(|n| n.exchange == first_hop && n.ready);
             !drained && n.is_some_and(|n| n.group.is_none_or(|g| g.1 >= 1.0))
         };
-        if out_of_service.contains(&Target::Exchange(to)) {
+        if out_of_service.contains(&Target::Exchange(destination)) {
             return Vec::new();
         }
-        if usable(to) {
-            return vec![to];
+        if usable(destination) {
+            return vec![destination];
         }
-        let observed = |t: Exchange| totals.get(&(to, t)).is_some_and(|f| f.established > 0);
-        let leads_to_destination = |t: Exchange| observed(t) || site.linked(t, to).unwrap_or(true);
+        let observed = |t: Exchange| totals.get(&(destination, t)).is_some_and(|f| f.established > 0);
+        let leads_to_destination = |t: Exchange| observed(t) || site.linked(t, destination).unwrap_or(true);
         neighbours
             .iter()
             .map(|n| n.exchange)
-            .filter(|&t| t != to && usable(t) && leads_to_destination(t))
+            .filter(|&t| t != destination && usable(t) && leads_to_destination(t))
             .collect()
     };
     let mut displaced_load: BTreeMap<Exchange, f64> = BTreeMap::new();
     for n in &neighbours {
-        let to = n.exchange;
-        if to == e && whole_exchange {
+        let destination = n.exchange;
+        if destination == exchange && whole_exchange {
             continue;
         }
-        let (hops_before, hops_after) = (first_hops(to, drained), first_hops(to, &drained_after));
+        let (hops_before, hops_after) =
+            (first_hops(destination, drained), first_hops(destination, &drained_after));
         // A destination that is already unreachable is not attributed to this drain.
         if !hops_before.is_empty() && hops_after.is_empty() {
-            out.unreachable.push(to);
+            result.unreachable.push(destination);
         }
-        let Some(f) = totals.get(&(to, e)).filter(|f| f.setups > 0) else { continue };
+        let Some(f) = totals.get(&(destination, exchange)).filter(|f| f.setups > 0) else { continue };
         let erlangs = f.held_time as f64 / observed_time.max(SECOND) as f64;
         for &alternative in &hops_after {
             *displaced_load.entry(alternative).or_default() += erlangs / hops_after.len() as f64;
         }
-        out.displaced.push(DisplacedCalls {
-            destination: to,
+        result.displaced.push(DisplacedCalls {
+            destination,
             per_minute: rate(f),
             erlangs,
             alternatives: hops_after,
@@ -247,9 +252,9 @@
         let Some((free, size)) = known else { continue };
         let busy = (size - free).max(0.0);
         let (blocking_before, blocking_after) = (erlang_b(busy, size), erlang_b(busy + displaced, size));
-        out.groups.push(GroupImpact { group, size, busy, displaced, blocking_before, blocking_after });
+        result.groups.push(GroupImpact { group, size, busy, displaced, blocking_before, blocking_after });
     }
-    out
+    result
 }
 
 #[cfg(test)]
--- a/crates/drains/src/lib.rs
+++ b/crates/drains/src/lib.rs
@@ -8,7 +8,7 @@
 //! targets one at a time, and [`saved`] is the file format in which the state persists across restarts.
 //!
 //! Nothing here reads a clock or does input or output, except [`folder`], which stores the state in files. Individual
-//! calls are not handled here: the routing decision is told what is out of service.
+//! calls are not handled here: the routing module receives the set of targets that are out of service.
 #![forbid(unsafe_code)]
 
 pub mod drain;
--- a/crates/drains/src/plan.rs
+++ b/crates/drains/src/plan.rs
@@ -166,13 +166,13 @@
     pub fn drain_requested(&mut self, now: Micros, result: Result<OrderNumber, String>) {
         match result {
             Ok(order) => self.enter_stage(now, Stage::Draining(order)),
-            Err(why) => self.halt(now, why),
+            Err(reason) => self.halt(now, reason),
         }
     }
 
     /// Halts the round for this reason.
-    pub fn halt(&mut self, now: Micros, why: String) {
-        self.enter_stage(now, Stage::Halted(why));
+    pub fn halt(&mut self, now: Micros, reason: String) {
+        self.enter_stage(now, Stage::Halted(reason));
     }
 
     /// Continues the round at the operator's command: an empty target returns to service, a halted round tries again.
--- a/crates/drains/src/policy.rs
+++ b/crates/drains/src/policy.rs
@@ -68,27 +68,27 @@
     #[error("{0} is the own exchange: drain the controller instead")]
     OwnExchange(Target),
     /// The maximum number of concurrent drains is reached.
-    #[error("{now} drained at once already, and {most} may be: {which} (force overrides)")]
+    #[error("{active} drained at once already, and {max} may be: {targets} (force overrides)")]
     TooMany {
         /// Number of current drains.
-        now: usize,
+        active: usize,
         /// Maximum number of drains.
-        most: usize,
+        max: usize,
         /// Targets of the current drains.
-        which: String,
+        targets: String,
     },
     /// Destinations would become unreachable.
-    #[error("no way would be left to {} (force overrides)", list(.0))]
+    #[error("no way would be left to {} (force overrides)", join_exchanges(.0))]
     Unreachable(Vec<Exchange>),
     /// The remaining groups would block too many calls.
-    #[error("group:{} would block {:.0}% of its calls, more than {:.0}% (force overrides)", .group.0, .blocking * 100.0, .most * 100.0)]
+    #[error("group:{} would block {:.0}% of its calls, more than {:.0}% (force overrides)", .group.0, .blocking * 100.0, .max * 100.0)]
     BlockingTooHigh {
         /// The group with the highest blocking.
         group: Exchange,
         /// Share of calls that it would block.
         blocking: f64,
         /// Maximum share of blocked calls.
-        most: f64,
+        max: f64,
     },
     /// The requested limit (s) is shorter than a second or longer than the maximum (s).
     #[error("limit: {0} s is not from 1 to {1} s")]
@@ -110,8 +110,8 @@
     Superseded(u64, String),
 }
 
-fn list(of: &[Exchange]) -> String {
-    let names: Vec<String> = of.iter().map(|e| format!("exchange:{}", e.0)).collect();
+fn join_exchanges(exchanges: &[Exchange]) -> String {
+    let names: Vec<String> = exchanges.iter().map(|e| format!("exchange:{}", e.0)).collect();
     names.join(", ")
 }
 
@@ -137,23 +137,23 @@
                 requested_by: d.requested_by.clone(),
             });
         }
-        let (Target::Exchange(e) | Target::Group(e)) = target else { return Ok(()) };
-        if Some(e) == own_exchange {
+        let (Target::Exchange(exchange) | Target::Group(exchange)) = target else { return Ok(()) };
+        if Some(exchange) == own_exchange {
             return Err(Denied::OwnExchange(target));
         }
         if force {
             return Ok(());
         }
-        if !site.neighbours().iter().any(|n| n.exchange == e) {
+        if !site.neighbours().iter().any(|n| n.exchange == exchange) {
             return Err(Denied::NotListed(target));
         }
         let others: Vec<&Drain> = drains.iter().filter(|d| d.target != Target::Controller).collect();
         if others.len() >= self.max_concurrent {
-            let which: Vec<String> = others.iter().map(|d| d.target.to_string()).collect();
+            let targets: Vec<String> = others.iter().map(|d| d.target.to_string()).collect();
             return Err(Denied::TooMany {
-                now: others.len(),
-                most: self.max_concurrent,
-                which: which.join(", "),
+                active: others.len(),
+                max: self.max_concurrent,
+                targets: targets.join(", "),
             });
         }
         if !impact.unreachable.is_empty() {
@@ -165,7 +165,7 @@
             Some(g) => Err(Denied::BlockingTooHigh {
                 group: g.group,
                 blocking: g.blocking_after,
-                most: self.max_blocking,
+                max: self.max_blocking,
             }),
             None => Ok(()),
         }
