--- a/crates/drains/src/plan.rs
+++ b/crates/drains/src/plan.rs
@@ -106,6 +106,7 @@
         (self.stage, self.since) = (stage, now);
     }
 
+    /// Whether service is within the margin of the baseline. With too few calls to tell, it counts as healthy.
     fn is_healthy(&self, health: Health) -> bool {
         health.answered < MIN_ANSWERED || health.good_share >= self.baseline - self.margin
     }
