--- a/crates/drains/src/policy.rs
+++ b/crates/drains/src/policy.rs
@@ -1,4 +1,4 @@
-//! What may be drained, and what is turned down unless it is forced.
+//! The rules that decide whether a drain is accepted. Most of them can be overridden by force.
 
 use crate::drain::Drain;
 use crate::impact::Impact;
@@ -8,119 +8,119 @@
 /// The operator's rules for drains.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Policy {
-    /// Exchanges and groups that may be drained at once.
-    pub most_at_once: usize,
-    /// Limit of a drain that names none (µs); `None`: no limit.
-    pub usual_limit: Option<Micros>,
-    /// The longest limit that may be asked for (µs).
-    pub longest: Micros,
-    /// A drain that would push calls onto groups that then block more than this share of them is turned down.
-    pub most_blocking: f64,
-    /// The guard of a drain acts when the share of calls that are well served falls by more than this; 1: never.
+    /// Maximum number of exchanges and groups that are drained at the same time.
+    pub max_concurrent: usize,
+    /// Limit of a drain that was requested without one (µs); `None`: no limit.
+    pub default_limit: Option<Micros>,
+    /// Maximum limit that may be requested (µs).
+    pub max_limit: Micros,
+    /// Maximum estimated blocking of the groups that take displaced calls; a drain that would exceed it is denied.
+    pub max_blocking: f64,
+    /// The guard ends a drain if the share of calls served within the objective falls by more than this; 1: never.
     pub guard_margin: f64,
-    /// It watches for so long (µs).
-    pub guard_span: Micros,
-    /// A reason must be given.
-    pub reason_needed: bool,
-    /// New calls may go to a drained exchange or group for this long after the drain came into force (µs); the
-    /// site's rule on drains sets it.
+    /// How long the guard watches service after a drain was accepted (µs).
+    pub guard_period: Micros,
+    /// Whether a reason must be given.
+    pub reason_required: bool,
+    /// How long new calls may be sent to a drained exchange or group after the drain came into force (µs). The
+    /// site's rules set it.
     pub grace: Micros,
-    /// The same for this controller: callers are turned away by its tests first, and need time to go (µs).
-    pub own_grace: Micros,
+    /// The same for this controller (µs): it first fails the callers' health checks, and callers need time to leave.
+    pub controller_grace: Micros,
 }
 
 impl Default for Policy {
     fn default() -> Self {
         Policy {
-            most_at_once: 1,
-            usual_limit: None,
-            longest: 7 * 24 * 3600 * SECOND,
-            most_blocking: 0.05,
+            max_concurrent: 1,
+            default_limit: None,
+            max_limit: 7 * 24 * 3600 * SECOND,
+            max_blocking: 0.05,
             guard_margin: 0.1,
-            guard_span: 60 * SECOND,
-            reason_needed: false,
+            guard_period: 60 * SECOND,
+            reason_required: false,
             grace: 250_000,
-            own_grace: 3 * SECOND,
+            controller_grace: 3 * SECOND,
         }
     }
 }
 
-/// Why an order was turned down.
+/// The reason why an order was denied.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Denied {
-    /// The target is drained already.
-    #[error("{target} is drained already, by order {order} of {who}")]
-    Already {
-        /// The target.
+    /// The target is already drained.
+    #[error("{target} is drained already, by order {order} of {requested_by}")]
+    AlreadyDrained {
+        /// The target that is drained.
         target: Target,
         /// The order in force.
         order: u64,
-        /// Whose it is.
-        who: String,
+        /// The operator, window or round that requested it.
+        requested_by: String,
     },
-    /// There is no such drain.
+    /// The target is not drained.
     #[error("{0} is not drained")]
     NotDrained(Target),
-    /// The list has no such exchange.
+    /// The exchange is not on the list of exchanges.
     #[error("{0} is not on the list of exchanges (force overrides)")]
-    Unknown(Target),
-    /// The controller's own exchange: nothing is sent to it.
+    NotListed(Target),
+    /// The target is the controller's own exchange, to which no calls are sent.
     #[error("{0} is the own exchange: drain the controller instead")]
-    Own(Target),
-    /// Too many at once.
-    #[error("{now} drained at once already, and {most} may be: {which} (force overrides)")]
+    OwnExchange(Target),
+    /// The maximum number of concurrent drains is reached.
+    #[error("{active} drained at once already, and {max} may be: {targets} (force overrides)")]
     TooMany {
-        /// Those in force.
-        now: usize,
-        /// Those allowed.
-        most: usize,
-        /// Their targets.
-        which: String,
+        /// Number of current drains.
+        active: usize,
+        /// Maximum number of drains.
+        max: usize,
+        /// Targets of the current drains.
+        targets: String,
     },
-    /// Destinations would be left without a way.
-    #[error("no way would be left to {} (force overrides)", list(.0))]
-    NoWay(Vec<Exchange>),
-    /// The remaining groups have no room.
-    #[error("group:{} would block {:.0}% of its calls, more than {:.0}% (force overrides)", .group.0, .blocking * 100.0, .most * 100.0)]
-    NoRoom {
-        /// The group that would be the fullest.
+    /// Destinations would become unreachable.
+    #[error("no way would be left to {} (force overrides)", join_exchanges(.0))]
+    Unreachable(Vec<Exchange>),
+    /// The remaining groups would block too many calls.
+    #[error("group:{} would block {:.0}% of its calls, more than {:.0}% (force overrides)", .group.0, .blocking * 100.0, .max * 100.0)]
+    BlockingTooHigh {
+        /// The group with the highest blocking.
         group: Exchange,
-        /// The share that it would block.
+        /// Share of calls that it would block.
         blocking: f64,
-        /// The share allowed.
-        most: f64,
+        /// Maximum share of blocked calls.
+        max: f64,
     },
-    /// The limit is too long, or none.
+    /// The requested limit (s) is shorter than a second or longer than the maximum (s).
     #[error("limit: {0} s is not from 1 to {1} s")]
-    Limit(Micros, Micros),
-    /// No reason was given.
+    LimitOutOfRange(Micros, Micros),
+    /// The policy requires a reason, and none was given.
     #[error("reason: missing, and the policy wants one")]
     NoReason,
-    /// A text is too long.
+    /// The named text is longer than the maximum (bytes).
     #[error("{0}: longer than {1} bytes")]
     TooLong(&'static str, usize),
-    /// A request id came again with another command.
+    /// A request id was reused for another command.
     #[error("request {0}: the same id was used for another command")]
     IdReused(String),
-    /// There is a round already, or none.
+    /// The round command does not fit the state of the round, or its targets are invalid.
     #[error("{0}")]
     Round(&'static str),
-    /// Another order ended this one before it was saved.
+    /// A later order ended this one before it was saved.
     #[error("order {0} of {1} came after this one and ended it")]
     Superseded(u64, String),
 }
 
-fn list(of: &[Exchange]) -> String {
-    let names: Vec<String> = of.iter().map(|e| format!("exchange:{}", e.0)).collect();
+fn join_exchanges(exchanges: &[Exchange]) -> String {
+    let names: Vec<String> = exchanges.iter().map(|e| format!("exchange:{}", e.0)).collect();
     names.join(", ")
 }
 
 impl Policy {
-    /// Checks a drain that is asked for against those in force and what it would cost. `force` leaves only what
-    /// makes no sense at all.
+    /// Checks a requested drain against the current drains and its estimated impact. With `force`, only drains that
+    /// make no sense at all are denied.
     ///
     /// # Errors
-    /// The first reason to turn it down.
+    /// The first rule that denies the drain.
     pub fn check(
         &self,
         target: Target,
@@ -128,49 +128,58 @@
         drains: &[Drain],
         impact: &Impact,
         site: &dyn Site,
-        own: Option<Exchange>,
+        own_exchange: Option<Exchange>,
     ) -> Result<(), Denied> {
         if let Some(d) = drains.iter().find(|d| d.target == target) {
-            return Err(Denied::Already { target, order: d.order, who: d.who.clone() });
+            return Err(Denied::AlreadyDrained {
+                target,
+                order: d.order,
+                requested_by: d.requested_by.clone(),
+            });
         }
-        let (Target::Exchange(e) | Target::Group(e)) = target else { return Ok(()) };
-        if Some(e) == own {
-            return Err(Denied::Own(target));
+        let (Target::Exchange(exchange) | Target::Group(exchange)) = target else { return Ok(()) };
+        if Some(exchange) == own_exchange {
+            return Err(Denied::OwnExchange(target));
         }
         if force {
             return Ok(());
         }
-        if !site.neighbours().iter().any(|n| n.exchange == e) {
-            return Err(Denied::Unknown(target));
+        if !site.neighbours().iter().any(|n| n.exchange == exchange) {
+            return Err(Denied::NotListed(target));
         }
         let others: Vec<&Drain> = drains.iter().filter(|d| d.target != Target::Controller).collect();
-        if others.len() >= self.most_at_once {
-            let which: Vec<String> = others.iter().map(|d| d.target.to_string()).collect();
+        if others.len() >= self.max_concurrent {
+            let targets: Vec<String> = others.iter().map(|d| d.target.to_string()).collect();
             return Err(Denied::TooMany {
-                now: others.len(),
-                most: self.most_at_once,
-                which: which.join(", "),
+                active: others.len(),
+                max: self.max_concurrent,
+                targets: targets.join(", "),
             });
         }
-        if !impact.no_way.is_empty() {
-            return Err(Denied::NoWay(impact.no_way.clone()));
+        if !impact.unreachable.is_empty() {
+            return Err(Denied::Unreachable(impact.unreachable.clone()));
         }
-        let fullest = impact.groups.iter().max_by(|a, b| a.after.total_cmp(&b.after));
-        match fullest.filter(|g| g.after > self.most_blocking && g.after > g.before) {
-            Some(g) => Err(Denied::NoRoom { group: g.group, blocking: g.after, most: self.most_blocking }),
+        let fullest = impact.groups.iter().max_by(|a, b| a.blocking_after.total_cmp(&b.blocking_after));
+        match fullest.filter(|g| g.blocking_after > self.max_blocking && g.blocking_after > g.blocking_before)
+        {
+            Some(g) => Err(Denied::BlockingTooHigh {
+                group: g.group,
+                blocking: g.blocking_after,
+                max: self.max_blocking,
+            }),
             None => Ok(()),
         }
     }
 
-    /// The limit of a drain that asks for `asked` (µs).
+    /// Returns the limit for a drain whose operator requested `requested` (µs), or the default limit for none.
     ///
     /// # Errors
-    /// If it is not from a second to the longest one allowed.
-    pub fn limit(&self, asked: Option<Micros>) -> Result<Option<Micros>, Denied> {
-        match asked {
-            None => Ok(self.usual_limit),
-            Some(l) if (SECOND..=self.longest).contains(&l) => Ok(Some(l)),
-            Some(l) => Err(Denied::Limit(l / SECOND, self.longest / SECOND)),
+    /// Denied if the limit is shorter than a second or longer than the maximum.
+    pub fn limit(&self, requested: Option<Micros>) -> Result<Option<Micros>, Denied> {
+        match requested {
+            None => Ok(self.default_limit),
+            Some(l) if (SECOND..=self.max_limit).contains(&l) => Ok(Some(l)),
+            Some(l) => Err(Denied::LimitOutOfRange(l / SECOND, self.max_limit / SECOND)),
         }
     }
 }
--- a/src/program/alarms.rs
+++ b/src/program/alarms.rs
@@ -3,9 +3,9 @@
 use super::appliance_file::AlarmMarks;
 use super::views::Scene;
 use crate::routing::interface::Micros;
-use walnuthatch_drains::book::Book;
 use walnuthatch_drains::drain::State;
 use walnuthatch_drains::plan::Stage;
+use walnuthatch_drains::registry::DrainRegistry;
 use walnuthatch_metrics::alarms::{AlarmKey, AlarmRule, Severity};
 use walnuthatch_metrics::service::ServiceWindows;
 
@@ -32,7 +32,7 @@
     marks: &Marks,
     scene: &Scene<'_>,
     service: &ServiceWindows,
-    book: &Book,
+    book: &DrainRegistry,
     wall: Micros,
 ) -> Vec<Look> {
     let mut out = Vec::new();
@@ -86,12 +86,12 @@
     }
     for d in book.drains() {
         let stuck = matches!(d.state, State::Failed | State::Expired);
-        let text = format!("{}: {} calls still stand there", d.state.name(), d.load.standing);
+        let text = format!("{}: {} calls still stand there", d.state.name(), d.load.established);
         add("drain", d.target.to_string(), f64::from(u8::from(stuck)), at_once(Severity::Warning), text);
     }
     for w in book.windows() {
         let begun = book.drains().iter().any(|d| d.window.as_ref().is_some_and(|x| x.0 == w.name));
-        let denied = w.open_at(wall).is_some() && !begun && book.denied(&w.name);
+        let denied = w.open_at(wall).is_some() && !begun && book.window_denied(&w.name);
         let text = "it is open, and its drain was turned down: see the events".to_owned();
         add("window", w.name.clone(), f64::from(u8::from(denied)), at_once(Severity::Warning), text);
     }
--- a/src/program/appliance.rs
+++ b/src/program/appliance.rs
@@ -18,10 +18,10 @@
 use walnuthatch_control::frames::{self, Body, Operation, Topic};
 use walnuthatch_control::sessions::{self, ClientId, PendingRequest, Sessions};
 use walnuthatch_control::views::{self, Event};
-use walnuthatch_drains::book::{self, Book, Command, News, Waiter};
 use walnuthatch_drains::drain::{AtLimit, Drain, State};
 use walnuthatch_drains::impact::Traffic;
 use walnuthatch_drains::plan::{Plan, Stage};
+use walnuthatch_drains::registry::{self, Command, DrainEvent, DrainRegistry, WaiterId};
 use walnuthatch_drains::saved::Saved;
 use walnuthatch_drains::target::{Exchange, Health, Now, Site, Target};
 use walnuthatch_drains::SECOND;
@@ -55,7 +55,7 @@
 
 /// The appliance's state.
 pub struct Appliance {
-    book: Book,
+    book: DrainRegistry,
     traffic: Traffic,
     service: ServiceWindows,
     answers: RollingHistogram,
@@ -66,8 +66,8 @@
     sessions: Sessions,
     /// One message at a time may be on its way to each program.
     queues: HashMap<ClientId, Sender<Vec<u8>>>,
-    waiters: BTreeMap<Waiter, (ClientId, String)>,
-    next_waiter: Waiter,
+    waiters: BTreeMap<WaiterId, (ClientId, String)>,
+    next_waiter: WaiterId,
     events: VecDeque<Event>,
     event_number: u64,
     log: Option<Rc<Log>>,
@@ -111,7 +111,7 @@
     ) -> Self {
         let policy = walnuthatch_drains::policy::Policy { grace: drain_grace, ..config.policy.clone() };
         let keeps = config.folder.is_some();
-        let mut book = Book::new(policy, config.windows.clone(), own.map(|o| Exchange(o.0)), keeps);
+        let mut book = DrainRegistry::new(policy, config.windows.clone(), own.map(|o| Exchange(o.0)), keeps);
         if let Some(saved) = saved {
             book.resume(now, saved);
         }
@@ -161,7 +161,7 @@
 
     /// Whether this controller's tests fail by order.
     pub fn fails_tests(&self) -> bool {
-        self.book.withdrawn().tests
+        self.book.out_of_service().fail_health_checks
     }
 
     /// Counters of its own.
@@ -174,7 +174,7 @@
             ("control.requests", c.requests),
             ("control.cut", c.aborted),
             ("log.lost", self.log.as_ref().map_or(0, |l| l.lost())),
-            ("traffic.not_told_apart", self.traffic.lost),
+            ("traffic.not_told_apart", self.traffic.untracked),
             ("alarms.lost", self.alarms.dropped),
         ]
         .map(|(name, n)| (name.to_owned(), n))
@@ -189,7 +189,7 @@
             LedgerOutput::SetUp { call, office, .. } => {
                 let leg = ledger.withdrawals().exchange_of(*office);
                 let Some((leg, offer)) = leg.zip(ledger.offer_of(*call)) else { return };
-                self.traffic.sent(now, Exchange(offer.ask.destination.0), Exchange(leg.0));
+                self.traffic.record_setup(now, Exchange(offer.ask.destination.0), Exchange(leg.0));
                 if let Some(e) = self.exchanges.entry(leg.0) {
                     e.record_attempt(now);
                 }
@@ -206,7 +206,7 @@
                     Answer::Refused { .. } => self.refusal(*destination, *last),
                     Answer::Stands(_) => {
                         if let Some(Last { leg: Some(leg), took, .. }) = last {
-                            self.traffic.stood(now, Exchange(destination.0), Exchange(leg.0));
+                            self.traffic.record_established(now, Exchange(destination.0), Exchange(leg.0));
                             if let Some(e) = self.exchanges.entry(leg.0) {
                                 e.setup_times.record(now, *took);
                             }
@@ -228,9 +228,9 @@
 
     /// Why a call was refused, as far as its last attempt, or the lack of one, tells.
     fn refusal(&self, destination: ExchangeNo, last: Option<Last>) -> CallOutcome {
-        let w = self.book.withdrawn();
+        let w = self.book.out_of_service();
         match last.and_then(|l| l.how) {
-            _ if w.all || w.exchanges.contains(&Exchange(destination.0)) => CallOutcome::Drained,
+            _ if w.refuse_new_calls || w.exchanges.contains(&Exchange(destination.0)) => CallOutcome::Drained,
             Some((_, Cause::NoCircuit)) => CallOutcome::NoCircuit,
             Some((_, Cause::ProcessorFull(_) | Cause::FarProcessorFull)) => CallOutcome::ProcessorFull,
             Some((_, Cause::TurnedBack)) => CallOutcome::TurnedBack,
@@ -262,7 +262,7 @@
                 self.waiters.retain(|_, w| w.0 != client);
             }
             ControlNews::Saved(n, how) => {
-                self.book.saved(now, n, how);
+                self.book.save_finished(now, n, how);
                 self.follow_book(now);
             }
         }
@@ -280,7 +280,7 @@
         if whole || !self.quiet() {
             let links = std::mem::take(&mut self.links);
             let site = scene.loads().with(&links, self.health());
-            self.book.look(now, &self.traffic, &site);
+            self.book.evaluate(now, &self.traffic, &site);
             if whole {
                 self.each_second(now, scene, &site);
             }
@@ -299,7 +299,7 @@
         let span = now.steady - self.second;
         self.second = now.steady;
         for (leg, to, calls) in site.standing() {
-            self.traffic.held(now.steady, Exchange(to.0), Exchange(leg.0), calls, span);
+            self.traffic.record_held(now.steady, Exchange(to.0), Exchange(leg.0), calls, span);
         }
         let abandoned = scene.ledger.tally().abandoned;
         (self.abandoned..abandoned).for_each(|_| self.service.record(now.steady, CallOutcome::Abandoned));
@@ -337,24 +337,24 @@
     fn health(&self) -> Health {
         let short = self.service.windows()[0];
         let answered = short.answered() - short.get(CallOutcome::Drained);
-        let good = if answered > 0 {
+        let good_share = if answered > 0 {
             f64::from(short.get(CallOutcome::WithinObjective)) / f64::from(answered)
         } else {
             0.0
         };
-        Health { answered, good }
+        Health { answered, good_share }
     }
 
     // ---- What follows ----
 
     /// Nothing is drained, and no round is under way.
     fn quiet(&self) -> bool {
-        self.book.drains().is_empty() && self.book.plan().is_none_or(Plan::rests)
+        self.book.drains().is_empty() && self.book.plan().is_none_or(Plan::is_stopped)
     }
 
     fn plan(&mut self, now: Now) {
         let views = self.sessions.next_view_due().unwrap_or(Micros::MAX);
-        let drains = if self.quiet() { Micros::MAX } else { self.book.next_look(now) };
+        let drains = if self.quiet() { Micros::MAX } else { self.book.next_evaluation(now) };
         let want = views.min(drains).min(self.second + SECOND).max(now.steady + 1);
         if want < self.next || self.next <= now.steady {
             self.next = want;
@@ -365,8 +365,8 @@
     fn follow_book(&mut self, now: Now) {
         for output in self.book.take_outputs() {
             match output {
-                book::Output::Save(n, saved) => self.out.push(Output::Save(n, saved)),
-                book::Output::Answer(waiter, answer) => {
+                registry::Output::Save(n, saved) => self.out.push(Output::Save(n, saved)),
+                registry::Output::Answer(waiter, answer) => {
                     let Some((client, id)) = self.waiters.remove(&waiter) else { continue };
                     let what = match answer.done {
                         true => Ok(Body::Done { order: answer.order.unwrap_or(0), text: answer.text }),
@@ -374,16 +374,16 @@
                     };
                     self.sessions.reply(client, id, what);
                 }
-                book::Output::Apply(w) => self.out.push(Output::Withdraw(Withdrawn {
+                registry::Output::SetOutOfService(w) => self.out.push(Output::Withdraw(Withdrawn {
                     exchanges: exchanges(&w.exchanges),
                     groups: exchanges(&w.groups),
-                    all: w.all,
+                    all: w.refuse_new_calls,
                 })),
-                book::Output::Cut(target) => {
+                registry::Output::Cut(target) => {
                     self.event(now, "drain", format!("{target}: the calls that are left are cut"));
                     self.out.push(Output::Cut(target));
                 }
-                book::Output::Tell(news) => {
+                registry::Output::Event(news) => {
                     let (kind, text) = told(&news);
                     self.event(now, kind, text);
                 }
@@ -519,10 +519,10 @@
         self.next_waiter += 1;
         let waiter = self.next_waiter;
         self.waiters.insert(waiter, (client, id.clone()));
-        let ask = book::Ask { request: id, who, command };
+        let ask = registry::OrderRequest { request_id: id, requested_by: who, command };
         let links = std::mem::take(&mut self.links);
         let site = scene.loads().with(&links, self.health());
-        self.book.order(now, ask, Some(waiter), &self.traffic, &site);
+        self.book.submit(now, ask, Some(waiter), &self.traffic, &site);
         drop(site);
         self.links = links;
         self.follow_book(now);
@@ -550,7 +550,7 @@
             Topic::Service => Body::Service(self.service_view()),
             Topic::Drains => Body::Drains {
                 drains: self.book.drains().iter().map(|d| drain_view(now, d)).collect(),
-                over: self.book.over().map(|d| drain_view(now, d)).collect(),
+                over: self.book.finished().map(|d| drain_view(now, d)).collect(),
                 windows: self.windows(now),
                 round: self.book.plan().map(|p| round_view(now, p)),
             },
@@ -655,7 +655,7 @@
     }
 
     fn audit(&self) -> Body {
-        let of = |a: &walnuthatch_drains::saved::Audit| views::Audit {
+        let of = |a: &walnuthatch_drains::saved::AuditEntry| views::Audit {
             at_ms: a.wall / 1000,
             who: a.who.clone(),
             what: a.what.clone(),
@@ -671,12 +671,12 @@
         Body::Cost(views::Cost {
             target: target.to_string(),
             denied: denied.map(|d| d.to_string()),
-            over_s: seconds(c.over),
+            over_s: seconds(c.observed_time),
             lost_per_minute: c.lost_per_minute,
             direct_per_minute: c.direct_per_minute,
             tandem_per_minute: c.tandem_per_minute,
-            out: c.load.out,
-            standing: c.load.standing,
+            out: c.load.pending_setups,
+            standing: c.load.established,
             displaced: c
                 .displaced
                 .into_iter()
@@ -684,7 +684,7 @@
                     destination: d.destination.0,
                     per_minute: d.per_minute,
                     erlangs: d.erlangs,
-                    ways: d.ways.into_iter().map(|w| w.0).collect(),
+                    ways: d.alternatives.into_iter().map(|w| w.0).collect(),
                 })
                 .collect(),
             groups: c
@@ -694,12 +694,12 @@
                     group: g.group.0,
                     size: g.size,
                     busy: g.busy,
-                    extra: g.extra,
-                    blocking_now: g.before,
-                    blocking_then: g.after,
+                    extra: g.displaced,
+                    blocking_now: g.blocking_before,
+                    blocking_then: g.blocking_after,
                 })
                 .collect(),
-            no_way: c.no_way.into_iter().map(|e| e.0).collect(),
+            no_way: c.unreachable.into_iter().map(|e| e.0).collect(),
         })
     }
 }
@@ -712,13 +712,13 @@
         state: d.state.name().to_owned(),
         for_s: seconds(now.steady - d.since),
         reason: d.reason.clone(),
-        who: d.who.clone(),
-        asked_at_ms: d.asked_wall / 1000,
+        who: d.requested_by.clone(),
+        asked_at_ms: d.requested_wall / 1000,
         limit_left_s: limit.map(|l| seconds(l - now.steady)),
         at_limit: format!("{:?}", d.at_limit).to_lowercase(),
         forced: d.forced,
-        out: d.load.out,
-        standing: d.load.standing,
+        out: d.load.pending_setups,
+        standing: d.load.established,
         progress: d.progress(),
     }
 }
@@ -727,28 +727,28 @@
     views::Round {
         order: p.order,
         targets: p.targets.iter().map(Target::to_string).collect(),
-        done: p.at,
+        done: p.target_index,
         stage: p.stage.name().to_owned(),
         halted: if let Stage::Halted(why) = &p.stage { why.clone() } else { String::new() },
         for_s: seconds(now.steady - p.since),
-        who: p.who.clone(),
+        who: p.requested_by.clone(),
         reason: p.reason.clone(),
     }
 }
 
 /// Of which kind a piece of news is, and its words.
-fn told(news: &News) -> (&'static str, String) {
+fn told(news: &DrainEvent) -> (&'static str, String) {
     match news {
-        News::Moved { order, target, state, load, who } => (
+        DrainEvent::StateChanged { order, target, state, load, requested_by } => (
             "drain",
             format!(
-                "{target}: {} ({} stand, {} out; order {order} of {who})",
+                "{target}: {} ({} stand, {} out; order {order} of {requested_by})",
                 state.name(),
-                load.standing,
-                load.out
+                load.established,
+                load.pending_setups
             ),
         ),
-        News::Guarded { target, before, now } => (
+        DrainEvent::GuardTripped { target, before, now } => (
             "drain",
             format!(
                 "{target}: put back by its guard: {:.0}% of calls are well served, where it was {:.0}%",
@@ -756,13 +756,15 @@
                 before * 100.0
             ),
         ),
-        News::Round { target, stage } => {
+        DrainEvent::RoundAdvanced { target, stage } => {
             let at = target.map_or(String::new(), |t| format!(" at {t}"));
             let why = if let Stage::Halted(why) = stage { format!(": {why}") } else { String::new() };
             ("round", format!("{}{at}{why}", stage.name()))
         }
-        News::WindowDenied { window, why } => ("window", format!("{window} could not begin: {why}")),
-        News::Unsaved(why) => ("state", format!("not saved: {why}")),
-        News::SavedAgain => ("state", "saved again".to_owned()),
+        DrainEvent::WindowDenied { window, reason } => {
+            ("window", format!("{window} could not begin: {reason}"))
+        }
+        DrainEvent::SaveFailed(why) => ("state", format!("not saved: {why}")),
+        DrainEvent::SaveRecovered => ("state", "saved again".to_owned()),
     }
 }
--- a/src/program/appliance_file.rs
+++ b/src/program/appliance_file.rs
@@ -16,7 +16,7 @@
 use walnuthatch_drains::drain::AtLimit;
 use walnuthatch_drains::policy::Policy;
 use walnuthatch_drains::target::Target;
-use walnuthatch_drains::windows::{When, Window};
+use walnuthatch_drains::windows::{Schedule, Window};
 use walnuthatch_drains::SECOND;
 
 /// Where the file lies, from the folder that the program is started in.
@@ -391,20 +391,20 @@
     let windows = windows(c, &f.window);
     let usual = Policy::default();
     let d = &f.drains;
-    let longest = d.longest_s.map_or(usual.longest, |s| Micros::from(s) * SECOND);
+    let longest = d.longest_s.map_or(usual.max_limit, |s| Micros::from(s) * SECOND);
     let usual_limit = d.usual_limit_s.filter(|s| *s > 0).map(|s| Micros::from(s) * SECOND);
     if usual_limit.is_some_and(|l| l > longest) {
         c.add("drains.usual_limit_s", "longer than drains.longest_s");
     }
     let policy = Policy {
-        most_at_once: d.most_at_once.map_or(usual.most_at_once, |n| n as usize),
-        usual_limit,
-        longest,
-        most_blocking: d.most_blocking.unwrap_or(usual.most_blocking),
+        max_concurrent: d.most_at_once.map_or(usual.max_concurrent, |n| n as usize),
+        default_limit: usual_limit,
+        max_limit: longest,
+        max_blocking: d.most_blocking.unwrap_or(usual.max_blocking),
         guard_margin: d.guard_margin.unwrap_or(usual.guard_margin),
-        guard_span: d.guard_s.map_or(usual.guard_span, |s| Micros::from(s) * SECOND),
-        reason_needed: d.reason_needed.unwrap_or(usual.reason_needed),
-        own_grace: d.own_grace_ms.map_or(usual.own_grace, |ms| Micros::from(ms) * 1000),
+        guard_period: d.guard_s.map_or(usual.guard_period, |s| Micros::from(s) * SECOND),
+        reason_required: d.reason_needed.unwrap_or(usual.reason_required),
+        controller_grace: d.own_grace_ms.map_or(usual.controller_grace, |ms| Micros::from(ms) * 1000),
         ..usual
     };
     let platform = platform(c, &f, &nets);
@@ -495,9 +495,9 @@
         }
         let target = w.target.parse::<Target>().map_err(|e| c.add(key("target"), e)).ok();
         let length = Micros::from(w.minutes) * 60 * SECOND;
-        let when = match (&w.once, &w.at, w.days.is_empty()) {
+        let schedule = match (&w.once, &w.at, w.days.is_empty()) {
             (Some(once), None, true) => match once.parse::<jiff::Timestamp>() {
-                Ok(t) => Some(When::Once(t.as_microsecond())),
+                Ok(t) => Some(Schedule::Once(t.as_microsecond())),
                 Err(_) => {
                     c.add(key("once"), format!("found {once:?}, expected a moment, as 2026-12-01T02:00:00Z"));
                     None
@@ -508,7 +508,7 @@
                     let mut days = [false; 7];
                     w.days.iter().for_each(|d| days[*d as usize] = true);
                     let from = (Micros::from(t.hour()) * 60 + Micros::from(t.minute())) * 60 * SECOND;
-                    Some(When::Weekly { days, from })
+                    Some(Schedule::Weekly { days, from })
                 }
                 Err(_) => {
                     c.add(key("at"), format!("found {at:?}, expected a time of day, as 02:00"));
@@ -520,13 +520,13 @@
                 None
             }
         };
-        let (Some(target), Some(when)) = (target, when) else { continue };
+        let (Some(target), Some(schedule)) = (target, schedule) else { continue };
         let at_end = match w.at_end {
             AtEnd::Restore => AtLimit::Restore,
             AtEnd::Keep => AtLimit::Keep,
             AtEnd::Cut => AtLimit::Cut,
         };
-        out.push(Window { name: w.name.clone(), target, when, length, at_end, force: w.force });
+        out.push(Window { name: w.name.clone(), target, schedule, length, at_end, force: w.force });
     }
     out
 }
@@ -611,8 +611,8 @@
     fn a_good_file_is_read_and_one_that_is_off_is_not() {
         let a = read("f", GOOD).unwrap().unwrap();
         assert_eq!(
-            a.windows[0].when,
-            When::Weekly { days: [true, false, false, true, false, false, false], from: 7200 * SECOND }
+            a.windows[0].schedule,
+            Schedule::Weekly { days: [true, false, false, true, false, false, false], from: 7200 * SECOND }
         );
         assert!(a.links.contains(&(ExchangeNo(5), ExchangeNo(4))) && a.list.unwrap().contains("yoff"));
         let config = super::super::config::parse(&a.platform.unwrap()).unwrap();
