--- a/src/planted.rs
+++ b/src/fault_injection.rs
@@ -5,7 +5,7 @@
 
 /// A fault that can be planted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Planted {
+pub enum InjectedFault {
     /// An answer is given twice.
     AnswerTwice,
     /// Set-ups go on to an exchange that drains.
@@ -30,7 +30,7 @@
 
 /// Whether this fault is planted.
 #[cfg(feature = "planted-faults")]
-pub fn planted(fault: Planted) -> bool {
+pub fn fault_injected(fault: InjectedFault) -> bool {
     static NAME: std::sync::OnceLock<Option<String>> = std::sync::OnceLock::new();
     let name = NAME.get_or_init(|| std::env::var("WALNUTHATCH_PLANTED").ok());
     name.as_deref() == Some(&format!("{fault:?}"))
@@ -38,6 +38,6 @@
 
 /// Whether this fault is planted: none ever is in this build.
 #[cfg(not(feature = "planted-faults"))]
-pub const fn planted(_: Planted) -> bool {
+pub const fn fault_injected(_: InjectedFault) -> bool {
     false
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -5,7 +5,7 @@
 //! without input or output, [`transport`] has the sockets, and [`program`] puts them together.
 #![forbid(unsafe_code)]
 
-pub mod planted;
+pub mod fault_injection;
 pub mod program;
 pub mod protocol;
 pub mod routing;
--- a/src/program/switchboard/stop.rs
+++ b/src/program/switchboard/stop.rs
@@ -1,7 +1,7 @@
 //! A stop that was asked for: its phases carried out, and the program's end.
 
 use super::{Due, Switchboard, Task};
-use crate::planted::{planted, Planted};
+use crate::fault_injection::{fault_injected, InjectedFault};
 use crate::routing::interface::Micros;
 use crate::routing::shutdown::{Phase, Shutdown};
 
@@ -60,7 +60,7 @@
         let phase = stop.shutdown.phase(now);
         let (open, standing) = (self.ledger.open_calls(), self.ledger.standing_calls());
         tracing::info!("stop: {phase:?}; {open} calls open, {standing} stand");
-        if planted(Planted::RequestLeftAtStop) && phase < Phase::Over {
+        if fault_injected(InjectedFault::RequestLeftAtStop) && phase < Phase::Over {
             return;
         }
         if phase >= Phase::Draining {
--- a/src/protocol/client/answers.rs
+++ b/src/protocol/client/answers.rs
@@ -18,7 +18,7 @@
                     c.standing += 1;
                     c.proven = true;
                 }
-                if planted(Planted::AnswerTwice) {
+                if fault_injected(InjectedFault::AnswerTwice) {
                     self.tell(conn, Message { text: text.clone(), ..Message::new(Kind::Ready, Some(sid)) });
                 }
                 self.tell(conn, Message { text, ..Message::new(Kind::Ready, Some(sid)) });
--- a/src/protocol/client/mod.rs
+++ b/src/protocol/client/mod.rs
@@ -12,7 +12,7 @@
 
 use super::json_lines::{cause, figures, EarlierLife, Kind, Message, Sid};
 use super::ConnId;
-use crate::planted::{planted, Planted};
+use crate::fault_injection::{fault_injected, InjectedFault};
 use crate::routing::interface::{CallId, ExchangeNo, Micros, NewCall};
 use crate::routing::ledger::{Answer, FrontId, Offer};
 use given_up::GivenUp;
--- a/src/protocol/client/releases.rs
+++ b/src/protocol/client/releases.rs
@@ -6,7 +6,7 @@
     /// The release of a call that stood: on the connection of its set-up, else on another, until it is heard.
     pub fn release(&mut self, now: Micros, call: CallId, cut: bool) {
         let Some(held) = self.remove(call) else { return };
-        if planted(Planted::ReleaseLost) {
+        if fault_injected(InjectedFault::ReleaseLost) {
             return;
         }
         let code = if cut { cause::TEMPORARY_FAILURE } else { cause::NORMAL };
--- a/src/protocol/membership.rs
+++ b/src/protocol/membership.rs
@@ -1,7 +1,7 @@
 //! The coordinator's list of exchanges: the JSON of its events, and the names that the core uses for the
 //! exchanges in it.
 
-use crate::planted::{planted, Planted};
+use crate::fault_injection::{fault_injected, InjectedFault};
 use crate::routing::interface::{ExchangeNo, ListEntry, ListNews, ListState, OfficeId};
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -113,7 +113,7 @@
             let zone = self.zones.iter().position(|z| *z == m.locality).unwrap_or(0).min(255) as u8;
             let state = match m.phase {
                 Phase::Up => ListState::Ready,
-                Phase::Draining if planted(Planted::SetUpAfterDrain) => ListState::Ready,
+                Phase::Draining if fault_injected(InjectedFault::SetUpAfterDrain) => ListState::Ready,
                 Phase::Draining => ListState::Draining,
                 Phase::Removed => ListState::Gone,
             };
--- a/src/protocol/upstream/calls.rs
+++ b/src/protocol/upstream/calls.rs
@@ -40,7 +40,7 @@
             return;
         }
         let Some((sid, leg)) = self.remove_leg(call) else { return };
-        if planted(Planted::LeakedCall) {
+        if fault_injected(InjectedFault::LeakedCall) {
             return;
         }
         match leg.stage {
--- a/src/protocol/upstream/leases.rs
+++ b/src/protocol/upstream/leases.rs
@@ -29,7 +29,7 @@
     pub(super) fn look_at_leases(&mut self, now: Micros, office: OfficeId, meant: Micros) {
         let Some(link) = self.links.get_mut(&office).filter(|l| l.lease_due == Some(meant)) else { return };
         link.lease_due = None;
-        if planted(Planted::NoReleaseForVanished) {
+        if fault_injected(InjectedFault::NoReleaseForVanished) {
             return;
         }
         if now - meant > STOOD_STILL && now - meant < LEASE_GRACE {
--- a/src/protocol/upstream/mod.rs
+++ b/src/protocol/upstream/mod.rs
@@ -14,7 +14,7 @@
 use super::json_lines::{cause, EarlierLife, Kind, Message, Sid};
 use super::membership::Place;
 use super::ConnId;
-use crate::planted::{planted, Planted};
+use crate::fault_injection::{fault_injected, InjectedFault};
 use crate::routing::interface::{
     AttemptNo, CallId, Cause, Ending, ExchangeNo, ListEntry, ListState, LoadReport, Micros, OfficeId,
 };
--- a/src/routing/control/retry.rs
+++ b/src/routing/control/retry.rs
@@ -1,7 +1,7 @@
 //! What becomes of a call whose set-up ended, and which set-ups are called off.
 
 use super::*;
-use crate::planted::{planted, Planted};
+use crate::fault_injection::{fault_injected, InjectedFault};
 
 /// Set-ups that any later one overtook are called off while this share of those out long is lost, not slow.
 const LOST_LEAST: f64 = 0.6;
@@ -19,7 +19,7 @@
             return drop(self.forget(o.call));
         }
         let unclear = matches!(o.ending, Ending::TimedOut | Ending::Reset | Ending::CalledOff);
-        let release = if unclear && !planted(Planted::RetryInQuietPeriod) {
+        let release = if unclear && !fault_injected(InjectedFault::RetryInQuietPeriod) {
             self.settings.release + self.settings.tick
         } else {
             0
--- a/src/routing/control/route.rs
+++ b/src/routing/control/route.rs
@@ -1,7 +1,7 @@
 //! The choice of the route: direct, through a tandem, or none.
 
 use super::*;
-use crate::planted::{planted, Planted};
+use crate::fault_injection::{fault_injected, InjectedFault};
 
 /// Plain turns alone decide while this share of them goes through; 0.35 and 0.6 both scored lower.
 const LUCK_LEAST: f64 = 0.5;
@@ -28,7 +28,7 @@
         let ask = &call.ask;
         let width = f64::from(ask.width);
         let Some(&direct) = self.by_exchange.get(&ask.destination) else { return Route::Closed };
-        if planted(Planted::ColdFlooded) {
+        if fault_injected(InjectedFault::ColdFlooded) {
             let cold = |o: &Office| o.state == ListState::Ready && self.cold_share(now, o).is_some();
             if let Some(i) = self.offices.iter().position(cold) {
                 return Route::Via(i);
--- a/src/routing/ledger.rs
+++ b/src/routing/ledger.rs
@@ -7,7 +7,7 @@
 use super::control::Controller;
 use super::interface::*;
 use super::withdrawals::Withdrawals;
-use crate::planted::{planted, Planted};
+use crate::fault_injection::{fault_injected, InjectedFault};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
@@ -288,7 +288,7 @@
     pub fn new(settings: Settings, seed: u64) -> Self {
         Ledger {
             shortest_aim: settings.classes.iter().map(|c| c.aim).min().unwrap_or(1_000_000).max(1),
-            release: if planted(Planted::RetryInQuietPeriod) { 0 } else { settings.release },
+            release: if fault_injected(InjectedFault::RetryInQuietPeriod) { 0 } else { settings.release },
             drain_grace: settings.drain_grace,
             withdrawals: Withdrawals::new(settings.cold),
             controller: Controller::new(settings, seed),
--- a/src/transport/coordinator.rs
+++ b/src/transport/coordinator.rs
@@ -1,7 +1,7 @@
 //! The coordinator's stream of list events.
 
 use super::Inbound;
-use crate::planted::{planted, Planted};
+use crate::fault_injection::{fault_injected, InjectedFault};
 use crate::protocol::server_events::{Dechunker, EventReader, StreamError};
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
@@ -72,7 +72,7 @@
             Lost::Wish(Wish::WholeList) => last = 0,
             Lost::Wish(Wish::Follow(other)) => {
                 address = other;
-                if planted(Planted::NewsMissedAfterReload) {
+                if fault_injected(InjectedFault::NewsMissedAfterReload) {
                     last = u64::MAX / 2;
                 }
                 continue;
--- a/src/transport/streams.rs
+++ b/src/transport/streams.rs
@@ -2,7 +2,7 @@
 
 use super::outbox::Outbox;
 use super::{ConnNews, Inbound, Side};
-use crate::planted::{planted, Planted};
+use crate::fault_injection::{fault_injected, InjectedFault};
 use crate::protocol::json_lines::{LineSplitter, Message};
 use crate::protocol::upstream::Closing;
 use crate::protocol::ConnId;
@@ -155,7 +155,7 @@
     if side == Side::Callers && closing == Closing::Ours {
         future::or(outbox.until_cut(), see_off(&stream, spent.get())).await;
     }
-    if planted(Planted::LeakedConnection) {
+    if fault_injected(InjectedFault::LeakedConnection) {
         std::mem::forget(stream.get_ref().try_clone());
     }
     drop(stream);
