--- a/src/routing/ledger.rs
+++ b/src/routing/ledger.rs
@@ -165,7 +165,7 @@
 
 /// Why the ledger held back what the module asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum HeldBack {
+pub enum BlockReason {
     /// Another attempt of the call is out, or the call is over.
     SecondAttempt,
     /// The office drains or is gone, or the group toward it is withdrawn, for longer than the grace.
@@ -192,7 +192,7 @@
     /// Set-ups by the way they ended.
     pub endings: BTreeMap<&'static str, u64>,
     /// Set-ups held back to keep a rule.
-    pub held_back: BTreeMap<HeldBack, u64>,
+    pub held_back: BTreeMap<BlockReason, u64>,
     /// Calls that stood and were cut.
     pub cut: u64,
 }
@@ -629,7 +629,7 @@
     /// Sends a set-up, unless a rule forbids it: then the module learns that it was not sent.
     fn start(&mut self, now: Micros, call: CallId, office: OfficeId, timeout: Option<Micros>) {
         let Some(entry) = self.calls.get_mut(&call) else {
-            *self.tally.held_back.entry(HeldBack::SecondAttempt).or_default() += 1;
+            *self.tally.held_back.entry(BlockReason::SecondAttempt).or_default() += 1;
             return;
         };
         let attempt = AttemptNo(entry.attempts);
@@ -639,17 +639,17 @@
             told.drains.into_iter().chain(shut).min().is_some_and(|t| now - t > self.drain_grace)
         };
         let held = if entry.stage != Stage::Deciding {
-            Some(HeldBack::SecondAttempt)
+            Some(BlockReason::SecondAttempt)
         } else if self.offices.get(&office).is_none_or(drained) {
-            Some(HeldBack::Drained)
+            Some(BlockReason::Drained)
         } else if now < entry.quiet_until {
-            Some(HeldBack::Quiet)
+            Some(BlockReason::Quiet)
         } else {
             None
         };
         if let Some(why) = held {
             *self.tally.held_back.entry(why).or_default() += 1;
-            if why != HeldBack::SecondAttempt {
+            if why != BlockReason::SecondAttempt {
                 let (ending, cause) = (Ending::NotSent, Cause::None);
                 let report = LoadReport::default();
                 let o = Outcome { call, attempt, office, ending, cause, took: 0, over: false, report };
