--- a/src/program/appliance.rs
+++ b/src/program/appliance.rs
@@ -301,7 +301,7 @@
         for (leg, to, calls) in site.standing() {
             self.traffic.held(now.steady, Exchange(to.0), Exchange(leg.0), calls, span);
         }
-        let abandoned = scene.ledger.tally().abandoned;
+        let abandoned = scene.ledger.counts().abandoned;
         (self.abandoned..abandoned).for_each(|_| self.service.count(now.steady, Fate::Abandoned));
         self.abandoned = abandoned;
         self.service.advance(now.steady);
--- a/src/program/counters.rs
+++ b/src/program/counters.rs
@@ -3,7 +3,7 @@
 use crate::protocol::client::ClientCounts;
 use crate::protocol::mgcp::agent::AgentCounts;
 use crate::protocol::upstream::UpstreamCounts;
-use crate::routing::ledger::Tally;
+use crate::routing::ledger::LedgerCounts;
 
 /// What the task that owns routing counts itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -41,7 +41,7 @@
 }
 
 /// All counters as names and values, in a fixed order.
-pub fn table(w: &WireCounts, t: &Tally, c: &ClientCounts, l: &UpstreamCounts) -> Vec<(String, u64)> {
+pub fn table(w: &WireCounts, t: &LedgerCounts, c: &ClientCounts, l: &UpstreamCounts) -> Vec<(String, u64)> {
     let mut out: Vec<(String, u64)> = [
         ("calls.offered", t.offered),
         ("calls.stood", t.stood),
--- a/src/program/switchboard.rs
+++ b/src/program/switchboard.rs
@@ -302,7 +302,7 @@
     /// All counters.
     pub fn counters(&self) -> Vec<(String, u64)> {
         let (callers, links) = (self.callers.counts(), self.links.counts());
-        let mut table = counters::table(&self.counts, self.ledger.tally(), &callers, &links);
+        let mut table = counters::table(&self.counts, self.ledger.counts(), &callers, &links);
         if self.config.telemetry.is_some() {
             table.extend(self.exported.table());
         }
--- a/src/routing/ledger.rs
+++ b/src/routing/ledger.rs
@@ -176,7 +176,7 @@
 
 /// What the ledger has counted since its start.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Tally {
+pub struct LedgerCounts {
     /// Calls taken.
     pub offered: u64,
     /// Calls that stood.
@@ -276,7 +276,7 @@
     withdrawals: Withdrawals,
     next: u32,
     out: Vec<Output>,
-    tally: Tally,
+    counts: LedgerCounts,
     /// Calls not yet answered.
     open: usize,
     /// New calls are refused, with this pause.
@@ -296,7 +296,7 @@
             offices: BTreeMap::new(),
             next: 0,
             out: Vec::new(),
-            tally: Tally::default(),
+            counts: LedgerCounts::default(),
             open: 0,
             closed: None,
         }
@@ -322,7 +322,7 @@
             leg: None,
         };
         self.calls.insert(call, entry);
-        self.tally.offered += 1;
+        self.counts.offered += 1;
         self.open += 1;
         if let Some(pause) = self.closed {
             self.finish(call, Answer::Refused { pause }, AnswerReason::Shutdown);
@@ -344,7 +344,7 @@
         }
         if !matches!(entry.stage, Stage::Standing { .. }) {
             self.open -= 1;
-            self.tally.abandoned += 1;
+            self.counts.abandoned += 1;
             self.drive(now, Event::CallerGone(call));
         }
     }
@@ -368,7 +368,7 @@
         let answer = Answer::Stands(text);
         let output = entry.answer(call, answer, AnswerReason::Answered);
         self.open -= 1;
-        self.tally.stood += 1;
+        self.counts.stood += 1;
         self.out.push(output);
         self.drive(now, Event::Stands { call, attempt, office, took: now - since });
         true
@@ -394,14 +394,14 @@
             let front = entry.offer.front;
             self.calls.remove(&call);
             let cut = ending != Ending::Completed;
-            self.tally.cut += u64::from(cut);
+            self.counts.cut += u64::from(cut);
             self.out.push(Output::Release { front, call, cut });
         } else {
             entry.stage = Stage::Deciding;
             if matches!(ending, Ending::TimedOut | Ending::Reset | Ending::CalledOff) {
                 entry.quiet_until = now + self.release;
             }
-            *self.tally.endings.entry(ending_name(ending)).or_default() += 1;
+            *self.counts.endings.entry(ending_name(ending)).or_default() += 1;
             entry.last = Some(Last { leg: entry.leg, took: now - since, how: Some((ending, cause)) });
             self.out.push(Output::AttemptEnded { call, leg: entry.leg, ending, cause });
         }
@@ -555,8 +555,8 @@
     }
 
     /// Counts since the start.
-    pub fn tally(&self) -> &Tally {
-        &self.tally
+    pub fn counts(&self) -> &LedgerCounts {
+        &self.counts
     }
 
     /// What operators took out of service, and the list and groups that it lies over.
@@ -629,7 +629,7 @@
     /// Sends a set-up, unless a rule forbids it: then the module learns that it was not sent.
     fn start(&mut self, now: Micros, call: CallId, office: OfficeId, timeout: Option<Micros>) {
         let Some(entry) = self.calls.get_mut(&call) else {
-            *self.tally.held_back.entry(BlockReason::SecondAttempt).or_default() += 1;
+            *self.counts.held_back.entry(BlockReason::SecondAttempt).or_default() += 1;
             return;
         };
         let attempt = AttemptNo(entry.attempts);
@@ -648,7 +648,7 @@
             None
         };
         if let Some(why) = held {
-            *self.tally.held_back.entry(why).or_default() += 1;
+            *self.counts.held_back.entry(why).or_default() += 1;
             if why != BlockReason::SecondAttempt {
                 let (ending, cause) = (Ending::NotSent, Cause::None);
                 let report = LoadReport::default();
@@ -661,7 +661,7 @@
         let until = timeout.map_or(last, |t| last.min(now + t.max(0)));
         entry.stage = Stage::Out { attempt, office, since: now };
         entry.leg = self.withdrawals.exchange_of(office);
-        self.tally.attempts += 1;
+        self.counts.attempts += 1;
         self.out.push(Output::SetUp { call, attempt, office, wait: (until - now).max(0) });
         self.out.push(Output::Wake(until, LedgerDue::Attempt(call, attempt)));
     }
@@ -685,8 +685,8 @@
             Stage::Deciding => {}
         }
         match answer {
-            Answer::Refused { .. } => self.tally.refused += 1,
-            _ => self.tally.failed += 1,
+            Answer::Refused { .. } => self.counts.refused += 1,
+            _ => self.counts.failed += 1,
         }
         self.out.push(entry.answer(call, answer, reason));
         self.calls.remove(&call);
--- a/tests/models.rs
+++ b/tests/models.rs
@@ -1004,7 +1004,7 @@
     let mut book = book();
     let settled = |book: &mut Book, span| {
         book.step(Step::Pass(span));
-        (book.ledger.tally().stood, book.ledger.tally().failed + book.ledger.tally().refused)
+        (book.ledger.counts().stood, book.ledger.counts().failed + book.ledger.counts().refused)
     };
     [Step::Offer(1, 80 * MS), Step::Offer(2, 80 * MS)].into_iter().for_each(|s| book.step(s));
     assert_eq!(settled(&mut book, 65 * MS), (0, 0));
@@ -1038,9 +1038,9 @@
     );
     book.settle();
     book.step(Step::Pass(390 * MS));
-    assert_eq!(book.ledger.tally().attempts, 0);
+    assert_eq!(book.ledger.counts().attempts, 0);
     book.step(Step::Pass(60 * MS));
-    assert_eq!((book.ledger.tally().attempts, book.ledger.tally().held_back.len()), (1, 0));
+    assert_eq!((book.ledger.counts().attempts, book.ledger.counts().held_back.len()), (1, 0));
 }
 
 #[test]
