--- a/src/program/counters.rs
+++ b/src/program/counters.rs
@@ -44,7 +44,7 @@
 pub fn table(w: &WireCounts, t: &LedgerCounts, c: &ClientCounts, l: &UpstreamCounts) -> Vec<(String, u64)> {
     let mut out: Vec<(String, u64)> = [
         ("calls.offered", t.offered),
-        ("calls.stood", t.stood),
+        ("calls.stood", t.established),
         ("calls.refused", t.refused),
         ("calls.failed", t.failed),
         ("calls.abandoned", t.abandoned),
@@ -90,7 +90,7 @@
     .map(|(name, value)| (name.to_owned(), value))
     .collect();
     out.extend(t.endings.iter().map(|(name, &n)| (format!("attempts.{name}"), n)));
-    out.extend(t.held_back.iter().map(|(why, &n)| (format!("held_back.{why:?}").to_lowercase(), n)));
+    out.extend(t.blocked.iter().map(|(why, &n)| (format!("held_back.{why:?}").to_lowercase(), n)));
     out
 }
 
--- a/src/routing/ledger.rs
+++ b/src/routing/ledger.rs
@@ -180,7 +180,7 @@
     /// Calls taken.
     pub offered: u64,
     /// Calls that stood.
-    pub stood: u64,
+    pub established: u64,
     /// Calls refused.
     pub refused: u64,
     /// Calls failed.
@@ -192,7 +192,7 @@
     /// Set-ups by the way they ended.
     pub endings: BTreeMap<&'static str, u64>,
     /// Set-ups held back to keep a rule.
-    pub held_back: BTreeMap<BlockReason, u64>,
+    pub blocked: BTreeMap<BlockReason, u64>,
     /// Calls that stood and were cut.
     pub cut: u64,
 }
@@ -368,7 +368,7 @@
         let answer = Answer::Stands(text);
         let output = entry.answer(call, answer, AnswerReason::Answered);
         self.open -= 1;
-        self.counts.stood += 1;
+        self.counts.established += 1;
         self.out.push(output);
         self.drive(now, Event::Stands { call, attempt, office, took: now - since });
         true
@@ -629,7 +629,7 @@
     /// Sends a set-up, unless a rule forbids it: then the module learns that it was not sent.
     fn start(&mut self, now: Micros, call: CallId, office: OfficeId, timeout: Option<Micros>) {
         let Some(entry) = self.calls.get_mut(&call) else {
-            *self.counts.held_back.entry(BlockReason::SecondAttempt).or_default() += 1;
+            *self.counts.blocked.entry(BlockReason::SecondAttempt).or_default() += 1;
             return;
         };
         let attempt = AttemptNo(entry.attempts);
@@ -648,7 +648,7 @@
             None
         };
         if let Some(why) = held {
-            *self.counts.held_back.entry(why).or_default() += 1;
+            *self.counts.blocked.entry(why).or_default() += 1;
             if why != BlockReason::SecondAttempt {
                 let (ending, cause) = (Ending::NotSent, Cause::None);
                 let report = LoadReport::default();
--- a/tests/models.rs
+++ b/tests/models.rs
@@ -1004,7 +1004,7 @@
     let mut book = book();
     let settled = |book: &mut Book, span| {
         book.step(Step::Pass(span));
-        (book.ledger.counts().stood, book.ledger.counts().failed + book.ledger.counts().refused)
+        (book.ledger.counts().established, book.ledger.counts().failed + book.ledger.counts().refused)
     };
     [Step::Offer(1, 80 * MS), Step::Offer(2, 80 * MS)].into_iter().for_each(|s| book.step(s));
     assert_eq!(settled(&mut book, 65 * MS), (0, 0));
@@ -1040,7 +1040,7 @@
     book.step(Step::Pass(390 * MS));
     assert_eq!(book.ledger.counts().attempts, 0);
     book.step(Step::Pass(60 * MS));
-    assert_eq!((book.ledger.counts().attempts, book.ledger.counts().held_back.len()), (1, 0));
+    assert_eq!((book.ledger.counts().attempts, book.ledger.counts().blocked.len()), (1, 0));
 }
 
 #[test]
