--- a/src/protocol/json_lines.rs
+++ b/src/protocol/json_lines.rs
@@ -1,7 +1,7 @@
 //! The platform's messages: one JSON object a line.
 
 use crate::routing::interface::{LoadReport, Micros};
-use crate::routing::ledger::Description;
+use crate::routing::ledger::SessionDescription;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::{BTreeMap, HashSet};
@@ -103,7 +103,7 @@
     /// The cause.
     pub code: Option<u16>,
     /// The description.
-    pub text: Option<Description>,
+    pub text: Option<SessionDescription>,
 }
 
 #[derive(Deserialize)]
@@ -162,7 +162,7 @@
         if let Some((name, _)) = attrs.iter().find(|(_, v)| !plain(v)) {
             return Err(LineError::Malformed(format!("field {name} is neither a string nor a number")));
         }
-        let text = raw.text.map(|t| Description(t.into()));
+        let text = raw.text.map(|t| SessionDescription(t.into()));
         Ok(Message { kind: raw.msg, sid, attrs, code: raw.code, text })
     }
 
--- a/src/protocol/mgcp/agent.rs
+++ b/src/protocol/mgcp/agent.rs
@@ -13,7 +13,7 @@
 use crate::routing::interface::{
     AttemptNo, CallId, Cause, Ending, ExchangeNo, ListEntry, ListState, LoadReport, Micros, NewCall, OfficeId,
 };
-use crate::routing::ledger::{Answer, Description, FrontId, Offer};
+use crate::routing::ledger::{Answer, FrontId, Offer, SessionDescription};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -93,7 +93,7 @@
     /// The caller left.
     Left(CallId),
     /// A set-up was answered.
-    Answered(CallId, AttemptNo, Option<Description>),
+    Answered(CallId, AttemptNo, Option<SessionDescription>),
     /// An attempt ended, or a call that stood is over.
     Ended(CallId, AttemptNo, (Ending, Cause)),
     /// Free endpoints of a gateway, and how many there are.
@@ -170,7 +170,7 @@
 #[derive(Clone, Debug, PartialEq)]
 enum Stage {
     Creating,
-    Ringing(Option<Description>),
+    Ringing(Option<SessionDescription>),
     Standing,
 }
 
@@ -556,7 +556,7 @@
     fn created(&mut self, now: Micros, p: usize, id: u64, r: Response) {
         let good = (200..300).contains(&r.code);
         let connection = r.params.get("I").map(str::to_owned);
-        let text = r.sdp.map(|s| Description(s.into()));
+        let text = r.sdp.map(|s| SessionDescription(s.into()));
         if self.ports[p].use_id != id || !self.ports[p].awaits_connection() {
             if good {
                 // Guards against a connection that nobody owns: it was given up while its answer was on the way.
@@ -715,7 +715,7 @@
         now: Micros,
         (call, attempt): (CallId, AttemptNo),
         office: OfficeId,
-        description: Option<&Description>,
+        description: Option<&SessionDescription>,
     ) {
         let Some(g) = self.gateway_of(office) else { return };
         let ports: Vec<usize> = (0..self.ports.len()).filter(|&p| self.ports[p].gateway == g).collect();
--- a/src/protocol/upstream/mod.rs
+++ b/src/protocol/upstream/mod.rs
@@ -18,7 +18,7 @@
 use crate::routing::interface::{
     AttemptNo, CallId, Cause, Ending, ExchangeNo, ListEntry, ListState, LoadReport, Micros, OfficeId,
 };
-use crate::routing::ledger::Description;
+use crate::routing::ledger::SessionDescription;
 use lease::{Generation, Leases};
 use std::collections::{BTreeMap, HashMap};
 
@@ -149,7 +149,7 @@
     /// Come back then.
     Wake(Micros, UpstreamTimer),
     /// A set-up was answered.
-    Answered(CallId, AttemptNo, Option<Description>),
+    Answered(CallId, AttemptNo, Option<SessionDescription>),
     /// An attempt ended, or a call that stood is over.
     Ended(CallId, AttemptNo, (Ending, Cause), LoadReport),
     /// Figures of an exchange.
--- a/src/routing/ledger.rs
+++ b/src/routing/ledger.rs
@@ -22,7 +22,7 @@
 
 /// A session description, carried unchanged from one side to the other.
 #[derive(Clone, Debug, PartialEq, Eq, Default)]
-pub struct Description(pub Rc<str>);
+pub struct SessionDescription(pub Rc<str>);
 
 /// A call as a front offers it.
 #[derive(Clone, Debug, PartialEq)]
@@ -32,14 +32,14 @@
     /// What the module is told; the ledger gives it its id.
     pub ask: NewCall,
     /// The caller's description.
-    pub description: Option<Description>,
+    pub description: Option<SessionDescription>,
 }
 
 /// The one final answer to a call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
     /// It stands, with the description that the far side gave.
-    Stands(Option<Description>),
+    Stands(Option<SessionDescription>),
     /// Refused: trying again is harmless, after the pause.
     Refused {
         /// How long the caller ought to keep away; 0: no advice.
@@ -356,7 +356,7 @@
         now: Micros,
         call: CallId,
         attempt: AttemptNo,
-        text: Option<Description>,
+        text: Option<SessionDescription>,
     ) -> bool {
         let Some(entry) = self.calls.get_mut(&call) else { return false };
         let Stage::Out { attempt: out, office, since } = entry.stage else { return false };
--- a/tests/call_agent.rs
+++ b/tests/call_agent.rs
@@ -9,7 +9,7 @@
 use walnuthatch::protocol::mgcp::transactions::SENDS;
 use walnuthatch::routing::deadlines::Deadlines;
 use walnuthatch::routing::interface::*;
-use walnuthatch::routing::ledger::{Answer, Description, FrontId};
+use walnuthatch::routing::ledger::{Answer, FrontId, SessionDescription};
 
 const MS: Micros = 1_000;
 
@@ -160,7 +160,7 @@
                 let call = CallId(self.next_call);
                 self.next_call += 1;
                 self.legs.insert(call, Call::Open);
-                let text = Description("v=0\r\n".into());
+                let text = SessionDescription("v=0\r\n".into());
                 self.agent.set_up(now, (call, AttemptNo(0)), self.office, Some(&text));
             }
             Step::Clear(i) => {
