--- a/examples/gossip_tables.rs
+++ b/examples/gossip_tables.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use walnuthatch::routing::deadlines::Deadlines;
 use walnuthatch::routing::interface::*;
-use walnuthatch::routing::ledger::{Answer, FrontId, Ledger, LedgerDue, Offer, Output};
+use walnuthatch::routing::ledger::{Answer, FrontendId, Ledger, LedgerDue, Offer, Output};
 use walnuthatch_gossip::bucket::Ceiling;
 use walnuthatch_gossip::lab::{Lab, Net, CEILING};
 use walnuthatch_gossip::node::Output as NodeOutput;
@@ -343,7 +343,7 @@
             via: None,
             not_before: 0,
         };
-        self.sites[i].ledger.offer(self.now, Offer { front: FrontId(0), ask, description: None });
+        self.sites[i].ledger.offer(self.now, Offer { frontend: FrontendId(0), ask, description: None });
         self.follow(i);
     }
 
--- a/src/program/switchboard.rs
+++ b/src/program/switchboard.rs
@@ -17,7 +17,7 @@
 use crate::protocol::ConnId;
 use crate::routing::deadlines::Deadlines;
 use crate::routing::interface::{CallId, ListEntry, ListNews, LoadReport, Micros, PeerNo};
-use crate::routing::ledger::{AnswerReason, FrontId, Ledger, LedgerDue, Output};
+use crate::routing::ledger::{AnswerReason, FrontendId, Ledger, LedgerDue, Output};
 use crate::transport::outbox::Outbox;
 use crate::transport::saver::Saving;
 use crate::transport::{ConnNews, Inbound, Side};
@@ -36,9 +36,9 @@
 use stop::{ListenerState, Stop};
 
 /// The platform's front.
-pub const LINES: FrontId = FrontId(0);
+pub const LINES: FrontendId = FrontendId(0);
 /// The front towards gateways.
-pub const GATEWAYS: FrontId = FrontId(1);
+pub const GATEWAYS: FrontendId = FrontendId(1);
 /// A test passes this long after the start even if an exchange has not been heard of (µs).
 const SETTLE: Micros = 1_500_000;
 /// After an event of the coordinator that can't be used, the whole list is asked for this long after (µs).
@@ -492,14 +492,14 @@
                 Some(agent) if agent.has(office) => agent.clear(now, call, attempt),
                 _ => self.links.clear(now, call, attempt),
             },
-            Output::Answer { front, call, answer, taken, destination, .. } => {
+            Output::Answer { frontend: front, call, answer, taken, destination, .. } => {
                 self.span(call, &answer, (taken, now), destination);
                 match &mut self.agent {
                     Some(agent) if front == GATEWAYS => agent.answer(now, call, &answer),
                     _ => self.callers.answer(now, call, answer),
                 }
             }
-            Output::Release { front, call, cut } => match &mut self.agent {
+            Output::Release { frontend: front, call, cut } => match &mut self.agent {
                 Some(agent) if front == GATEWAYS => agent.release(now, call),
                 _ => self.callers.release(now, call, cut),
             },
--- a/src/program/views.rs
+++ b/src/program/views.rs
@@ -132,7 +132,7 @@
     pub fn calls(&self, search: &str, most: usize) -> (Vec<Call>, usize) {
         let view = |v: CallView| Call {
             call: v.call.0,
-            front: if v.front == GATEWAYS { "gateway" } else { "lines" }.to_owned(),
+            front: if v.frontend == GATEWAYS { "gateway" } else { "lines" }.to_owned(),
             destination: v.destination.0,
             doing: v.doing.to_owned(),
             over: v.leg.map(|e| e.0),
--- a/src/protocol/client/messages.rs
+++ b/src/protocol/client/messages.rs
@@ -109,7 +109,7 @@
             via: via.map(ExchangeNo),
             not_before,
         };
-        Some(Offer { front: self.front, ask, description: message.text.clone() })
+        Some(Offer { frontend: self.front, ask, description: message.text.clone() })
     }
 
     /// The core has taken the call that this connection asked for.
--- a/src/protocol/client/mod.rs
+++ b/src/protocol/client/mod.rs
@@ -14,7 +14,7 @@
 use super::ConnId;
 use crate::fault_injection::{fault_injected, InjectedFault};
 use crate::routing::interface::{CallId, ExchangeNo, Micros, NewCall};
-use crate::routing::ledger::{Answer, FrontId, Offer};
+use crate::routing::ledger::{Answer, FrontendId, Offer};
 use given_up::GivenUp;
 use serde_json::Value;
 use std::collections::{BTreeMap, HashMap};
@@ -186,7 +186,7 @@
 /// The front and what it holds.
 #[derive(Debug)]
 pub struct ClientConnections {
-    front: FrontId,
+    front: FrontendId,
     classes: Vec<String>,
     /// Connections that may be open at once.
     most: usize,
@@ -205,7 +205,7 @@
 
 impl ClientConnections {
     /// A front that knows the names of the classes, in their order, and how many connections it may hold.
-    pub fn new(now: Micros, front: FrontId, classes: Vec<String>, most: usize) -> Self {
+    pub fn new(now: Micros, front: FrontendId, classes: Vec<String>, most: usize) -> Self {
         ClientConnections {
             front,
             classes,
--- a/src/protocol/mgcp/agent.rs
+++ b/src/protocol/mgcp/agent.rs
@@ -13,7 +13,7 @@
 use crate::routing::interface::{
     AttemptNo, CallId, Cause, Ending, ExchangeNo, ListEntry, ListState, LoadReport, Micros, NewCall, OfficeId,
 };
-use crate::routing::ledger::{Answer, FrontId, Offer, SessionDescription};
+use crate::routing::ledger::{Answer, FrontendId, Offer, SessionDescription};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -192,7 +192,7 @@
 /// The call agent.
 #[derive(Debug)]
 pub struct Agent {
-    front: FrontId,
+    front: FrontendId,
     config: AgentConfig,
     ports: Vec<Port>,
     states: Vec<(ListState, Option<Micros>)>,
@@ -212,7 +212,7 @@
 
 impl Agent {
     /// An agent that has sent nothing yet.
-    pub fn new(front: FrontId, config: AgentConfig, seed: u64) -> Self {
+    pub fn new(front: FrontendId, config: AgentConfig, seed: u64) -> Self {
         let mut ports = Vec::new();
         for (gateway, g) in config.gateways.iter().enumerate() {
             for local in &g.endpoints {
@@ -590,7 +590,7 @@
                     via: None,
                     not_before: 0,
                 };
-                let offer = Offer { front: self.front, ask, description: text };
+                let offer = Offer { frontend: self.front, ask, description: text };
                 self.out.push(AgentOutput::Offer(p, Box::new(offer)));
             }
             (Role::Preparing { .. }, false) => {
--- a/src/routing/ledger.rs
+++ b/src/routing/ledger.rs
@@ -18,7 +18,7 @@
 
 /// The front a call came in by; means nothing to the core.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct FrontId(pub u8);
+pub struct FrontendId(pub u8);
 
 /// A session description, carried unchanged from one side to the other.
 #[derive(Clone, Debug, PartialEq, Eq, Default)]
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Offer {
     /// The front that is owed the answer.
-    pub front: FrontId,
+    pub frontend: FrontendId,
     /// What the module is told; the ledger gives it its id.
     pub ask: NewCall,
     /// The caller's description.
@@ -101,7 +101,7 @@
     /// Give the caller its final answer.
     Answer {
         /// The front it is owed to.
-        front: FrontId,
+        frontend: FrontendId,
         /// The call.
         call: CallId,
         /// The answer.
@@ -129,7 +129,7 @@
     /// Tell the caller that a call that stood is over.
     Release {
         /// The front.
-        front: FrontId,
+        frontend: FrontendId,
         /// The call.
         call: CallId,
         /// It did not come to its end by itself.
@@ -240,8 +240,8 @@
 
 impl Entry {
     fn answer(&self, call: CallId, answer: Answer, reason: AnswerReason) -> Output {
-        let (front, destination) = (self.offer.front, self.offer.ask.destination);
-        Output::Answer { front, call, answer, reason, taken: self.taken, destination, last: self.last }
+        let (frontend, destination) = (self.offer.frontend, self.offer.ask.destination);
+        Output::Answer { frontend, call, answer, reason, taken: self.taken, destination, last: self.last }
     }
 }
 
@@ -251,7 +251,7 @@
     /// The call.
     pub call: CallId,
     /// Its front.
-    pub front: FrontId,
+    pub frontend: FrontendId,
     /// Where it goes.
     pub destination: ExchangeNo,
     /// What it is doing.
@@ -391,11 +391,11 @@
             _ => return,
         };
         if over {
-            let front = entry.offer.front;
+            let frontend = entry.offer.frontend;
             self.calls.remove(&call);
             let cut = ending != Ending::Completed;
             self.counts.cut += u64::from(cut);
-            self.out.push(Output::Release { front, call, cut });
+            self.out.push(Output::Release { frontend, call, cut });
         } else {
             entry.stage = Stage::Deciding;
             if matches!(ending, Ending::TimedOut | Ending::Reset | Ending::CalledOff) {
@@ -587,8 +587,8 @@
                 Stage::Out { since, .. } => ("set-up out", e.leg, since),
                 Stage::Standing { since, .. } => ("stands", e.leg, since),
             };
-            let (front, destination) = (e.offer.front, e.offer.ask.destination);
-            CallView { call, front, destination, doing, leg, since }
+            let (frontend, destination) = (e.offer.frontend, e.offer.ask.destination);
+            CallView { call, frontend, destination, doing, leg, since }
         })
     }
 
--- a/tests/call_agent.rs
+++ b/tests/call_agent.rs
@@ -9,7 +9,7 @@
 use walnuthatch::protocol::mgcp::transactions::SENDS;
 use walnuthatch::routing::deadlines::Deadlines;
 use walnuthatch::routing::interface::*;
-use walnuthatch::routing::ledger::{Answer, FrontId, SessionDescription};
+use walnuthatch::routing::ledger::{Answer, FrontendId, SessionDescription};
 
 const MS: Micros = 1_000;
 
@@ -240,7 +240,7 @@
             class: 0,
             patience: 3_000 * MS,
         };
-        let mut agent = Agent::new(FrontId(1), config, 5);
+        let mut agent = Agent::new(FrontendId(1), config, 5);
         let office = agent.entries()[0].office;
         agent.start(0);
         let mut m = Model {
--- a/tests/models.rs
+++ b/tests/models.rs
@@ -10,7 +10,7 @@
 use walnuthatch::protocol::ConnId;
 use walnuthatch::routing::deadlines::Deadlines;
 use walnuthatch::routing::interface::*;
-use walnuthatch::routing::ledger::{Answer, FrontId, Ledger, LedgerDue, Offer, Output};
+use walnuthatch::routing::ledger::{Answer, FrontendId, Ledger, LedgerDue, Offer, Output};
 
 const MS: Micros = 1_000;
 
@@ -489,7 +489,7 @@
 
 impl CallerModel {
     fn new(most: usize) -> Self {
-        let callers = ClientConnections::new(-100_000 * MS, FrontId(0), vec!["a".to_owned()], most);
+        let callers = ClientConnections::new(-100_000 * MS, FrontendId(0), vec!["a".to_owned()], most);
         let (due, conns, calls, owed) = Default::default();
         CallerModel { callers, now: 0, due, conns, next: 0, calls, owed, most }
     }
@@ -742,7 +742,7 @@
 }
 
 fn front_with_connection() -> (ClientConnections, ConnId) {
-    let mut callers = ClientConnections::new(0, FrontId(0), vec!["a".to_owned()], 6);
+    let mut callers = ClientConnections::new(0, FrontendId(0), vec!["a".to_owned()], 6);
     callers.opened(0, ConnId(0));
     (callers, ConnId(0))
 }
@@ -767,7 +767,7 @@
 
 #[test]
 fn a_connection_beyond_the_limit_has_its_first_set_up_answered() {
-    let mut callers = ClientConnections::new(0, FrontId(0), vec!["a".to_owned()], 1);
+    let mut callers = ClientConnections::new(0, FrontendId(0), vec!["a".to_owned()], 1);
     callers.opened(0, ConnId(0));
     assert!(matches!(set_up(&mut callers, 0, ConnId(0), 6), Ask::Offer(..)));
     callers.taken(ConnId(0), Sid(6), None, CallId(1));
@@ -912,7 +912,7 @@
         match step {
             Step::Offer(to, patience) => {
                 let ask = new_call(to, patience);
-                let call = self.ledger.offer(now, Offer { front: FrontId(0), ask, description: None });
+                let call = self.ledger.offer(now, Offer { frontend: FrontendId(0), ask, description: None });
                 let (deadline, out, stands, quiet) = (now + patience, None, false, 0);
                 self.calls.insert(call, Held { deadline, out, stands, quiet });
             }
@@ -1015,7 +1015,7 @@
 #[test]
 fn a_request_that_comes_again_is_not_attempted_before_its_quiet_period() {
     let mut callers =
-        ClientConnections::new(0, FrontId(0), vec!["a".to_owned()], 6).with_quiet_period(505 * MS);
+        ClientConnections::new(0, FrontendId(0), vec!["a".to_owned()], 6).with_quiet_period(505 * MS);
     let not_before = |ask: Ask| match ask {
         Ask::Offer(_, _, offer) => offer.ask.not_before,
         other => panic!("{other:?}"),
@@ -1031,7 +1031,7 @@
     let mut book = book();
     let start = book.now;
     let ask = NewCall { not_before: start + 400 * MS, ..new_call(1, 3_000 * MS) };
-    let call = book.ledger.offer(start, Offer { front: FrontId(0), ask, description: None });
+    let call = book.ledger.offer(start, Offer { frontend: FrontendId(0), ask, description: None });
     book.calls.insert(
         call,
         Held { deadline: start + 3_000 * MS, out: None, stands: false, quiet: start + 400 * MS },
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -1,7 +1,7 @@
 //! The phases of a stop, and what the ledger does with calls that come in them.
 
 use walnuthatch::routing::interface::*;
-use walnuthatch::routing::ledger::{Answer, AnswerReason, FrontId, Ledger, Offer, Output};
+use walnuthatch::routing::ledger::{Answer, AnswerReason, FrontendId, Ledger, Offer, Output};
 use walnuthatch::routing::shutdown::{Phase, Shutdown};
 
 const MS: Micros = 1_000;
@@ -22,7 +22,7 @@
         via: None,
         not_before: 0,
     };
-    Offer { front: FrontId(0), ask, description: None }
+    Offer { frontend: FrontendId(0), ask, description: None }
 }
 
 #[test]
--- a/tests/withdrawals.rs
+++ b/tests/withdrawals.rs
@@ -67,7 +67,7 @@
         via: None,
         not_before: 0,
     };
-    let call = l.offer(now, Offer { front: FrontId(0), ask, description: None });
+    let call = l.offer(now, Offer { frontend: FrontendId(0), ask, description: None });
     (call, l.take_outputs())
 }
 
