--- a/src/program/switchboard.rs
+++ b/src/program/switchboard.rs
@@ -492,15 +492,15 @@
                 Some(agent) if agent.has(office) => agent.clear(now, call, attempt),
                 _ => self.links.clear(now, call, attempt),
             },
-            Output::Answer { frontend: front, call, answer, taken, destination, .. } => {
+            Output::Answer { frontend, call, answer, taken, destination, .. } => {
                 self.span(call, &answer, (taken, now), destination);
                 match &mut self.agent {
-                    Some(agent) if front == GATEWAYS => agent.answer(now, call, &answer),
+                    Some(agent) if frontend == GATEWAYS => agent.answer(now, call, &answer),
                     _ => self.callers.answer(now, call, answer),
                 }
             }
-            Output::Release { frontend: front, call, cut } => match &mut self.agent {
-                Some(agent) if front == GATEWAYS => agent.release(now, call),
+            Output::Release { frontend, call, cut } => match &mut self.agent {
+                Some(agent) if frontend == GATEWAYS => agent.release(now, call),
                 _ => self.callers.release(now, call, cut),
             },
             Output::AttemptEnded { .. } => {}
