--- a/examples/gossip_tables.rs
+++ b/examples/gossip_tables.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use walnuthatch::routing::deadlines::Deadlines;
 use walnuthatch::routing::interface::*;
-use walnuthatch::routing::ledger::{Answer, FrontendId, Ledger, LedgerDue, Offer, Output};
+use walnuthatch::routing::ledger::{Answer, FrontendId, Ledger, LedgerDue, OfferedCall, Output};
 use walnuthatch_gossip::bucket::Ceiling;
 use walnuthatch_gossip::lab::{Lab, Net, CEILING};
 use walnuthatch_gossip::node::Output as NodeOutput;
@@ -274,7 +274,10 @@
         match output {
             Output::SetUp { call, attempt, office, .. } => {
                 let j = usize::from(office.addr[3]);
-                let to = self.sites[i].ledger.offer_of(call).map_or(j, |o| usize::from(o.ask.destination.0));
+                let to = self.sites[i]
+                    .ledger
+                    .offered_call(call)
+                    .map_or(j, |o| usize::from(o.new_call.destination.0));
                 *self.busy.entry(Model::pair(i, j)).or_default() += 1;
                 self.sites[i].out.insert(call, (attempt, office, j));
                 if self.hangs(j) || self.hangs(to) {
@@ -343,7 +346,9 @@
             via: None,
             not_before: 0,
         };
-        self.sites[i].ledger.offer(self.now, Offer { frontend: FrontendId(0), ask, description: None });
+        self.sites[i]
+            .ledger
+            .offer(self.now, OfferedCall { frontend: FrontendId(0), new_call: ask, description: None });
         self.follow(i);
     }
 
--- a/src/program/appliance.rs
+++ b/src/program/appliance.rs
@@ -188,8 +188,8 @@
         match output {
             LedgerOutput::SetUp { call, office, .. } => {
                 let leg = ledger.withdrawals().exchange_of(*office);
-                let Some((leg, offer)) = leg.zip(ledger.offer_of(*call)) else { return };
-                self.traffic.sent(now, Exchange(offer.ask.destination.0), Exchange(leg.0));
+                let Some((leg, offer)) = leg.zip(ledger.offered_call(*call)) else { return };
+                self.traffic.sent(now, Exchange(offer.new_call.destination.0), Exchange(leg.0));
                 if let Some(e) = self.exchanges.of(leg.0) {
                     e.sent(now);
                 }
@@ -211,7 +211,7 @@
                                 e.set_ups.count(now, *took);
                             }
                         }
-                        let class = ledger.offer_of(*call).map_or(0, |o| o.ask.class);
+                        let class = ledger.offered_call(*call).map_or(0, |o| o.new_call.class);
                         let aim = aims.get(class).copied().unwrap_or(Micros::MAX);
                         if now - taken <= aim {
                             Fate::InAim
--- a/src/program/gossip.rs
+++ b/src/program/gossip.rs
@@ -76,7 +76,7 @@
         match output {
             LedgerOutput::SetUp { call, office, .. } => {
                 let leg = ledger.withdrawals().exchange_of(*office);
-                let to = ledger.offer_of(*call).map(|o| o.ask.destination);
+                let to = ledger.offered_call(*call).map(|o| o.new_call.destination);
                 if let Some(leg) = leg.filter(|l| Some(*l) == to) {
                     self.out.insert(*call, exchange(leg));
                     self.node.sent(now, exchange(leg), u64::from(call.0));
@@ -107,7 +107,7 @@
                 }
             }
             // Its caller left; an attempt that this side gave up is told to have ended besides.
-            LedgerOutput::Clear { call, .. } if ledger.offer_of(*call).is_none() => {
+            LedgerOutput::Clear { call, .. } if ledger.offered_call(*call).is_none() => {
                 if let Some(e) = self.out.remove(call) {
                     self.node.dropped(now, e, u64::from(call.0));
                 }
--- a/src/program/switchboard.rs
+++ b/src/program/switchboard.rs
@@ -375,7 +375,7 @@
     fn caller(&mut self, now: Micros, conn: ConnId, message: Message) {
         match self.callers.message(now, conn, message) {
             Ask::Offer(sid, key, offer) => {
-                let (class, left) = (offer.ask.class, offer.ask.patience);
+                let (class, left) = (offer.new_call.class, offer.new_call.patience);
                 tracing::debug!(target: CALLS, %sid, conn = conn.0, class, left, "taken");
                 let call = self.ledger.offer(now, *offer);
                 self.callers.taken(conn, sid, key, call);
@@ -479,7 +479,7 @@
         match output {
             Output::SetUp { call, attempt, office, wait } => match &mut self.agent {
                 Some(agent) if agent.has(office) => {
-                    let description = self.ledger.offer_of(call).and_then(|o| o.description.as_ref());
+                    let description = self.ledger.offered_call(call).and_then(|o| o.description.as_ref());
                     agent.set_up(now, (call, attempt), office, description);
                 }
                 _ => {
@@ -609,8 +609,8 @@
     }
 
     fn set_up_message(&mut self, call: CallId, wait: Micros) -> Option<Message> {
-        let offer = self.ledger.offer_of(call)?;
-        let class = self.config.classes.get(offer.ask.class)?.clone();
+        let offer = self.ledger.offered_call(call)?;
+        let class = self.config.classes.get(offer.new_call.class)?.clone();
         let (sid, key) = match self.callers.particulars(call) {
             Some(known) => known,
             None => {
--- a/src/protocol/client/messages.rs
+++ b/src/protocol/client/messages.rs
@@ -78,7 +78,7 @@
         }
     }
 
-    pub(super) fn offer(&self, message: &Message, not_before: Micros) -> Option<Offer> {
+    pub(super) fn offer(&self, message: &Message, not_before: Micros) -> Option<OfferedCall> {
         let class = message.field("class")?;
         let class = self.classes.iter().position(|c| *c == class)?;
         let patience = message.millis("left").filter(|&p| p <= PATIENCE)?;
@@ -109,7 +109,7 @@
             via: via.map(ExchangeNo),
             not_before,
         };
-        Some(Offer { frontend: self.front, ask, description: message.text.clone() })
+        Some(OfferedCall { frontend: self.front, new_call: ask, description: message.text.clone() })
     }
 
     /// The core has taken the call that this connection asked for.
--- a/src/protocol/client/mod.rs
+++ b/src/protocol/client/mod.rs
@@ -14,7 +14,7 @@
 use super::ConnId;
 use crate::fault_injection::{fault_injected, InjectedFault};
 use crate::routing::interface::{CallId, ExchangeNo, Micros, NewCall};
-use crate::routing::ledger::{Answer, FrontendId, Offer};
+use crate::routing::ledger::{Answer, FrontendId, OfferedCall};
 use given_up::GivenUp;
 use serde_json::Value;
 use std::collections::{BTreeMap, HashMap};
@@ -50,7 +50,7 @@
 #[derive(Debug, PartialEq)]
 pub enum Ask {
     /// Offer this call to the core, and then [`ClientConnections::taken`].
-    Offer(Sid, Option<Value>, Box<Offer>),
+    Offer(Sid, Option<Value>, Box<OfferedCall>),
     /// The caller gave this call up, or released it.
     Left(CallId),
     /// The caller released a call of this program's earlier life.
--- a/src/protocol/mgcp/agent.rs
+++ b/src/protocol/mgcp/agent.rs
@@ -13,7 +13,7 @@
 use crate::routing::interface::{
     AttemptNo, CallId, Cause, Ending, ExchangeNo, ListEntry, ListState, LoadReport, Micros, NewCall, OfficeId,
 };
-use crate::routing::ledger::{Answer, FrontendId, Offer, SessionDescription};
+use crate::routing::ledger::{Answer, FrontendId, OfferedCall, SessionDescription};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -89,7 +89,7 @@
     /// Come back then.
     Wake(Micros, AgentDue),
     /// Offer this call to the core, and then [`Agent::taken`] with the port.
-    Offer(usize, Box<Offer>),
+    Offer(usize, Box<OfferedCall>),
     /// The caller left.
     Left(CallId),
     /// A set-up was answered.
@@ -590,7 +590,7 @@
                     via: None,
                     not_before: 0,
                 };
-                let offer = Offer { frontend: self.front, ask, description: text };
+                let offer = OfferedCall { frontend: self.front, new_call: ask, description: text };
                 self.out.push(AgentOutput::Offer(p, Box::new(offer)));
             }
             (Role::Preparing { .. }, false) => {
--- a/src/routing/ledger.rs
+++ b/src/routing/ledger.rs
@@ -26,11 +26,11 @@
 
 /// A call as a front offers it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Offer {
+pub struct OfferedCall {
     /// The front that is owed the answer.
     pub frontend: FrontendId,
     /// What the module is told; the ledger gives it its id.
-    pub ask: NewCall,
+    pub new_call: NewCall,
     /// The caller's description.
     pub description: Option<SessionDescription>,
 }
@@ -78,7 +78,7 @@
 /// What is to be done on a wire.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Send a set-up; [`Ledger::offer_of`] has the call's particulars.
+    /// Send a set-up; [`Ledger::offered_call`] has the call's particulars.
     SetUp {
         /// The call.
         call: CallId,
@@ -209,7 +209,7 @@
 
 #[derive(Debug)]
 struct Entry {
-    offer: Offer,
+    offer: OfferedCall,
     taken: Micros,
     deadline: Micros,
     stage: Stage,
@@ -240,7 +240,7 @@
 
 impl Entry {
     fn answer(&self, call: CallId, answer: Answer, reason: AnswerReason) -> Output {
-        let (frontend, destination) = (self.offer.frontend, self.offer.ask.destination);
+        let (frontend, destination) = (self.offer.frontend, self.offer.new_call.destination);
         Output::Answer { frontend, call, answer, reason, taken: self.taken, destination, last: self.last }
     }
 }
@@ -305,19 +305,19 @@
     // ---- What fronts and wires tell ----
 
     /// Takes a call. From here on it is owed one final answer.
-    pub fn offer(&mut self, now: Micros, mut offer: Offer) -> CallId {
+    pub fn offer(&mut self, now: Micros, mut offer: OfferedCall) -> CallId {
         let call = CallId(self.next);
         self.next = self.next.wrapping_add(1);
-        offer.ask.call = call;
-        let ask = offer.ask.clone();
-        let deadline = now.saturating_add(ask.patience.max(0));
+        offer.new_call.call = call;
+        let new_call = offer.new_call.clone();
+        let deadline = now.saturating_add(new_call.patience.max(0));
         let entry = Entry {
             offer,
             taken: now,
             deadline,
             stage: Stage::Deciding,
             attempts: 0,
-            quiet_until: ask.not_before,
+            quiet_until: new_call.not_before,
             last: None,
             leg: None,
         };
@@ -329,7 +329,7 @@
             return call;
         }
         self.out.push(Output::Wake(deadline - ANSWER_EARLY, LedgerDue::Call(call)));
-        self.drive(now, Event::Call(ask));
+        self.drive(now, Event::Call(new_call));
         call
     }
 
@@ -450,7 +450,7 @@
     /// Releases the calls that stand and that `which` picks by their first leg and destination, towards both sides.
     pub fn cut(&mut self, now: Micros, which: impl Fn(Option<ExchangeNo>, ExchangeNo) -> bool) {
         let of = |(&call, e): (&CallId, &Entry)| match e.stage {
-            Stage::Standing { attempt, office, .. } if which(e.leg, e.offer.ask.destination) => {
+            Stage::Standing { attempt, office, .. } if which(e.leg, e.offer.new_call.destination) => {
                 Some((call, attempt, office))
             }
             _ => None,
@@ -540,7 +540,7 @@
     // ---- What may be asked ----
 
     /// The call as it was offered, while it is open or stands.
-    pub fn offer_of(&self, call: CallId) -> Option<&Offer> {
+    pub fn offered_call(&self, call: CallId) -> Option<&OfferedCall> {
         self.calls.get(&call).map(|e| &e.offer)
     }
 
@@ -569,7 +569,7 @@
         let mut loads: BTreeMap<_, (u32, u32)> = BTreeMap::new();
         for e in self.calls.values() {
             let Some(leg) = e.leg else { continue };
-            let at = (leg, e.offer.ask.destination);
+            let at = (leg, e.offer.new_call.destination);
             match e.stage {
                 Stage::Out { .. } => loads.entry(at).or_default().0 += 1,
                 Stage::Standing { .. } => loads.entry(at).or_default().1 += 1,
@@ -587,7 +587,7 @@
                 Stage::Out { since, .. } => ("set-up out", e.leg, since),
                 Stage::Standing { since, .. } => ("stands", e.leg, since),
             };
-            let (frontend, destination) = (e.offer.frontend, e.offer.ask.destination);
+            let (frontend, destination) = (e.offer.frontend, e.offer.new_call.destination);
             CallView { call, frontend, destination, doing, leg, since }
         })
     }
--- a/tests/models.rs
+++ b/tests/models.rs
@@ -10,7 +10,7 @@
 use walnuthatch::protocol::ConnId;
 use walnuthatch::routing::deadlines::Deadlines;
 use walnuthatch::routing::interface::*;
-use walnuthatch::routing::ledger::{Answer, FrontendId, Ledger, LedgerDue, Offer, Output};
+use walnuthatch::routing::ledger::{Answer, FrontendId, Ledger, LedgerDue, OfferedCall, Output};
 
 const MS: Micros = 1_000;
 
@@ -912,7 +912,9 @@
         match step {
             Step::Offer(to, patience) => {
                 let ask = new_call(to, patience);
-                let call = self.ledger.offer(now, Offer { frontend: FrontendId(0), ask, description: None });
+                let call = self
+                    .ledger
+                    .offer(now, OfferedCall { frontend: FrontendId(0), new_call: ask, description: None });
                 let (deadline, out, stands, quiet) = (now + patience, None, false, 0);
                 self.calls.insert(call, Held { deadline, out, stands, quiet });
             }
@@ -1017,7 +1019,7 @@
     let mut callers =
         ClientConnections::new(0, FrontendId(0), vec!["a".to_owned()], 6).with_quiet_period(505 * MS);
     let not_before = |ask: Ask| match ask {
-        Ask::Offer(_, _, offer) => offer.ask.not_before,
+        Ask::Offer(_, _, offer) => offer.new_call.not_before,
         other => panic!("{other:?}"),
     };
     callers.opened(0, ConnId(0));
@@ -1031,7 +1033,8 @@
     let mut book = book();
     let start = book.now;
     let ask = NewCall { not_before: start + 400 * MS, ..new_call(1, 3_000 * MS) };
-    let call = book.ledger.offer(start, Offer { frontend: FrontendId(0), ask, description: None });
+    let call =
+        book.ledger.offer(start, OfferedCall { frontend: FrontendId(0), new_call: ask, description: None });
     book.calls.insert(
         call,
         Held { deadline: start + 3_000 * MS, out: None, stands: false, quiet: start + 400 * MS },
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -1,15 +1,15 @@
 //! The phases of a stop, and what the ledger does with calls that come in them.
 
 use walnuthatch::routing::interface::*;
-use walnuthatch::routing::ledger::{Answer, AnswerReason, FrontendId, Ledger, Offer, Output};
+use walnuthatch::routing::ledger::{Answer, AnswerReason, FrontendId, Ledger, OfferedCall, Output};
 use walnuthatch::routing::shutdown::{Phase, Shutdown};
 
 const MS: Micros = 1_000;
 /// SIGKILL comes this long after the longest deadline.
 const KILL: Micros = 700 * MS;
 
-fn offer(patience: Micros) -> Offer {
-    let ask = NewCall {
+fn offer(patience: Micros) -> OfferedCall {
+    let new_call = NewCall {
         call: CallId(0),
         destination: ExchangeNo(1),
         transit: false,
@@ -22,7 +22,7 @@
         via: None,
         not_before: 0,
     };
-    Offer { frontend: FrontendId(0), ask, description: None }
+    OfferedCall { frontend: FrontendId(0), new_call, description: None }
 }
 
 #[test]
@@ -76,6 +76,6 @@
         assert_eq!(outputs.iter().filter(|o| refused(o)).count(), 1);
         assert!(!outputs.iter().any(|o| matches!(o, Output::SetUp { .. })));
     }
-    assert!(ledger.offer_of(first).is_some());
+    assert!(ledger.offered_call(first).is_some());
     assert_eq!(ledger.open_calls(), 1);
 }
--- a/tests/withdrawals.rs
+++ b/tests/withdrawals.rs
@@ -54,7 +54,7 @@
 }
 
 fn offer(l: &mut Ledger, now: Micros, to: u16) -> (CallId, Vec<Output>) {
-    let ask = NewCall {
+    let new_call = NewCall {
         call: CallId(0),
         destination: ExchangeNo(to),
         transit: false,
@@ -67,7 +67,7 @@
         via: None,
         not_before: 0,
     };
-    let call = l.offer(now, Offer { frontend: FrontendId(0), ask, description: None });
+    let call = l.offer(now, OfferedCall { frontend: FrontendId(0), new_call, description: None });
     (call, l.take_outputs())
 }
 
