--- a/examples/gossip_tables.rs
+++ b/examples/gossip_tables.rs
@@ -304,12 +304,12 @@
                     _ => n.dropped(now, e, call),
                 });
             }
-            Output::Answer { call, answer, taken, destination, last, .. } => {
+            Output::Answer { call, answer, taken, destination, last_attempt: last, .. } => {
                 let other = usize::from(usize::from(destination.0) != HUNG);
                 if let Answer::Stands(_) = answer {
                     self.good[other] += u32::from(now - taken <= 1_200_000);
                     if let Some(last) = last {
-                        let (e, took) = (Exchange(last.leg.map_or(0, |l| l.0)), last.took);
+                        let (e, took) = (Exchange(last.exchange.map_or(0, |l| l.0)), last.setup_time);
                         self.tell(i, |n, now| n.answered(now, e, u64::from(call.0), took));
                     }
                 }
--- a/src/program/appliance.rs
+++ b/src/program/appliance.rs
@@ -10,7 +10,7 @@
 use super::log::Log;
 use super::views::{Loads, Scene, CALLS};
 use crate::routing::interface::{Cause, Ending, ExchangeNo, Micros, Withdrawn};
-use crate::routing::ledger::{Answer, Last, Ledger, Output as LedgerOutput};
+use crate::routing::ledger::{Answer, LastAttempt, Ledger, Output as LedgerOutput};
 use crate::transport::ControlNews;
 use async_channel::Sender;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -199,13 +199,13 @@
                     e.turned_away += 1;
                 }
             }
-            LedgerOutput::Answer { call, answer, taken, destination, last, .. } => {
+            LedgerOutput::Answer { call, answer, taken, destination, last_attempt: last, .. } => {
                 self.answers.count(now, now - taken);
                 let fate = match answer {
                     Answer::Failed => Fate::Failed,
                     Answer::Refused { .. } => self.refusal(*destination, *last),
                     Answer::Stands(_) => {
-                        if let Some(Last { leg: Some(leg), took, .. }) = last {
+                        if let Some(LastAttempt { exchange: Some(leg), setup_time: took, .. }) = last {
                             self.traffic.stood(now, Exchange(destination.0), Exchange(leg.0));
                             if let Some(e) = self.exchanges.of(leg.0) {
                                 e.set_ups.count(now, *took);
@@ -227,9 +227,9 @@
     }
 
     /// Why a call was refused, as far as its last attempt, or the lack of one, tells.
-    fn refusal(&self, destination: ExchangeNo, last: Option<Last>) -> Fate {
+    fn refusal(&self, destination: ExchangeNo, last: Option<LastAttempt>) -> Fate {
         let w = self.book.withdrawn();
-        match last.and_then(|l| l.how) {
+        match last.and_then(|l| l.failure) {
             _ if w.all || w.exchanges.contains(&Exchange(destination.0)) => Fate::Drained,
             Some((_, Cause::NoCircuit)) => Fate::NoCircuit,
             Some((_, Cause::ProcessorFull(_) | Cause::FarProcessorFull)) => Fate::ProcessorFull,
--- a/src/program/gossip.rs
+++ b/src/program/gossip.rs
@@ -82,11 +82,11 @@
                     self.node.sent(now, exchange(leg), u64::from(call.0));
                 }
             }
-            LedgerOutput::Answer { call, answer: Answer::Stands(_), last: Some(last), .. } => {
+            LedgerOutput::Answer { call, answer: Answer::Stands(_), last_attempt: Some(last), .. } => {
                 let direct = self.out.remove(call);
-                if let Some(leg) = last.leg {
+                if let Some(leg) = last.exchange {
                     match direct {
-                        Some(e) => self.node.answered(now, e, u64::from(call.0), last.took),
+                        Some(e) => self.node.answered(now, e, u64::from(call.0), last.setup_time),
                         None => self.node.turned_away(now, exchange(leg), u64::from(call.0)),
                     }
                 }
--- a/src/program/log.rs
+++ b/src/program/log.rs
@@ -125,14 +125,14 @@
 pub fn call(output: &Output, sid: Option<Sid>) {
     let sid = sid.map(tracing::field::display);
     match output {
-        Output::Answer { call, answer, reason, destination, last, .. } => {
+        Output::Answer { call, answer, reason, destination, last_attempt: last, .. } => {
             let answer = match answer {
                 Answer::Stands(_) => "stands",
                 Answer::Refused { .. } => "refused",
                 Answer::Failed => "failed",
             };
             let exchange = destination.0;
-            let last = last.and_then(|l| l.how);
+            let last = last.and_then(|l| l.failure);
             tracing::debug!(target: CALLS, sid, call = call.0, exchange, ?reason, ?last, "{answer}");
         }
         Output::SetUp { call, attempt, wait, office } => {
--- a/src/routing/ledger.rs
+++ b/src/routing/ledger.rs
@@ -113,7 +113,7 @@
         /// Where it goes.
         destination: ExchangeNo,
         /// The last set-up, if one was sent.
-        last: Option<Last>,
+        last_attempt: Option<LastAttempt>,
     },
     /// A set-up ended without the call's standing; nothing is to be done about it on a wire.
     AttemptEnded {
@@ -154,13 +154,13 @@
 
 /// The last set-up of a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Last {
+pub struct LastAttempt {
     /// The exchange that it went to, if it was on the list.
-    pub leg: Option<ExchangeNo>,
+    pub exchange: Option<ExchangeNo>,
     /// How long it was out.
-    pub took: Micros,
+    pub setup_time: Micros,
     /// How it ended; `None`: the call stands.
-    pub how: Option<(Ending, Cause)>,
+    pub failure: Option<(Ending, Cause)>,
 }
 
 /// Why the ledger held back what the module asked for.
@@ -217,7 +217,7 @@
     quiet_until: Micros,
     /// The exchange that the last set-up went to.
     leg: Option<ExchangeNo>,
-    last: Option<Last>,
+    last_attempt: Option<LastAttempt>,
 }
 
 /// What the list has told of an office.
@@ -241,7 +241,15 @@
 impl Entry {
     fn answer(&self, call: CallId, answer: Answer, reason: AnswerReason) -> Output {
         let (frontend, destination) = (self.offer.frontend, self.offer.new_call.destination);
-        Output::Answer { frontend, call, answer, reason, taken: self.taken, destination, last: self.last }
+        Output::Answer {
+            frontend,
+            call,
+            answer,
+            reason,
+            taken: self.taken,
+            destination,
+            last_attempt: self.last_attempt,
+        }
     }
 }
 
@@ -318,7 +326,7 @@
             stage: Stage::Deciding,
             attempts: 0,
             quiet_until: new_call.not_before,
-            last: None,
+            last_attempt: None,
             leg: None,
         };
         self.calls.insert(call, entry);
@@ -364,7 +372,8 @@
             return false;
         }
         entry.stage = Stage::Standing { attempt, office, since: now };
-        entry.last = Some(Last { leg: entry.leg, took: now - since, how: None });
+        entry.last_attempt =
+            Some(LastAttempt { exchange: entry.leg, setup_time: now - since, failure: None });
         let answer = Answer::Stands(text);
         let output = entry.answer(call, answer, AnswerReason::Answered);
         self.open -= 1;
@@ -402,7 +411,11 @@
                 entry.quiet_until = now + self.release;
             }
             *self.counts.endings.entry(ending_name(ending)).or_default() += 1;
-            entry.last = Some(Last { leg: entry.leg, took: now - since, how: Some((ending, cause)) });
+            entry.last_attempt = Some(LastAttempt {
+                exchange: entry.leg,
+                setup_time: now - since,
+                failure: Some((ending, cause)),
+            });
             self.out.push(Output::AttemptEnded { call, leg: entry.leg, ending, cause });
         }
         let took = now - since;
