--- a/examples/gossip_tables.rs
+++ b/examples/gossip_tables.rs
@@ -306,7 +306,7 @@
             }
             Output::Answer { call, answer, taken, destination, last_attempt: last, .. } => {
                 let other = usize::from(usize::from(destination.0) != HUNG);
-                if let Answer::Stands(_) = answer {
+                if let Answer::Established(_) = answer {
                     self.good[other] += u32::from(now - taken <= 1_200_000);
                     if let Some(last) = last {
                         let (e, took) = (Exchange(last.exchange.map_or(0, |l| l.0)), last.setup_time);
--- a/src/program/appliance.rs
+++ b/src/program/appliance.rs
@@ -204,7 +204,7 @@
                 let fate = match answer {
                     Answer::Failed => Fate::Failed,
                     Answer::Refused { .. } => self.refusal(*destination, *last),
-                    Answer::Stands(_) => {
+                    Answer::Established(_) => {
                         if let Some(LastAttempt { exchange: Some(leg), setup_time: took, .. }) = last {
                             self.traffic.stood(now, Exchange(destination.0), Exchange(leg.0));
                             if let Some(e) = self.exchanges.of(leg.0) {
--- a/src/program/gossip.rs
+++ b/src/program/gossip.rs
@@ -82,7 +82,9 @@
                     self.node.sent(now, exchange(leg), u64::from(call.0));
                 }
             }
-            LedgerOutput::Answer { call, answer: Answer::Stands(_), last_attempt: Some(last), .. } => {
+            LedgerOutput::Answer {
+                call, answer: Answer::Established(_), last_attempt: Some(last), ..
+            } => {
                 let direct = self.out.remove(call);
                 if let Some(leg) = last.exchange {
                     match direct {
--- a/src/program/log.rs
+++ b/src/program/log.rs
@@ -127,7 +127,7 @@
     match output {
         Output::Answer { call, answer, reason, destination, last_attempt: last, .. } => {
             let answer = match answer {
-                Answer::Stands(_) => "stands",
+                Answer::Established(_) => "stands",
                 Answer::Refused { .. } => "refused",
                 Answer::Failed => "failed",
             };
--- a/src/program/switchboard/exports.rs
+++ b/src/program/switchboard/exports.rs
@@ -28,7 +28,7 @@
             return;
         }
         let answer = match answer {
-            Answer::Stands(_) => "stands",
+            Answer::Established(_) => "stands",
             Answer::Refused { .. } => "refused",
             Answer::Failed => "failed",
         };
--- a/src/protocol/client/answers.rs
+++ b/src/protocol/client/answers.rs
@@ -11,7 +11,7 @@
             self.counts.undeliverable += 1;
         }
         match answer {
-            Answer::Stands(text) => {
+            Answer::Established(text) => {
                 held.answered = true;
                 if let Some(c) = self.conns.get_mut(&conn) {
                     c.open = c.open.saturating_sub(1);
@@ -24,7 +24,7 @@
                 self.tell(conn, Message { text, ..Message::new(Kind::Ready, Some(sid)) });
                 self.end_if_answered(conn);
             }
-            Answer::Refused { pause } => {
+            Answer::Refused { retry_after: pause } => {
                 let refusal = Message::close(sid, cause::NO_CIRCUIT);
                 let refusal = match (pause + 999) / 1000 {
                     0 => refusal,
--- a/src/protocol/mgcp/agent.rs
+++ b/src/protocol/mgcp/agent.rs
@@ -679,7 +679,7 @@
         let Some(&p) = self.calls.get(&call) else { return };
         let (code, tone) = codes::answer(answer);
         match (answer, tone) {
-            (Answer::Stands(text), _) => {
+            (Answer::Established(text), _) => {
                 self.ports[p].role = Role::Talking(call);
                 self.watch_lease(now, p);
                 let mut c = command(Verb::Mdcx, self.ports[p].endpoint.clone());
@@ -693,7 +693,7 @@
                 let mut params = Params::default().with("R", "L/hu(N)").with("S", tone.unwrap_or("L/ro"));
                 // For gateways that dial again by themselves: the code, and how long to keep away.
                 params = params.with("X-Outcome", code);
-                if let Answer::Refused { pause } = refused {
+                if let Answer::Refused { retry_after: pause } = refused {
                     params = params.with("X-Pause", (pause + 999) / 1000);
                 }
                 self.delete(now, p, params, Role::Tone);
--- a/src/protocol/mgcp/codes.rs
+++ b/src/protocol/mgcp/codes.rs
@@ -69,7 +69,7 @@
 /// trying again is harmless, reorder where it failed.
 pub fn answer(answer: &Answer) -> (u16, Option<&'static str>) {
     match answer {
-        Answer::Stands(_) => (200, None),
+        Answer::Established(_) => (200, None),
         Answer::Refused { .. } => (code(Ending::Full, Cause::NoCircuit), Some("G/cg")),
         Answer::Failed => (code(Ending::Fault, Cause::None), Some("L/ro")),
     }
--- a/src/routing/ledger.rs
+++ b/src/routing/ledger.rs
@@ -39,11 +39,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
     /// It stands, with the description that the far side gave.
-    Stands(Option<SessionDescription>),
+    Established(Option<SessionDescription>),
     /// Refused: trying again is harmless, after the pause.
     Refused {
         /// How long the caller ought to keep away; 0: no advice.
-        pause: Micros,
+        retry_after: Micros,
     },
     /// Failed.
     Failed,
@@ -288,7 +288,7 @@
     /// Calls not yet answered.
     open: usize,
     /// New calls are refused, with this pause.
-    closed: Option<Micros>,
+    closed_retry_after: Option<Micros>,
 }
 
 impl Ledger {
@@ -306,7 +306,7 @@
             out: Vec::new(),
             counts: LedgerCounts::default(),
             open: 0,
-            closed: None,
+            closed_retry_after: None,
         }
     }
 
@@ -332,8 +332,8 @@
         self.calls.insert(call, entry);
         self.counts.offered += 1;
         self.open += 1;
-        if let Some(pause) = self.closed {
-            self.finish(call, Answer::Refused { pause }, AnswerReason::Shutdown);
+        if let Some(retry_after) = self.closed_retry_after {
+            self.finish(call, Answer::Refused { retry_after }, AnswerReason::Shutdown);
             return call;
         }
         self.out.push(Output::Wake(deadline - ANSWER_EARLY, LedgerDue::Call(call)));
@@ -374,7 +374,7 @@
         entry.stage = Stage::Standing { attempt, office, since: now };
         entry.last_attempt =
             Some(LastAttempt { exchange: entry.leg, setup_time: now - since, failure: None });
-        let answer = Answer::Stands(text);
+        let answer = Answer::Established(text);
         let output = entry.answer(call, answer, AnswerReason::Answered);
         self.open -= 1;
         self.counts.established += 1;
@@ -534,8 +534,8 @@
     }
 
     /// From now on new calls are refused at once, whatever front they come in by.
-    pub fn close(&mut self, pause: Micros) {
-        self.closed = Some(pause);
+    pub fn close(&mut self, retry_after: Micros) {
+        self.closed_retry_after = Some(retry_after);
     }
 
     /// Fails all calls that are still open.
@@ -623,7 +623,7 @@
                     self.out.push(Output::Wake(now + after, LedgerDue::Module(token)));
                 }
                 Action::Refuse { call, pause } => {
-                    self.finish(call, Answer::Refused { pause }, AnswerReason::Decided);
+                    self.finish(call, Answer::Refused { retry_after: pause }, AnswerReason::Decided);
                 }
                 Action::Fail(call) => {
                     self.finish(call, Answer::Failed, AnswerReason::Decided);
--- a/tests/call_agent.rs
+++ b/tests/call_agent.rs
@@ -171,8 +171,11 @@
             }
             Step::Answer(i, stands) => {
                 if let Some(call) = nth(&self.calls, i, Some(Call::Open)) {
-                    let answer =
-                        if stands { Answer::Stands(None) } else { Answer::Refused { pause: 2_000 * MS } };
+                    let answer = if stands {
+                        Answer::Established(None)
+                    } else {
+                        Answer::Refused { retry_after: 2_000 * MS }
+                    };
                     if stands {
                         self.calls.insert(call, Call::Standing);
                     } else {
--- a/tests/models.rs
+++ b/tests/models.rs
@@ -614,8 +614,11 @@
                 let Some(&id) = open.get(i % open.len().max(1)) else { return };
                 let (sid, conn, _) = self.calls[&id];
                 let pause = 2_000 * MS;
-                let answer =
-                    if stands { self::Answer::Stands(None) } else { self::Answer::Refused { pause } };
+                let answer = if stands {
+                    self::Answer::Established(None)
+                } else {
+                    self::Answer::Refused { retry_after: pause }
+                };
                 self.callers.answer(self.now, id, answer);
                 let want = if stands { Kind::Ready } else { Kind::Close };
                 let outputs = self.callers.take_outputs();
@@ -800,7 +803,7 @@
     let (mut callers, conn) = front_with_connection();
     assert!(matches!(set_up(&mut callers, 0, conn, 7), Ask::Offer(..)));
     callers.taken(conn, Sid(7), None, CallId(1));
-    callers.answer(10 * MS, CallId(1), Answer::Stands(None));
+    callers.answer(10 * MS, CallId(1), Answer::Established(None));
     callers.end_all(20 * MS);
     assert_eq!(callers.message(20 * MS, conn, Message::close(Sid(7), 16)), Ask::Left(CallId(1)));
 }
@@ -811,7 +814,7 @@
     assert!(matches!(set_up(&mut callers, 0, conn, 7), Ask::Offer(..)));
     callers.taken(conn, Sid(7), None, CallId(1));
     callers.drain(10 * MS);
-    callers.answer(20 * MS, CallId(1), Answer::Stands(None));
+    callers.answer(20 * MS, CallId(1), Answer::Established(None));
     callers.release(500 * MS, CallId(1), false);
     let ends = |o: &ClientOutput| matches!(o, ClientOutput::Ending(..));
     assert!(!callers.take_outputs().iter().any(ends), "its end has not been heard");
@@ -886,7 +889,7 @@
                 Output::Answer { call, answer, .. } => {
                     let held = self.calls.get_mut(&call).expect("one final answer");
                     assert!(!held.stands && self.now <= held.deadline);
-                    if matches!(answer, Answer::Stands(_)) {
+                    if matches!(answer, Answer::Established(_)) {
                         (held.stands, held.out) = (true, None);
                     } else {
                         assert!(held.out.is_none(), "no attempt is left out");
--- a/tests/withdrawals.rs
+++ b/tests/withdrawals.rs
@@ -81,7 +81,7 @@
 /// The pause of a refusal.
 fn refused(outputs: &[Output]) -> Option<Micros> {
     outputs.iter().find_map(|o| match o {
-        Output::Answer { answer: Answer::Refused { pause }, .. } => Some(*pause),
+        Output::Answer { answer: Answer::Refused { retry_after }, .. } => Some(*retry_after),
         _ => None,
     })
 }
