--- a/examples/gossip_tables.rs
+++ b/examples/gossip_tables.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use walnuthatch::routing::deadlines::Deadlines;
 use walnuthatch::routing::interface::*;
-use walnuthatch::routing::ledger::{Answer, FrontendId, Ledger, LedgerDue, OfferedCall, Output};
+use walnuthatch::routing::ledger::{Answer, FrontendId, Ledger, LedgerTimer, OfferedCall, Output};
 use walnuthatch_gossip::bucket::Ceiling;
 use walnuthatch_gossip::lab::{Lab, Net, CEILING};
 use walnuthatch_gossip::node::Output as NodeOutput;
@@ -167,7 +167,7 @@
 
 struct Site {
     ledger: Ledger,
-    deadlines: Deadlines<LedgerDue>,
+    deadlines: Deadlines<LedgerTimer>,
     /// Set-ups whose answers are under way, and calls that stand.
     out: BTreeMap<CallId, (AttemptNo, OfficeId, usize)>,
     sent_to_hung: Vec<Micros>,
@@ -314,7 +314,7 @@
                     }
                 }
             }
-            Output::Wake(at, due) => self.sites[i].deadlines.add(at, due),
+            Output::SetTimer(at, due) => self.sites[i].deadlines.add(at, due),
             _ => {}
         }
     }
@@ -386,7 +386,7 @@
         }
         for i in 0..SITES {
             while let Some(due) = self.sites[i].deadlines.take_due(now) {
-                self.sites[i].ledger.due(now, due);
+                self.sites[i].ledger.timer_expired(now, due);
                 self.follow(i);
             }
         }
--- a/src/program/switchboard.rs
+++ b/src/program/switchboard.rs
@@ -17,7 +17,7 @@
 use crate::protocol::ConnId;
 use crate::routing::deadlines::Deadlines;
 use crate::routing::interface::{CallId, ListEntry, ListNews, LoadReport, Micros, PeerNo};
-use crate::routing::ledger::{AnswerReason, FrontendId, Ledger, LedgerDue, Output};
+use crate::routing::ledger::{AnswerReason, FrontendId, Ledger, LedgerTimer, Output};
 use crate::transport::outbox::Outbox;
 use crate::transport::saver::Saving;
 use crate::transport::{ConnNews, Inbound, Side};
@@ -50,7 +50,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Due {
     /// The ledger's.
-    Ledger(LedgerDue),
+    Ledger(LedgerTimer),
     /// The links'.
     Link(UpstreamTimer),
     /// The callers'.
@@ -261,7 +261,7 @@
     pub fn sweep(&mut self, now: Micros) {
         while let Some(due) = self.deadlines.take_due(now) {
             match due {
-                Due::Ledger(due) => self.ledger.due(now, due),
+                Due::Ledger(due) => self.ledger.timer_expired(now, due),
                 Due::Link(due) => self.links.due(now, due),
                 Due::Caller(due) => self.callers.due(now, due),
                 Due::Agent(due) => {
@@ -510,7 +510,7 @@
             Output::Tell { to, body } => self.tell_peers(to, body),
             Output::FetchList => self.tasks.push(Task::Refetch),
             Output::Log(line) => tracing::info!("{line}"),
-            Output::Wake(at, due) => self.deadlines.add(at, Due::Ledger(due)),
+            Output::SetTimer(at, due) => self.deadlines.add(at, Due::Ledger(due)),
         }
     }
 
--- a/src/routing/ledger.rs
+++ b/src/routing/ledger.rs
@@ -66,9 +66,9 @@
 
 /// What a deadline of the ledger is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LedgerDue {
+pub enum LedgerTimer {
     /// A timer that the module asked for.
-    Module(u64),
+    Controller(u64),
     /// The time of an attempt is up.
     Attempt(CallId, AttemptNo),
     /// The caller is about to give up.
@@ -149,7 +149,7 @@
     /// A line for the log.
     Log(String),
     /// Come back at this time.
-    Wake(Micros, LedgerDue),
+    SetTimer(Micros, LedgerTimer),
 }
 
 /// The last set-up of a call.
@@ -336,7 +336,7 @@
             self.finish(call, Answer::Refused { retry_after }, AnswerReason::Shutdown);
             return call;
         }
-        self.out.push(Output::Wake(deadline - ANSWER_EARLY, LedgerDue::Call(call)));
+        self.out.push(Output::SetTimer(deadline - ANSWER_EARLY, LedgerTimer::Call(call)));
         self.drive(now, Event::Call(new_call));
         call
     }
@@ -507,13 +507,13 @@
     }
 
     /// A deadline of this ledger has come.
-    pub fn due(&mut self, now: Micros, due: LedgerDue) {
-        match due {
-            LedgerDue::Module(token) => self.drive(now, Event::Timer(token)),
-            LedgerDue::Attempt(call, attempt) => {
+    pub fn timer_expired(&mut self, now: Micros, timer: LedgerTimer) {
+        match timer {
+            LedgerTimer::Controller(token) => self.drive(now, Event::Timer(token)),
+            LedgerTimer::Attempt(call, attempt) => {
                 self.stop_attempt(now, call, attempt, Ending::TimedOut);
             }
-            LedgerDue::Call(call) => {
+            LedgerTimer::Call(call) => {
                 let Some(entry) = self.calls.get(&call) else { return };
                 match entry.stage {
                     Stage::Standing { .. } => return,
@@ -620,7 +620,7 @@
             match action {
                 Action::SetUp { call, office, timeout } => self.start(now, call, office, timeout),
                 Action::SetTimer { after, token } => {
-                    self.out.push(Output::Wake(now + after, LedgerDue::Module(token)));
+                    self.out.push(Output::SetTimer(now + after, LedgerTimer::Controller(token)));
                 }
                 Action::Refuse { call, pause } => {
                     self.finish(call, Answer::Refused { retry_after: pause }, AnswerReason::Decided);
@@ -676,7 +676,7 @@
         entry.leg = self.withdrawals.exchange_of(office);
         self.counts.attempts += 1;
         self.out.push(Output::SetUp { call, attempt, office, wait: (until - now).max(0) });
-        self.out.push(Output::Wake(until, LedgerDue::Attempt(call, attempt)));
+        self.out.push(Output::SetTimer(until, LedgerTimer::Attempt(call, attempt)));
     }
 
     /// Gives a set-up up from this side.
--- a/tests/models.rs
+++ b/tests/models.rs
@@ -10,7 +10,7 @@
 use walnuthatch::protocol::ConnId;
 use walnuthatch::routing::deadlines::Deadlines;
 use walnuthatch::routing::interface::*;
-use walnuthatch::routing::ledger::{Answer, FrontendId, Ledger, LedgerDue, OfferedCall, Output};
+use walnuthatch::routing::ledger::{Answer, FrontendId, Ledger, LedgerTimer, OfferedCall, Output};
 
 const MS: Micros = 1_000;
 
@@ -862,7 +862,7 @@
 struct Book {
     ledger: Ledger,
     now: Micros,
-    due: Deadlines<LedgerDue>,
+    due: Deadlines<LedgerTimer>,
     calls: BTreeMap<CallId, Held>,
     drained: BTreeMap<u16, Micros>,
 }
@@ -899,7 +899,7 @@
                 Output::Release { call, .. } => {
                     assert!(self.calls.remove(&call).expect("released once").stands);
                 }
-                Output::Wake(at, due) => self.due.add(at, due),
+                Output::SetTimer(at, due) => self.due.add(at, due),
                 _ => {}
             }
         }
@@ -954,7 +954,7 @@
                 while let Some(at) = self.due.first().filter(|&at| at <= now + span) {
                     self.now = self.now.max(at);
                     while let Some(due) = self.due.take_due(self.now) {
-                        self.ledger.due(self.now, due);
+                        self.ledger.timer_expired(self.now, due);
                         self.settle();
                     }
                 }
