--- a/src/program/switchboard.rs
+++ b/src/program/switchboard.rs
@@ -506,8 +506,8 @@
             Output::AttemptEnded { .. } => {}
             Output::Probe(office) => self.links.probe(now, office),
             // With gossip the own groups are told on its signed path.
-            Output::Tell { .. } if self.gossip.is_some() => {}
-            Output::Tell { to, body } => self.tell_peers(to, body),
+            Output::SendToPeer { .. } if self.gossip.is_some() => {}
+            Output::SendToPeer { to, body } => self.tell_peers(to, body),
             Output::FetchList => self.tasks.push(Task::Refetch),
             Output::Log(line) => tracing::info!("{line}"),
             Output::SetTimer(at, due) => self.deadlines.add(at, Due::Ledger(due)),
--- a/src/routing/ledger.rs
+++ b/src/routing/ledger.rs
@@ -138,7 +138,7 @@
     /// Check an office.
     Probe(OfficeId),
     /// Send bytes to one peer, or to all.
-    Tell {
+    SendToPeer {
         /// To whom; `None`: to all.
         to: Option<PeerNo>,
         /// The bytes.
@@ -632,7 +632,7 @@
                     self.stop_attempt(now, call, attempt, Ending::CalledOff);
                 }
                 Action::Probe(office) => self.out.push(Output::Probe(office)),
-                Action::Tell { to, body } => self.out.push(Output::Tell { to, body }),
+                Action::Tell { to, body } => self.out.push(Output::SendToPeer { to, body }),
                 Action::FetchList | Action::Subscribe => self.out.push(Output::FetchList),
                 Action::Log(line) => self.out.push(Output::Log(line)),
             }
