--- a/examples/gossip_tables.rs
+++ b/examples/gossip_tables.rs
@@ -295,7 +295,7 @@
             Output::Clear { call, office, .. } if self.sites[i].out.remove(&call).is_some() => {
                 self.free(i, usize::from(office.addr[3]));
             }
-            Output::AttemptEnded { call, leg: Some(leg), ending, .. } => {
+            Output::AttemptEnded { call, exchange: Some(leg), ending, .. } => {
                 let e = Exchange(leg.0);
                 let call = u64::from(call.0);
                 self.tell(i, |n, now| match ending {
@@ -304,7 +304,7 @@
                     _ => n.dropped(now, e, call),
                 });
             }
-            Output::Answer { call, answer, taken, destination, last_attempt: last, .. } => {
+            Output::Answer { call, answer, offered_at: taken, destination, last_attempt: last, .. } => {
                 let other = usize::from(usize::from(destination.0) != HUNG);
                 if let Answer::Established(_) = answer {
                     self.good[other] += u32::from(now - taken <= 1_200_000);
--- a/src/program/appliance.rs
+++ b/src/program/appliance.rs
@@ -194,12 +194,14 @@
                     e.sent(now);
                 }
             }
-            LedgerOutput::AttemptEnded { leg: Some(leg), .. } => {
+            LedgerOutput::AttemptEnded { exchange: Some(leg), .. } => {
                 if let Some(e) = self.exchanges.of(leg.0) {
                     e.turned_away += 1;
                 }
             }
-            LedgerOutput::Answer { call, answer, taken, destination, last_attempt: last, .. } => {
+            LedgerOutput::Answer {
+                call, answer, offered_at: taken, destination, last_attempt: last, ..
+            } => {
                 self.answers.count(now, now - taken);
                 let fate = match answer {
                     Answer::Failed => Fate::Failed,
--- a/src/program/gossip.rs
+++ b/src/program/gossip.rs
@@ -93,7 +93,7 @@
                     }
                 }
             }
-            LedgerOutput::AttemptEnded { call, leg: Some(leg), ending, cause } => {
+            LedgerOutput::AttemptEnded { call, exchange: Some(leg), ending, cause } => {
                 let direct = self.out.remove(call).is_some();
                 let (e, call) = (exchange(*leg), u64::from(call.0));
                 match (ending, cause) {
--- a/src/program/log.rs
+++ b/src/program/log.rs
@@ -142,7 +142,7 @@
         Output::Clear { call, attempt, .. } => {
             tracing::debug!(target: CALLS, sid, call = call.0, attempt = attempt.0, "given up or released");
         }
-        Output::AttemptEnded { call, leg, ending, cause } => {
+        Output::AttemptEnded { call, exchange: leg, ending, cause } => {
             let exchange = leg.map(|e| e.0);
             tracing::debug!(target: CALLS, sid, call = call.0, exchange, ?cause, "set-up ended: {ending:?}");
         }
--- a/src/program/switchboard.rs
+++ b/src/program/switchboard.rs
@@ -492,7 +492,7 @@
                 Some(agent) if agent.has(office) => agent.clear(now, call, attempt),
                 _ => self.links.clear(now, call, attempt),
             },
-            Output::Answer { frontend, call, answer, taken, destination, .. } => {
+            Output::Answer { frontend, call, answer, offered_at: taken, destination, .. } => {
                 self.span(call, &answer, (taken, now), destination);
                 match &mut self.agent {
                     Some(agent) if frontend == GATEWAYS => agent.answer(now, call, &answer),
--- a/src/program/views.rs
+++ b/src/program/views.rs
@@ -135,7 +135,7 @@
             front: if v.frontend == GATEWAYS { "gateway" } else { "lines" }.to_owned(),
             destination: v.destination.0,
             doing: v.doing.to_owned(),
-            over: v.leg.map(|e| e.0),
+            over: v.exchange.map(|e| e.0),
             for_ms: ms(self.now - v.since),
         };
         let fits = |c: &Call| search.is_empty() || call_line(c).contains(search);
--- a/src/routing/ledger.rs
+++ b/src/routing/ledger.rs
@@ -109,7 +109,7 @@
         /// Why.
         reason: AnswerReason,
         /// When the call was taken.
-        taken: Micros,
+        offered_at: Micros,
         /// Where it goes.
         destination: ExchangeNo,
         /// The last set-up, if one was sent.
@@ -120,7 +120,7 @@
         /// The call.
         call: CallId,
         /// The exchange that it went to, if it was on the list.
-        leg: Option<ExchangeNo>,
+        exchange: Option<ExchangeNo>,
         /// How.
         ending: Ending,
         /// Why.
@@ -210,13 +210,13 @@
 #[derive(Debug)]
 struct Entry {
     offer: OfferedCall,
-    taken: Micros,
+    offered_at: Micros,
     deadline: Micros,
     stage: Stage,
     attempts: u8,
     quiet_until: Micros,
     /// The exchange that the last set-up went to.
-    leg: Option<ExchangeNo>,
+    exchange: Option<ExchangeNo>,
     last_attempt: Option<LastAttempt>,
 }
 
@@ -246,7 +246,7 @@
             call,
             answer,
             reason,
-            taken: self.taken,
+            offered_at: self.offered_at,
             destination,
             last_attempt: self.last_attempt,
         }
@@ -265,7 +265,7 @@
     /// What it is doing.
     pub doing: &'static str,
     /// The exchange that its set-up went to, while one is out or stands.
-    pub leg: Option<ExchangeNo>,
+    pub exchange: Option<ExchangeNo>,
     /// Since when.
     pub since: Micros,
 }
@@ -321,13 +321,13 @@
         let deadline = now.saturating_add(new_call.patience.max(0));
         let entry = Entry {
             offer,
-            taken: now,
+            offered_at: now,
             deadline,
             stage: Stage::Deciding,
             attempts: 0,
             quiet_until: new_call.not_before,
             last_attempt: None,
-            leg: None,
+            exchange: None,
         };
         self.calls.insert(call, entry);
         self.counts.offered += 1;
@@ -373,7 +373,7 @@
         }
         entry.stage = Stage::Standing { attempt, office, since: now };
         entry.last_attempt =
-            Some(LastAttempt { exchange: entry.leg, setup_time: now - since, failure: None });
+            Some(LastAttempt { exchange: entry.exchange, setup_time: now - since, failure: None });
         let answer = Answer::Established(text);
         let output = entry.answer(call, answer, AnswerReason::Answered);
         self.open -= 1;
@@ -412,11 +412,11 @@
             }
             *self.counts.endings.entry(ending_name(ending)).or_default() += 1;
             entry.last_attempt = Some(LastAttempt {
-                exchange: entry.leg,
+                exchange: entry.exchange,
                 setup_time: now - since,
                 failure: Some((ending, cause)),
             });
-            self.out.push(Output::AttemptEnded { call, leg: entry.leg, ending, cause });
+            self.out.push(Output::AttemptEnded { call, exchange: entry.exchange, ending, cause });
         }
         let took = now - since;
         let report = self.withdrawals.report(now, office, report);
@@ -463,7 +463,7 @@
     /// Releases the calls that stand and that `which` picks by their first leg and destination, towards both sides.
     pub fn cut(&mut self, now: Micros, which: impl Fn(Option<ExchangeNo>, ExchangeNo) -> bool) {
         let of = |(&call, e): (&CallId, &Entry)| match e.stage {
-            Stage::Standing { attempt, office, .. } if which(e.leg, e.offer.new_call.destination) => {
+            Stage::Standing { attempt, office, .. } if which(e.exchange, e.offer.new_call.destination) => {
                 Some((call, attempt, office))
             }
             _ => None,
@@ -581,8 +581,8 @@
     pub fn loads(&self) -> BTreeMap<(ExchangeNo, ExchangeNo), (u32, u32)> {
         let mut loads: BTreeMap<_, (u32, u32)> = BTreeMap::new();
         for e in self.calls.values() {
-            let Some(leg) = e.leg else { continue };
-            let at = (leg, e.offer.new_call.destination);
+            let Some(exchange) = e.exchange else { continue };
+            let at = (exchange, e.offer.new_call.destination);
             match e.stage {
                 Stage::Out { .. } => loads.entry(at).or_default().0 += 1,
                 Stage::Standing { .. } => loads.entry(at).or_default().1 += 1,
@@ -595,13 +595,13 @@
     /// The calls held, oldest first.
     pub fn views(&self) -> impl Iterator<Item = CallView> + '_ {
         self.calls.iter().map(|(&call, e)| {
-            let (doing, leg, since) = match e.stage {
-                Stage::Deciding => ("waits", None, e.taken),
-                Stage::Out { since, .. } => ("set-up out", e.leg, since),
-                Stage::Standing { since, .. } => ("stands", e.leg, since),
+            let (doing, exchange, since) = match e.stage {
+                Stage::Deciding => ("waits", None, e.offered_at),
+                Stage::Out { since, .. } => ("set-up out", e.exchange, since),
+                Stage::Standing { since, .. } => ("stands", e.exchange, since),
             };
             let (frontend, destination) = (e.offer.frontend, e.offer.new_call.destination);
-            CallView { call, frontend, destination, doing, leg, since }
+            CallView { call, frontend, destination, doing, exchange, since }
         })
     }
 
@@ -673,7 +673,7 @@
         let last = entry.deadline - ATTEMPT_EARLY;
         let until = timeout.map_or(last, |t| last.min(now + t.max(0)));
         entry.stage = Stage::Out { attempt, office, since: now };
-        entry.leg = self.withdrawals.exchange_of(office);
+        entry.exchange = self.withdrawals.exchange_of(office);
         self.counts.attempts += 1;
         self.out.push(Output::SetUp { call, attempt, office, wait: (until - now).max(0) });
         self.out.push(Output::SetTimer(until, LedgerTimer::Attempt(call, attempt)));
