--- a/src/routing/interface.rs
+++ b/src/routing/interface.rs
@@ -243,7 +243,7 @@
 /// What operators took out of service, in whole. Offices and groups are told as draining and as full besides; this
 /// says that calls need not wait for them.
 #[derive(Clone, Debug, PartialEq, Eq, Default)]
-pub struct Withdrawn {
+pub struct OutOfService {
     /// Exchanges that no call is for.
     pub exchanges: BTreeSet<ExchangeNo>,
     /// Groups that take no new calls, by the exchange at the far end.
@@ -252,7 +252,7 @@
     pub all: bool,
 }
 
-impl Withdrawn {
+impl OutOfService {
     /// Whether an exchange, or the group toward it, is out of service.
     pub fn holds(&self, exchange: ExchangeNo) -> bool {
         self.exchanges.contains(&exchange) || self.groups.contains(&exchange)
@@ -357,7 +357,7 @@
         body: Vec<u8>,
     },
     /// Operators took this out of service, and nothing else.
-    Withdrawn(Withdrawn),
+    OutOfService(OutOfService),
     /// These exchanges are suspected of taking set-ups and answering none, and no others.
     Suspected(BTreeSet<ExchangeNo>),
     /// A timer is due.
--- a/src/routing/withdrawals.rs
+++ b/src/routing/withdrawals.rs
@@ -5,7 +5,9 @@
 //! has for a cold processor, and a group's circuits come back little by little, so that nothing gets its full share
 //! at once. While nothing was ever withdrawn, all passes through unchanged.
 
-use super::interface::{ExchangeNo, ListEntry, ListNews, ListState, LoadReport, Micros, OfficeId, Withdrawn};
+use super::interface::{
+    ExchangeNo, ListEntry, ListNews, ListState, LoadReport, Micros, OfficeId, OutOfService,
+};
 use std::collections::BTreeMap;
 
 /// What follows for the module when something is withdrawn or comes back.
@@ -25,7 +27,7 @@
     listed: BTreeMap<OfficeId, ListEntry>,
     /// Free circuits and size of the group toward each office, and when they were told.
     figures: BTreeMap<OfficeId, (f64, f64, Micros)>,
-    withdrawn: Withdrawn,
+    withdrawn: OutOfService,
     /// Groups that are withdrawn, and since when.
     shut: BTreeMap<ExchangeNo, Micros>,
     /// Exchanges that came back, and when.
@@ -41,7 +43,7 @@
             warm: warm.max(1),
             listed: BTreeMap::new(),
             figures: BTreeMap::new(),
-            withdrawn: Withdrawn::default(),
+            withdrawn: OutOfService::default(),
             shut: BTreeMap::new(),
             returned: BTreeMap::new(),
             reopened: BTreeMap::new(),
@@ -114,7 +116,7 @@
     }
 
     /// Sets what is withdrawn from now on, and tells what changes by it.
-    pub fn set(&mut self, now: Micros, new: Withdrawn) -> Changes {
+    pub fn set(&mut self, now: Micros, new: OutOfService) -> Changes {
         let old = std::mem::replace(&mut self.withdrawn, new);
         let warm = self.warm;
         self.returned.retain(|e, _| self.listed.values().any(|l| l.exchange == *e));
@@ -178,7 +180,7 @@
     }
 
     /// What is withdrawn.
-    pub fn withdrawn(&self) -> &Withdrawn {
+    pub fn withdrawn(&self) -> &OutOfService {
         &self.withdrawn
     }
 
@@ -209,9 +211,9 @@
         ListEntry { exchange: ExchangeNo(n), zone: 0, state, office, last_start: None }
     }
 
-    fn out(exchanges: &[u16], groups: &[u16]) -> Withdrawn {
+    fn out(exchanges: &[u16], groups: &[u16]) -> OutOfService {
         let set = |l: &[u16]| l.iter().map(|&n| ExchangeNo(n)).collect();
-        Withdrawn { exchanges: set(exchanges), groups: set(groups), all: false }
+        OutOfService { exchanges: set(exchanges), groups: set(groups), all: false }
     }
 
     fn figures(free: f64) -> LoadReport {
@@ -224,7 +226,7 @@
         let news = ListNews::Complete([entry(1, ListState::Ready), entry(2, ListState::Draining)].into());
         assert_eq!(w.list(news.clone()), news);
         assert_eq!(w.report(5, entry(1, ListState::Ready).office, figures(7.0)), figures(7.0));
-        assert!(w.set(9, Withdrawn::default()).entries.is_empty() && w.reopening(9).is_empty());
+        assert!(w.set(9, OutOfService::default()).entries.is_empty() && w.reopening(9).is_empty());
     }
 
     #[test]
@@ -264,7 +266,7 @@
         w.report(0, office, figures(18.0));
         assert_eq!(w.set(10, out(&[], &[1])).groups[0].1.free, Some(0.0));
         assert_eq!((w.report(11, office, figures(20.0)).free, w.shut_since(office)), (Some(0.0), Some(10)));
-        assert_eq!(w.set(100, Withdrawn::default()).groups[0].1.free, Some(0.0));
+        assert_eq!(w.set(100, OutOfService::default()).groups[0].1.free, Some(0.0));
         assert_eq!(w.reopening(100 + WARM / 2)[0].1.free, Some(10.0));
         assert_eq!(w.reopening(100 + WARM)[0].1.free, Some(20.0));
         assert!(w.reopening(101 + WARM).is_empty() && w.shut_since(office).is_none());
