--- a/src/program/appliance.rs
+++ b/src/program/appliance.rs
@@ -187,7 +187,7 @@
     pub fn observe(&mut self, now: Micros, output: &LedgerOutput, ledger: &Ledger, aims: &[Micros]) {
         match output {
             LedgerOutput::SetUp { call, office, .. } => {
-                let leg = ledger.withdrawals().exchange_of(*office);
+                let leg = ledger.administrative_state().exchange_of(*office);
                 let Some((leg, offer)) = leg.zip(ledger.offered_call(*call)) else { return };
                 self.traffic.sent(now, Exchange(offer.new_call.destination.0), Exchange(leg.0));
                 if let Some(e) = self.exchanges.of(leg.0) {
--- a/src/program/views.rs
+++ b/src/program/views.rs
@@ -70,7 +70,7 @@
     /// In short; alarms, drains and the like are filled in by whoever has them.
     pub fn status(&self) -> Status {
         let count = |state: Option<ListState>| {
-            let offices = self.ledger.withdrawals().offices();
+            let offices = self.ledger.administrative_state().offices();
             offices.filter(|o| state.is_none_or(|s| o.0.state == s)).count()
         };
         Status {
@@ -93,7 +93,7 @@
     /// by whoever has them.
     pub fn exchanges(&self) -> Vec<Exchange> {
         let loads = self.loads();
-        let figures: BTreeMap<OfficeId, _> = self.ledger.withdrawals().figures().collect();
+        let figures: BTreeMap<OfficeId, _> = self.ledger.administrative_state().figures().collect();
         let of = |office: &OfficeId, exchange: ExchangeNo, name: &str, address: String, state, connected| {
             let known = figures.get(office);
             let Load { out, standing } = loads.load(Target::Group(target::Exchange(exchange.0)));
@@ -111,7 +111,7 @@
                 ..Exchange::default()
             }
         };
-        let list = self.ledger.withdrawals();
+        let list = self.ledger.administrative_state();
         let links = self.links.views().filter_map(|(office, place, state, up)| {
             let exchange = list.exchange_of(office)?;
             Some(of(&office, exchange, &place.member, place.address.to_string(), state, up))
@@ -203,7 +203,9 @@
     fn neighbours(&self) -> Vec<Neighbour> {
         let own = self.scene.config.settings.own;
         let mut all: BTreeMap<ExchangeNo, Neighbour> = BTreeMap::new();
-        for (e, group) in self.scene.ledger.withdrawals().offices().filter(|o| Some(o.0.exchange) != own) {
+        for (e, group) in
+            self.scene.ledger.administrative_state().offices().filter(|o| Some(o.0.exchange) != own)
+        {
             let ready = e.state == ListState::Ready;
             let n = Neighbour { exchange: target::Exchange(e.exchange.0), ready, group };
             // Of an old machine and its replacement the one that is in service counts.
--- a/src/routing/withdrawals.rs
+++ b/src/routing/administrative_state.rs
@@ -21,7 +21,7 @@
 
 /// The list and the groups as they were told, and what is out of service.
 #[derive(Debug)]
-pub struct Withdrawals {
+pub struct AdministrativeState {
     /// Time in which something that came back is taken up again (µs).
     warm: Micros,
     listed: BTreeMap<OfficeId, ListEntry>,
@@ -36,10 +36,10 @@
     reopened: BTreeMap<ExchangeNo, Micros>,
 }
 
-impl Withdrawals {
+impl AdministrativeState {
     /// Nothing is withdrawn. `warm`: the time that a cold processor takes to be warm.
     pub fn new(warm: Micros) -> Self {
-        Withdrawals {
+        AdministrativeState {
             warm: warm.max(1),
             listed: BTreeMap::new(),
             figures: BTreeMap::new(),
@@ -222,7 +222,7 @@
 
     #[test]
     fn nothing_changes_while_nothing_was_withdrawn() {
-        let mut w = Withdrawals::new(WARM);
+        let mut w = AdministrativeState::new(WARM);
         let news = ListNews::Complete([entry(1, ListState::Ready), entry(2, ListState::Draining)].into());
         assert_eq!(w.list(news.clone()), news);
         assert_eq!(w.report(5, entry(1, ListState::Ready).office, figures(7.0)), figures(7.0));
@@ -231,7 +231,7 @@
 
     #[test]
     fn whichever_drain_ends_first_the_other_holds() {
-        let mut w = Withdrawals::new(WARM);
+        let mut w = AdministrativeState::new(WARM);
         w.list(ListNews::Complete([entry(1, ListState::Ready)].into()));
         assert_eq!(w.set(10, out(&[1], &[])).entries[0].state, ListState::Draining);
         // The coordinator drains it too, and ends its drain first.
@@ -260,7 +260,7 @@
 
     #[test]
     fn a_group_is_shut_at_once_and_comes_back_little_by_little() {
-        let mut w = Withdrawals::new(WARM);
+        let mut w = AdministrativeState::new(WARM);
         let office = entry(1, ListState::Ready).office;
         w.list(ListNews::Complete([entry(1, ListState::Ready)].into()));
         w.report(0, office, figures(18.0));
--- a/src/routing/ledger.rs
+++ b/src/routing/ledger.rs
@@ -4,9 +4,9 @@
 //! Each rule has one place: one final answer ([`Ledger::finish`]), one attempt out, the drain limit and the
 //! quiet period ([`Ledger::start`]).
 
+use super::administrative_state::AdministrativeState;
 use super::control::Controller;
 use super::interface::*;
-use super::withdrawals::Withdrawals;
 use crate::fault_injection::{fault_injected, InjectedFault};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -281,7 +281,7 @@
     /// The offices on the list; nothing is sent to one that is not here.
     offices: BTreeMap<OfficeId, Told>,
     /// What operators took out of service.
-    withdrawals: Withdrawals,
+    administrative_state: AdministrativeState,
     next: u32,
     out: Vec<Output>,
     counts: LedgerCounts,
@@ -298,7 +298,7 @@
             shortest_aim: settings.classes.iter().map(|c| c.aim).min().unwrap_or(1_000_000).max(1),
             release: if fault_injected(InjectedFault::RetryInQuietPeriod) { 0 } else { settings.release },
             drain_grace: settings.drain_grace,
-            withdrawals: Withdrawals::new(settings.cold),
+            administrative_state: AdministrativeState::new(settings.cold),
             controller: Controller::new(settings, seed),
             calls: BTreeMap::new(),
             offices: BTreeMap::new(),
@@ -419,20 +419,20 @@
             self.out.push(Output::AttemptEnded { call, exchange: entry.exchange, ending, cause });
         }
         let took = now - since;
-        let report = self.withdrawals.report(now, office, report);
+        let report = self.administrative_state.report(now, office, report);
         let outcome = Outcome { call, attempt, office, ending, cause, took, over, report };
         self.drive(now, Event::Ended(outcome));
     }
 
     /// Figures of an office or of the group toward it.
     pub fn group(&mut self, now: Micros, office: OfficeId, report: LoadReport) {
-        let report = self.withdrawals.report(now, office, report);
+        let report = self.administrative_state.report(now, office, report);
         self.drive(now, Event::Group { office, report });
     }
 
     /// Operators took this out of service, and nothing else. Set-ups may go there until the grace is over.
     pub fn withdraw(&mut self, now: Micros, withdrawn: OutOfService) {
-        let changes = self.withdrawals.set(now, withdrawn.clone());
+        let changes = self.administrative_state.set(now, withdrawn.clone());
         if !changes.entries.is_empty() {
             self.note_states(now, &changes.entries);
             self.drive(now, Event::List(ListNews::Changes(changes.entries.into())));
@@ -455,7 +455,7 @@
 
     /// Brings groups that were withdrawn back little by little; to be called now and then.
     pub fn reopen(&mut self, now: Micros) {
-        for (office, report) in self.withdrawals.reopening(now) {
+        for (office, report) in self.administrative_state.reopening(now) {
             self.drive(now, Event::Group { office, report });
         }
     }
@@ -487,7 +487,7 @@
 
     /// News of the list of offices.
     pub fn list(&mut self, now: Micros, news: ListNews) {
-        let news = self.withdrawals.list(news);
+        let news = self.administrative_state.list(news);
         match &news {
             ListNews::Failed => {}
             ListNews::Changes(entries) => self.note_states(now, entries),
@@ -573,8 +573,8 @@
     }
 
     /// What operators took out of service, and the list and groups that it lies over.
-    pub fn withdrawals(&self) -> &Withdrawals {
-        &self.withdrawals
+    pub fn administrative_state(&self) -> &AdministrativeState {
+        &self.administrative_state
     }
 
     /// Set-ups that are out and calls that stand, by first leg and destination.
@@ -647,7 +647,7 @@
         };
         let attempt = AttemptNo(entry.attempts);
         entry.attempts = entry.attempts.saturating_add(1);
-        let shut = self.withdrawals.shut_since(office);
+        let shut = self.administrative_state.shut_since(office);
         let drained = |told: &Told| {
             told.drains.into_iter().chain(shut).min().is_some_and(|t| now - t > self.drain_grace)
         };
@@ -673,7 +673,7 @@
         let last = entry.deadline - ATTEMPT_EARLY;
         let until = timeout.map_or(last, |t| last.min(now + t.max(0)));
         entry.stage = Stage::Out { attempt, office, since: now };
-        entry.exchange = self.withdrawals.exchange_of(office);
+        entry.exchange = self.administrative_state.exchange_of(office);
         self.counts.attempts += 1;
         self.out.push(Output::SetUp { call, attempt, office, wait: (until - now).max(0) });
         self.out.push(Output::SetTimer(until, LedgerTimer::Attempt(call, attempt)));
