--- a/src/program/views.rs
+++ b/src/program/views.rs
@@ -93,7 +93,7 @@
     /// by whoever has them.
     pub fn exchanges(&self) -> Vec<Exchange> {
         let loads = self.loads();
-        let figures: BTreeMap<OfficeId, _> = self.ledger.administrative_state().figures().collect();
+        let figures: BTreeMap<OfficeId, _> = self.ledger.administrative_state().group_circuits().collect();
         let of = |office: &OfficeId, exchange: ExchangeNo, name: &str, address: String, state, connected| {
             let known = figures.get(office);
             let Load { out, standing } = loads.load(Target::Group(target::Exchange(exchange.0)));
--- a/src/routing/administrative_state.rs
+++ b/src/routing/administrative_state.rs
@@ -23,40 +23,40 @@
 #[derive(Debug)]
 pub struct AdministrativeState {
     /// Time in which something that came back is taken up again (µs).
-    warm: Micros,
+    ramp_period: Micros,
     listed: BTreeMap<OfficeId, ListEntry>,
     /// Free circuits and size of the group toward each office, and when they were told.
-    figures: BTreeMap<OfficeId, (f64, f64, Micros)>,
-    withdrawn: OutOfService,
+    circuits: BTreeMap<OfficeId, (f64, f64, Micros)>,
+    out_of_service: OutOfService,
     /// Groups that are withdrawn, and since when.
-    shut: BTreeMap<ExchangeNo, Micros>,
+    groups_out_since: BTreeMap<ExchangeNo, Micros>,
     /// Exchanges that came back, and when.
-    returned: BTreeMap<ExchangeNo, Micros>,
+    restored_exchanges: BTreeMap<ExchangeNo, Micros>,
     /// Groups that came back, and when.
-    reopened: BTreeMap<ExchangeNo, Micros>,
+    restored_groups: BTreeMap<ExchangeNo, Micros>,
 }
 
 impl AdministrativeState {
     /// Nothing is withdrawn. `warm`: the time that a cold processor takes to be warm.
-    pub fn new(warm: Micros) -> Self {
+    pub fn new(ramp_period: Micros) -> Self {
         AdministrativeState {
-            warm: warm.max(1),
+            ramp_period: ramp_period.max(1),
             listed: BTreeMap::new(),
-            figures: BTreeMap::new(),
-            withdrawn: OutOfService::default(),
-            shut: BTreeMap::new(),
-            returned: BTreeMap::new(),
-            reopened: BTreeMap::new(),
+            circuits: BTreeMap::new(),
+            out_of_service: OutOfService::default(),
+            groups_out_since: BTreeMap::new(),
+            restored_exchanges: BTreeMap::new(),
+            restored_groups: BTreeMap::new(),
         }
     }
 
     /// An office as it counts: the worse of what the list says and what operators want.
     fn effective(&self, base: &ListEntry) -> ListEntry {
         let mut e = base.clone();
-        if self.withdrawn.exchanges.contains(&e.exchange) && e.state == ListState::Ready {
+        if self.out_of_service.exchanges.contains(&e.exchange) && e.state == ListState::Ready {
             e.state = ListState::Draining;
         }
-        if let Some(&back) = self.returned.get(&e.exchange) {
+        if let Some(&back) = self.restored_exchanges.get(&e.exchange) {
             // A machine that started after that is colder still.
             e.last_start = Some(e.last_start.map_or(back, |s| s.max(back)));
         }
@@ -64,7 +64,7 @@
     }
 
     /// Takes news of the list and gives what the module is to hear.
-    pub fn list(&mut self, news: ListNews) -> ListNews {
+    pub fn apply_list(&mut self, news: ListNews) -> ListNews {
         let complete = matches!(news, ListNews::Complete(_) | ListNews::Cached(_));
         let (ListNews::Changes(entries) | ListNews::Complete(entries) | ListNews::Cached(entries)) = &news
         else {
@@ -80,8 +80,8 @@
             }
         }
         let listed = &self.listed;
-        self.figures.retain(|office, _| listed.contains_key(office));
-        if self.withdrawn.exchanges.is_empty() && self.returned.is_empty() {
+        self.circuits.retain(|office, _| listed.contains_key(office));
+        if self.out_of_service.exchanges.is_empty() && self.restored_exchanges.is_empty() {
             return news;
         }
         let effective = entries.iter().map(|e| self.effective(e)).collect();
@@ -93,66 +93,67 @@
     }
 
     /// Takes the figures of a group and gives them as they count.
-    pub fn report(&mut self, now: Micros, office: OfficeId, mut report: LoadReport) -> LoadReport {
+    pub fn apply_report(&mut self, now: Micros, office: OfficeId, mut report: LoadReport) -> LoadReport {
         if let (Some(free), Some(size)) = (report.free, report.size) {
-            self.figures.insert(office, (free, size, now));
-            report.free = Some(self.free(now, office, (free, size)));
+            self.circuits.insert(office, (free, size, now));
+            report.free = Some(self.free_circuits(now, office, (free, size)));
         }
         report
     }
 
-    fn free(&self, now: Micros, office: OfficeId, (free, size): (f64, f64)) -> f64 {
+    fn free_circuits(&self, now: Micros, office: OfficeId, (free, size): (f64, f64)) -> f64 {
         let Some(exchange) = self.listed.get(&office).map(|e| e.exchange) else { return free };
-        if self.withdrawn.groups.contains(&exchange) {
+        if self.out_of_service.groups.contains(&exchange) {
             return 0.0;
         }
-        match self.reopened.get(&exchange) {
+        match self.restored_groups.get(&exchange) {
             // As many circuits are taken up as a cold processor gains: in step with the time since.
-            Some(&since) if now - since < self.warm => {
-                free.min((size * (now - since) as f64 / self.warm as f64).floor())
+            Some(&since) if now - since < self.ramp_period => {
+                free.min((size * (now - since) as f64 / self.ramp_period as f64).floor())
             }
             _ => free,
         }
     }
 
     /// Sets what is withdrawn from now on, and tells what changes by it.
-    pub fn set(&mut self, now: Micros, new: OutOfService) -> Changes {
-        let old = std::mem::replace(&mut self.withdrawn, new);
-        let warm = self.warm;
-        self.returned.retain(|e, _| self.listed.values().any(|l| l.exchange == *e));
-        self.reopened.retain(|_, t| now - *t < warm);
-        for &e in old.exchanges.difference(&self.withdrawn.exchanges) {
-            self.returned.insert(e, now);
+    pub fn set_out_of_service(&mut self, now: Micros, new: OutOfService) -> Changes {
+        let old = std::mem::replace(&mut self.out_of_service, new);
+        let ramp_period = self.ramp_period;
+        self.restored_exchanges.retain(|e, _| self.listed.values().any(|l| l.exchange == *e));
+        self.restored_groups.retain(|_, t| now - *t < ramp_period);
+        for &e in old.exchanges.difference(&self.out_of_service.exchanges) {
+            self.restored_exchanges.insert(e, now);
         }
-        for &e in &self.withdrawn.exchanges {
-            self.returned.remove(&e);
+        for &e in &self.out_of_service.exchanges {
+            self.restored_exchanges.remove(&e);
         }
-        for &e in old.groups.difference(&self.withdrawn.groups) {
-            self.reopened.insert(e, now);
+        for &e in old.groups.difference(&self.out_of_service.groups) {
+            self.restored_groups.insert(e, now);
         }
-        let groups = &self.withdrawn.groups;
-        self.shut.retain(|e, _| groups.contains(e));
+        let groups = &self.out_of_service.groups;
+        self.groups_out_since.retain(|e, _| groups.contains(e));
         for &e in groups {
-            self.reopened.remove(&e);
-            self.shut.entry(e).or_insert(now);
+            self.restored_groups.remove(&e);
+            self.groups_out_since.entry(e).or_insert(now);
         }
-        let exchange = |e: &&ListEntry| {
-            old.exchanges.contains(&e.exchange) != self.withdrawn.exchanges.contains(&e.exchange)
+        let exchange_changed = |e: &&ListEntry| {
+            old.exchanges.contains(&e.exchange) != self.out_of_service.exchanges.contains(&e.exchange)
         };
-        let entries = self.listed.values().filter(exchange).map(|e| self.effective(e)).collect();
-        let changed = |office: &OfficeId| {
+        let entries = self.listed.values().filter(exchange_changed).map(|e| self.effective(e)).collect();
+        let group_changed = |office: &OfficeId| {
             self.listed.get(office).is_some_and(|e| {
-                old.groups.contains(&e.exchange) != self.withdrawn.groups.contains(&e.exchange)
+                old.groups.contains(&e.exchange) != self.out_of_service.groups.contains(&e.exchange)
             })
         };
-        let figures = self.figures.iter().filter(|f| changed(f.0));
-        let groups = figures.map(|(&office, &f)| (office, self.group(now, office, f))).collect();
+        let changed_groups = self.circuits.iter().filter(|f| group_changed(f.0));
+        let groups =
+            changed_groups.map(|(&office, &f)| (office, self.group_report(now, office, f))).collect();
         Changes { entries, groups }
     }
 
-    fn group(&self, now: Micros, office: OfficeId, f: (f64, f64, Micros)) -> LoadReport {
+    fn group_report(&self, now: Micros, office: OfficeId, f: (f64, f64, Micros)) -> LoadReport {
         LoadReport {
-            free: Some(self.free(now, office, (f.0, f.1))),
+            free: Some(self.free_circuits(now, office, (f.0, f.1))),
             size: Some(f.1),
             ..LoadReport::default()
         }
@@ -160,28 +161,28 @@
 
     /// Groups that come back little by little: their figures as they count now. To be told on about every tenth of
     /// the time that they take.
-    pub fn reopening(&mut self, now: Micros) -> Vec<(OfficeId, LoadReport)> {
-        if self.reopened.is_empty() {
+    pub fn ramping_groups(&mut self, now: Micros) -> Vec<(OfficeId, LoadReport)> {
+        if self.restored_groups.is_empty() {
             return Vec::new();
         }
-        let of = |(&office, &f): (&OfficeId, &(f64, f64, Micros))| {
+        let report_of = |(&office, &f): (&OfficeId, &(f64, f64, Micros))| {
             let exchange = self.listed.get(&office)?.exchange;
-            self.reopened.contains_key(&exchange).then(|| (office, self.group(now, office, f)))
+            self.restored_groups.contains_key(&exchange).then(|| (office, self.group_report(now, office, f)))
         };
-        let told = self.figures.iter().filter_map(of).collect();
-        let warm = self.warm;
-        self.reopened.retain(|_, since| now - *since < warm);
-        told
+        let reports = self.circuits.iter().filter_map(report_of).collect();
+        let ramp_period = self.ramp_period;
+        self.restored_groups.retain(|_, since| now - *since < ramp_period);
+        reports
     }
 
     /// Since when the group toward an office is withdrawn.
-    pub fn shut_since(&self, office: OfficeId) -> Option<Micros> {
-        self.shut.get(&self.listed.get(&office)?.exchange).copied()
+    pub fn group_out_since(&self, office: OfficeId) -> Option<Micros> {
+        self.groups_out_since.get(&self.listed.get(&office)?.exchange).copied()
     }
 
     /// What is withdrawn.
-    pub fn withdrawn(&self) -> &OutOfService {
-        &self.withdrawn
+    pub fn out_of_service(&self) -> &OutOfService {
+        &self.out_of_service
     }
 
     /// The exchange that an office serves, while it is on the list.
@@ -191,12 +192,12 @@
 
     /// Each office on the list as the coordinator has it, with free circuits and size of its group.
     pub fn offices(&self) -> impl Iterator<Item = (&ListEntry, Option<(f64, f64)>)> {
-        self.listed.values().map(|e| (e, self.figures.get(&e.office).map(|f| (f.0, f.1))))
+        self.listed.values().map(|e| (e, self.circuits.get(&e.office).map(|f| (f.0, f.1))))
     }
 
     /// Free circuits and size of each group as they were told, and when.
-    pub fn figures(&self) -> impl Iterator<Item = (OfficeId, (f64, f64, Micros))> + '_ {
-        self.figures.iter().map(|(&office, &f)| (office, f))
+    pub fn group_circuits(&self) -> impl Iterator<Item = (OfficeId, (f64, f64, Micros))> + '_ {
+        self.circuits.iter().map(|(&office, &f)| (office, f))
     }
 }
 
@@ -204,7 +205,7 @@
 mod tests {
     use super::*;
 
-    const WARM: Micros = 15_000_000;
+    const RAMP_PERIOD: Micros = 15_000_000;
 
     fn entry(n: u16, state: ListState) -> ListEntry {
         let office = OfficeId { addr: [0, 0, 0, n as u8], port: 0 };
@@ -222,32 +223,35 @@
 
     #[test]
     fn nothing_changes_while_nothing_was_withdrawn() {
-        let mut w = AdministrativeState::new(WARM);
+        let mut w = AdministrativeState::new(RAMP_PERIOD);
         let news = ListNews::Complete([entry(1, ListState::Ready), entry(2, ListState::Draining)].into());
-        assert_eq!(w.list(news.clone()), news);
-        assert_eq!(w.report(5, entry(1, ListState::Ready).office, figures(7.0)), figures(7.0));
-        assert!(w.set(9, OutOfService::default()).entries.is_empty() && w.reopening(9).is_empty());
+        assert_eq!(w.apply_list(news.clone()), news);
+        assert_eq!(w.apply_report(5, entry(1, ListState::Ready).office, figures(7.0)), figures(7.0));
+        assert!(
+            w.set_out_of_service(9, OutOfService::default()).entries.is_empty()
+                && w.ramping_groups(9).is_empty()
+        );
     }
 
     #[test]
     fn whichever_drain_ends_first_the_other_holds() {
-        let mut w = AdministrativeState::new(WARM);
-        w.list(ListNews::Complete([entry(1, ListState::Ready)].into()));
-        assert_eq!(w.set(10, out(&[1], &[])).entries[0].state, ListState::Draining);
+        let mut w = AdministrativeState::new(RAMP_PERIOD);
+        w.apply_list(ListNews::Complete([entry(1, ListState::Ready)].into()));
+        assert_eq!(w.set_out_of_service(10, out(&[1], &[])).entries[0].state, ListState::Draining);
         // The coordinator drains it too, and ends its drain first.
         for state in [ListState::Draining, ListState::Ready] {
-            let ListNews::Changes(told) = w.list(ListNews::Changes([entry(1, state)].into())) else {
+            let ListNews::Changes(told) = w.apply_list(ListNews::Changes([entry(1, state)].into())) else {
                 panic!()
             };
             assert_eq!(told[0].state, ListState::Draining);
         }
         // A replacement under a new name serves the same exchange: it is withdrawn as well.
         let new = ListEntry { office: OfficeId { addr: [9; 4], port: 0 }, ..entry(1, ListState::Ready) };
-        let ListNews::Changes(told) = w.list(ListNews::Changes([new].into())) else { panic!() };
+        let ListNews::Changes(told) = w.apply_list(ListNews::Changes([new].into())) else { panic!() };
         assert_eq!(told[0].state, ListState::Draining);
         // The operator's ends first.
-        w.list(ListNews::Changes([entry(1, ListState::Draining)].into()));
-        let back = w.set(20, out(&[], &[])).entries;
+        w.apply_list(ListNews::Changes([entry(1, ListState::Draining)].into()));
+        let back = w.set_out_of_service(20, out(&[], &[])).entries;
         let state = |office| back.iter().find(|e| e.office == office).unwrap();
         assert_eq!(state(entry(1, ListState::Ready).office).state, ListState::Draining);
         let ready = state(OfficeId { addr: [9; 4], port: 0 });
@@ -260,15 +264,18 @@
 
     #[test]
     fn a_group_is_shut_at_once_and_comes_back_little_by_little() {
-        let mut w = AdministrativeState::new(WARM);
+        let mut w = AdministrativeState::new(RAMP_PERIOD);
         let office = entry(1, ListState::Ready).office;
-        w.list(ListNews::Complete([entry(1, ListState::Ready)].into()));
-        w.report(0, office, figures(18.0));
-        assert_eq!(w.set(10, out(&[], &[1])).groups[0].1.free, Some(0.0));
-        assert_eq!((w.report(11, office, figures(20.0)).free, w.shut_since(office)), (Some(0.0), Some(10)));
-        assert_eq!(w.set(100, OutOfService::default()).groups[0].1.free, Some(0.0));
-        assert_eq!(w.reopening(100 + WARM / 2)[0].1.free, Some(10.0));
-        assert_eq!(w.reopening(100 + WARM)[0].1.free, Some(20.0));
-        assert!(w.reopening(101 + WARM).is_empty() && w.shut_since(office).is_none());
+        w.apply_list(ListNews::Complete([entry(1, ListState::Ready)].into()));
+        w.apply_report(0, office, figures(18.0));
+        assert_eq!(w.set_out_of_service(10, out(&[], &[1])).groups[0].1.free, Some(0.0));
+        assert_eq!(
+            (w.apply_report(11, office, figures(20.0)).free, w.group_out_since(office)),
+            (Some(0.0), Some(10))
+        );
+        assert_eq!(w.set_out_of_service(100, OutOfService::default()).groups[0].1.free, Some(0.0));
+        assert_eq!(w.ramping_groups(100 + RAMP_PERIOD / 2)[0].1.free, Some(10.0));
+        assert_eq!(w.ramping_groups(100 + RAMP_PERIOD)[0].1.free, Some(20.0));
+        assert!(w.ramping_groups(101 + RAMP_PERIOD).is_empty() && w.group_out_since(office).is_none());
     }
 }
--- a/src/routing/ledger.rs
+++ b/src/routing/ledger.rs
@@ -419,20 +419,20 @@
             self.out.push(Output::AttemptEnded { call, exchange: entry.exchange, ending, cause });
         }
         let took = now - since;
-        let report = self.administrative_state.report(now, office, report);
+        let report = self.administrative_state.apply_report(now, office, report);
         let outcome = Outcome { call, attempt, office, ending, cause, took, over, report };
         self.drive(now, Event::Ended(outcome));
     }
 
     /// Figures of an office or of the group toward it.
     pub fn group(&mut self, now: Micros, office: OfficeId, report: LoadReport) {
-        let report = self.administrative_state.report(now, office, report);
+        let report = self.administrative_state.apply_report(now, office, report);
         self.drive(now, Event::Group { office, report });
     }
 
     /// Operators took this out of service, and nothing else. Set-ups may go there until the grace is over.
     pub fn withdraw(&mut self, now: Micros, withdrawn: OutOfService) {
-        let changes = self.administrative_state.set(now, withdrawn.clone());
+        let changes = self.administrative_state.set_out_of_service(now, withdrawn.clone());
         if !changes.entries.is_empty() {
             self.note_states(now, &changes.entries);
             self.drive(now, Event::List(ListNews::Changes(changes.entries.into())));
@@ -455,7 +455,7 @@
 
     /// Brings groups that were withdrawn back little by little; to be called now and then.
     pub fn reopen(&mut self, now: Micros) {
-        for (office, report) in self.administrative_state.reopening(now) {
+        for (office, report) in self.administrative_state.ramping_groups(now) {
             self.drive(now, Event::Group { office, report });
         }
     }
@@ -487,7 +487,7 @@
 
     /// News of the list of offices.
     pub fn list(&mut self, now: Micros, news: ListNews) {
-        let news = self.administrative_state.list(news);
+        let news = self.administrative_state.apply_list(news);
         match &news {
             ListNews::Failed => {}
             ListNews::Changes(entries) => self.note_states(now, entries),
@@ -647,7 +647,7 @@
         };
         let attempt = AttemptNo(entry.attempts);
         entry.attempts = entry.attempts.saturating_add(1);
-        let shut = self.administrative_state.shut_since(office);
+        let shut = self.administrative_state.group_out_since(office);
         let drained = |told: &Told| {
             told.drains.into_iter().chain(shut).min().is_some_and(|t| now - t > self.drain_grace)
         };
