--- a/examples/gossip_tables.rs
+++ b/examples/gossip_tables.rs
@@ -210,10 +210,10 @@
         office: office(j),
         last_start: None,
     };
-    ledger.list(0, ListNews::Cached((0..SITES).map(entry).collect()));
+    ledger.list_update(0, ListNews::Cached((0..SITES).map(entry).collect()));
     for j in (0..SITES).filter(|j| *j != i) {
         let report = LoadReport { free: Some(60.0), size: Some(60.0), ..LoadReport::default() };
-        ledger.group(0, office(j), report);
+        ledger.group_report(0, office(j), report);
     }
     Site { ledger, deadlines: Deadlines::default(), out: BTreeMap::new(), sent_to_hung: Vec::new() }
 }
@@ -325,7 +325,7 @@
         let free = f64::from(60u32.saturating_sub(*busy));
         for (a, b) in [(i, j), (j, i)] {
             let report = LoadReport { free: Some(free), size: Some(60.0), ..LoadReport::default() };
-            self.sites[a].ledger.group(self.now, office(b), report);
+            self.sites[a].ledger.group_report(self.now, office(b), report);
         }
     }
 
@@ -359,7 +359,7 @@
             for (_, i, said) in std::mem::take(&mut lab.said) {
                 if let (NodeOutput::Suspected(all), true) = (said, i < SITES) {
                     let all: BTreeSet<ExchangeNo> = all.into_iter().map(|e| ExchangeNo(e.0)).collect();
-                    self.sites[i].ledger.suspect(now, all);
+                    self.sites[i].ledger.suspected_changed(now, all);
                     self.follow(i);
                 }
             }
@@ -368,7 +368,7 @@
             match due {
                 Due::Answer(i, call, attempt) => {
                     let known = self.sites[i].out.get(&call).is_some_and(|o| o.0 == attempt);
-                    if known && self.sites[i].ledger.answered(now, call, attempt, None) {
+                    if known && self.sites[i].ledger.attempt_answered(now, call, attempt, None) {
                         let hold = (-2e6 * (1.0 - self.rng.f64()).ln()) as Micros;
                         self.later(now + hold, Due::End(i, call, attempt));
                         self.follow(i);
@@ -377,7 +377,7 @@
                 Due::End(i, call, attempt) => {
                     if let Some((_, _, j)) = self.sites[i].out.remove(&call) {
                         let how = (Ending::Completed, Cause::None);
-                        self.sites[i].ledger.ended(now, call, attempt, how, LoadReport::default());
+                        self.sites[i].ledger.attempt_ended(now, call, attempt, how, LoadReport::default());
                         self.free(i, j);
                         self.follow(i);
                     }
--- a/src/program/gossip.rs
+++ b/src/program/gossip.rs
@@ -137,7 +137,7 @@
             self.node.set_links(&linked.map(|(e, _)| exchange(e.exchange)).collect());
             let known: BTreeSet<ExchangeNo> = offices.iter().map(|(e, _)| e.exchange).collect();
             self.node.set_exchanges(known.len());
-            self.node.set_pressed((ledger.pressed(now) * 200.0).clamp(0.0, 255.0) as u8);
+            self.node.set_pressed((ledger.processor_load(now) * 200.0).clamp(0.0, 255.0) as u8);
         }
         self.node.due(now);
         self.follow(now);
--- a/src/program/switchboard.rs
+++ b/src/program/switchboard.rs
@@ -164,7 +164,7 @@
         }
         let gateways = board.gateway_entries();
         if !gateways.is_empty() {
-            board.ledger.list(now, ListNews::Cached(gateways.into()));
+            board.ledger.list_update(now, ListNews::Cached(gateways.into()));
         }
         if let Some(agent) = &mut board.agent {
             agent.start(now);
@@ -189,7 +189,7 @@
             Inbound::Peer { from, body } => {
                 if let Some(at) = self.config.peers.iter().position(|p| *p == from) {
                     self.counts.peers_in += 1;
-                    self.ledger.peer(now, PeerNo(at as u32), body);
+                    self.ledger.peer_message(now, PeerNo(at as u32), body);
                 }
             }
             Inbound::Gateway { from, body } => {
@@ -426,7 +426,7 @@
             tracing::debug!(target: "walnuthatch::list", index = update.index, %member, "{state:?}");
         }
         // The ledger first: the guard on drains must know before anything else is done.
-        self.ledger.list(now, news);
+        self.ledger.list_update(now, news);
         self.links.list(now, &entries, &update.places, complete);
     }
 
@@ -545,14 +545,14 @@
             }
             UpstreamOutput::Wake(at, due) => self.deadlines.add(at, Due::Link(due)),
             UpstreamOutput::Answered(call, attempt, text) => {
-                if !self.ledger.answered(now, call, attempt, text) {
+                if !self.ledger.attempt_answered(now, call, attempt, text) {
                     self.links.clear(now, call, attempt);
                 }
             }
             UpstreamOutput::Ended(call, attempt, how, load) => {
-                self.ledger.ended(now, call, attempt, how, load);
+                self.ledger.attempt_ended(now, call, attempt, how, load);
             }
-            UpstreamOutput::Group(office, load) => self.ledger.group(now, office, load),
+            UpstreamOutput::Group(office, load) => self.ledger.group_report(now, office, load),
             UpstreamOutput::ProbeFailed(office) => self.ledger.probe_failed(now, office),
             UpstreamOutput::GaveUp(member, why) => {
                 tracing::info!(%member, "exchange {member}: connection given up: {why}");
@@ -568,7 +568,7 @@
         let outbox = |conn| self.outboxes.get(&(Side::Callers, conn));
         match output {
             ClientOutput::Tell(conn, message) => self.send(Side::Callers, conn, None, &message),
-            ClientOutput::Fail(call) => self.ledger.fail(now, call, AnswerReason::ConnectionEnding),
+            ClientOutput::Fail(call) => self.ledger.fail_call(now, call, AnswerReason::ConnectionEnding),
             ClientOutput::Ending(conn, why) => {
                 tracing::debug!(target: CONNECTIONS, conn = conn.0, "caller's connection ends: {why:?}");
             }
@@ -594,17 +594,17 @@
             }
             AgentOutput::Left(call) => self.ledger.caller_left(now, call),
             AgentOutput::Answered(call, attempt, text) => {
-                if !self.ledger.answered(now, call, attempt, text) {
+                if !self.ledger.attempt_answered(now, call, attempt, text) {
                     if let Some(agent) = &mut self.agent {
                         agent.clear(now, call, attempt);
                     }
                 }
             }
             AgentOutput::Ended(call, attempt, how) => {
-                self.ledger.ended(now, call, attempt, how, LoadReport::default());
+                self.ledger.attempt_ended(now, call, attempt, how, LoadReport::default());
             }
-            AgentOutput::Group(office, load) => self.ledger.group(now, office, load),
-            AgentOutput::List(entry) => self.ledger.list(now, ListNews::Changes([entry].into())),
+            AgentOutput::Group(office, load) => self.ledger.group_report(now, office, load),
+            AgentOutput::List(entry) => self.ledger.list_update(now, ListNews::Changes([entry].into())),
         }
     }
 
--- a/src/program/switchboard/exports.rs
+++ b/src/program/switchboard/exports.rs
@@ -47,7 +47,7 @@
         let of = |n: usize| u64::try_from(n).unwrap_or(u64::MAX);
         [
             ("calls.open", of(self.ledger.open_calls())),
-            ("calls.standing", of(self.ledger.standing_calls())),
+            ("calls.standing", of(self.ledger.established_calls())),
             ("connections", of(self.outboxes.len())),
             ("deadlines", of(self.deadlines.len())),
         ]
--- a/src/program/switchboard/gossip.rs
+++ b/src/program/switchboard/gossip.rs
@@ -38,8 +38,8 @@
         for output in outputs {
             match output {
                 Output::Datagram(to, body) => self.tasks.push(Task::Gossip(to, body)),
-                Output::Suspect(all) => self.ledger.suspect(now, all),
-                Output::Peer(from, body) => self.ledger.peer(now, from, body),
+                Output::Suspect(all) => self.ledger.suspected_changed(now, all),
+                Output::Peer(from, body) => self.ledger.peer_message(now, from, body),
                 Output::Tell(kind, text) => match &mut self.appliance {
                     Some(a) => a.tell(now, now + self.wall_ahead, kind, text),
                     None => Appliance::log(kind, &text),
--- a/src/program/switchboard/stop.rs
+++ b/src/program/switchboard/stop.rs
@@ -34,7 +34,7 @@
 
     /// Whether a stop in this phase has nothing to wait for but connections.
     pub(super) fn served(&self, phase: Phase) -> bool {
-        let stood = self.ledger.standing_calls() == 0 && !self.callers.owes_releases();
+        let stood = self.ledger.established_calls() == 0 && !self.callers.owes_releases();
         phase >= Phase::Draining && self.ledger.open_calls() == 0 && (stood || phase >= Phase::Closing)
     }
 
@@ -58,17 +58,17 @@
     pub(super) fn advance_stop(&mut self, now: Micros) {
         let Some(stop) = &self.stopping else { return };
         let phase = stop.shutdown.phase(now);
-        let (open, standing) = (self.ledger.open_calls(), self.ledger.standing_calls());
+        let (open, standing) = (self.ledger.open_calls(), self.ledger.established_calls());
         tracing::info!("stop: {phase:?}; {open} calls open, {standing} stand");
         if fault_injected(InjectedFault::RequestLeftAtStop) && phase < Phase::Over {
             return;
         }
         if phase >= Phase::Draining {
-            self.ledger.close(self.config.settings.max_pause);
+            self.ledger.refuse_new_calls(self.config.settings.max_pause);
             self.callers.drain(now);
         }
         if phase >= Phase::Answered {
-            self.ledger.fail_open(now);
+            self.ledger.fail_open_calls(now);
         }
         if phase >= Phase::Closing {
             self.callers.end_all(now);
--- a/src/program/views.rs
+++ b/src/program/views.rs
@@ -79,7 +79,7 @@
             state: self.state().to_owned(),
             up_s: ms(self.now - self.born) / 1000,
             open: self.ledger.open_calls(),
-            standing: self.ledger.standing_calls(),
+            standing: self.ledger.established_calls(),
             connections: self.connections,
             deadlines: self.deadlines,
             ready: count(Some(ListState::Ready)),
@@ -139,13 +139,13 @@
             for_ms: ms(self.now - v.since),
         };
         let fits = |c: &Call| search.is_empty() || call_line(c).contains(search);
-        let found = self.ledger.views().map(view).filter(fits).take(most).collect();
-        (found, self.ledger.open_calls() + self.ledger.standing_calls())
+        let found = self.ledger.call_views().map(view).filter(fits).take(most).collect();
+        (found, self.ledger.open_calls() + self.ledger.established_calls())
     }
 
     /// What is at each exchange.
     pub fn loads(&self) -> Loads<'_> {
-        Loads { scene: self, loads: self.ledger.loads(), links: None, health: Health::default() }
+        Loads { scene: self, loads: self.ledger.call_loads(), links: None, health: Health::default() }
     }
 }
 
@@ -187,7 +187,7 @@
             let of = |n: usize| u32::try_from(n).unwrap_or(u32::MAX);
             return Load {
                 out: of(self.scene.ledger.open_calls()),
-                standing: of(self.scene.ledger.standing_calls()),
+                standing: of(self.scene.ledger.established_calls()),
             };
         }
         let at = |leg: ExchangeNo, to: ExchangeNo| match target {
--- a/src/routing/ledger.rs
+++ b/src/routing/ledger.rs
@@ -359,7 +359,7 @@
 
     /// The set-up that is out was answered. Whether the answer was wanted: one for an attempt that is over
     /// must be released by the wire that brought it.
-    pub fn answered(
+    pub fn attempt_answered(
         &mut self,
         now: Micros,
         call: CallId,
@@ -384,7 +384,7 @@
     }
 
     /// An attempt ended on its wire, or a call that stood is over.
-    pub fn ended(
+    pub fn attempt_ended(
         &mut self,
         now: Micros,
         call: CallId,
@@ -425,14 +425,14 @@
     }
 
     /// Figures of an office or of the group toward it.
-    pub fn group(&mut self, now: Micros, office: OfficeId, report: LoadReport) {
+    pub fn group_report(&mut self, now: Micros, office: OfficeId, report: LoadReport) {
         let report = self.administrative_state.apply_report(now, office, report);
         self.drive(now, Event::Group { office, report });
     }
 
     /// Operators took this out of service, and nothing else. Set-ups may go there until the grace is over.
-    pub fn withdraw(&mut self, now: Micros, withdrawn: OutOfService) {
-        let changes = self.administrative_state.set_out_of_service(now, withdrawn.clone());
+    pub fn out_of_service_changed(&mut self, now: Micros, out_of_service: OutOfService) {
+        let changes = self.administrative_state.set_out_of_service(now, out_of_service.clone());
         if !changes.entries.is_empty() {
             self.note_states(now, &changes.entries);
             self.drive(now, Event::List(ListNews::Changes(changes.entries.into())));
@@ -440,28 +440,28 @@
         for (office, report) in changes.groups {
             self.drive(now, Event::Group { office, report });
         }
-        self.drive(now, Event::OutOfService(withdrawn));
+        self.drive(now, Event::OutOfService(out_of_service));
     }
 
     /// These exchanges are suspected of taking set-ups and answering none, and no others.
-    pub fn suspect(&mut self, now: Micros, suspected: BTreeSet<ExchangeNo>) {
+    pub fn suspected_changed(&mut self, now: Micros, suspected: BTreeSet<ExchangeNo>) {
         self.drive(now, Event::Suspected(suspected));
     }
 
     /// How pressed the own processor is: its wait as a share of the shortest aim's two fifths.
-    pub fn pressed(&self, now: Micros) -> f64 {
+    pub fn processor_load(&self, now: Micros) -> f64 {
         self.controller.own_delay(now) / (0.4 * self.shortest_aim as f64)
     }
 
     /// Brings groups that were withdrawn back little by little; to be called now and then.
-    pub fn reopen(&mut self, now: Micros) {
+    pub fn ramp_restored_groups(&mut self, now: Micros) {
         for (office, report) in self.administrative_state.ramping_groups(now) {
             self.drive(now, Event::Group { office, report });
         }
     }
 
     /// Releases the calls that stand and that `which` picks by their first leg and destination, towards both sides.
-    pub fn cut(&mut self, now: Micros, which: impl Fn(Option<ExchangeNo>, ExchangeNo) -> bool) {
+    pub fn cut_calls(&mut self, now: Micros, which: impl Fn(Option<ExchangeNo>, ExchangeNo) -> bool) {
         let of = |(&call, e): (&CallId, &Entry)| match e.stage {
             Stage::Standing { attempt, office, .. } if which(e.exchange, e.offer.new_call.destination) => {
                 Some((call, attempt, office))
@@ -471,7 +471,7 @@
         let found: Vec<_> = self.calls.iter().filter_map(of).collect();
         for (call, attempt, office) in found {
             self.out.push(Output::Clear { call, attempt, office });
-            self.ended(now, call, attempt, (Ending::Reset, Cause::None), LoadReport::default());
+            self.attempt_ended(now, call, attempt, (Ending::Reset, Cause::None), LoadReport::default());
         }
     }
 
@@ -481,12 +481,12 @@
     }
 
     /// A message from a peer.
-    pub fn peer(&mut self, now: Micros, from: PeerNo, body: Vec<u8>) {
+    pub fn peer_message(&mut self, now: Micros, from: PeerNo, body: Vec<u8>) {
         self.drive(now, Event::Peer { from, body });
     }
 
     /// News of the list of offices.
-    pub fn list(&mut self, now: Micros, news: ListNews) {
+    pub fn list_update(&mut self, now: Micros, news: ListNews) {
         let news = self.administrative_state.apply_list(news);
         match &news {
             ListNews::Failed => {}
@@ -521,28 +521,28 @@
                     Stage::Deciding => {}
                 }
                 // Guards against a module that holds a call past its caller's patience.
-                self.fail(now, call, AnswerReason::ClientDeadline);
+                self.fail_call(now, call, AnswerReason::ClientDeadline);
             }
         }
     }
 
     /// Fails a call that is still open, whatever the module would do with it.
-    pub fn fail(&mut self, now: Micros, call: CallId, reason: AnswerReason) {
+    pub fn fail_call(&mut self, now: Micros, call: CallId, reason: AnswerReason) {
         if self.finish(call, Answer::Failed, reason) {
             self.drive(now, Event::CallerGone(call));
         }
     }
 
     /// From now on new calls are refused at once, whatever front they come in by.
-    pub fn close(&mut self, retry_after: Micros) {
+    pub fn refuse_new_calls(&mut self, retry_after: Micros) {
         self.closed_retry_after = Some(retry_after);
     }
 
     /// Fails all calls that are still open.
-    pub fn fail_open(&mut self, now: Micros) {
+    pub fn fail_open_calls(&mut self, now: Micros) {
         let stands = |e: &Entry| matches!(e.stage, Stage::Standing { .. });
         let open: Vec<CallId> = self.calls.iter().filter(|(_, e)| !stands(e)).map(|(&c, _)| c).collect();
-        open.into_iter().for_each(|call| self.fail(now, call, AnswerReason::Shutdown));
+        open.into_iter().for_each(|call| self.fail_call(now, call, AnswerReason::Shutdown));
     }
 
     /// What is to be done, in order.
@@ -563,7 +563,7 @@
     }
 
     /// Calls that stand.
-    pub fn standing_calls(&self) -> usize {
+    pub fn established_calls(&self) -> usize {
         self.calls.len() - self.open
     }
 
@@ -578,7 +578,7 @@
     }
 
     /// Set-ups that are out and calls that stand, by first leg and destination.
-    pub fn loads(&self) -> BTreeMap<(ExchangeNo, ExchangeNo), (u32, u32)> {
+    pub fn call_loads(&self) -> BTreeMap<(ExchangeNo, ExchangeNo), (u32, u32)> {
         let mut loads: BTreeMap<_, (u32, u32)> = BTreeMap::new();
         for e in self.calls.values() {
             let Some(exchange) = e.exchange else { continue };
@@ -593,7 +593,7 @@
     }
 
     /// The calls held, oldest first.
-    pub fn views(&self) -> impl Iterator<Item = CallView> + '_ {
+    pub fn call_views(&self) -> impl Iterator<Item = CallView> + '_ {
         self.calls.iter().map(|(&call, e)| {
             let (doing, exchange, since) = match e.stage {
                 Stage::Deciding => ("waits", None, e.offered_at),
@@ -685,7 +685,7 @@
         let Stage::Out { attempt: out, office, .. } = entry.stage else { return };
         if out == attempt {
             self.out.push(Output::Clear { call, attempt, office });
-            self.ended(now, call, attempt, (ending, Cause::None), LoadReport::default());
+            self.attempt_ended(now, call, attempt, (ending, Cause::None), LoadReport::default());
         }
     }
 
--- a/tests/models.rs
+++ b/tests/models.rs
@@ -930,8 +930,8 @@
             Step::Answered(i) => {
                 if let Some(call) = self.nth(i, |h| h.out.is_some()) {
                     let attempt = self.calls[&call].out.unwrap();
-                    assert!(self.ledger.answered(now, call, attempt, None));
-                    assert!(!self.ledger.answered(now, call, attempt, None), "not twice");
+                    assert!(self.ledger.attempt_answered(now, call, attempt, None));
+                    assert!(!self.ledger.attempt_answered(now, call, attempt, None), "not twice");
                 }
             }
             Step::Ended(i, ending, cause) => {
@@ -940,7 +940,7 @@
                     let attempt = held.out.take().unwrap_or(AttemptNo(0));
                     let unclear = matches!(ending, Ending::Reset | Ending::TimedOut);
                     held.quiet = if unclear { now + 500 * MS } else { held.quiet };
-                    self.ledger.ended(now, call, attempt, (ending, cause), LoadReport::default());
+                    self.ledger.attempt_ended(now, call, attempt, (ending, cause), LoadReport::default());
                 }
             }
             Step::List(n, state) => {
@@ -948,7 +948,7 @@
                     ListState::Ready => drop(self.drained.remove(&n)),
                     _ => drop(self.drained.entry(n).or_insert(now)),
                 }
-                self.ledger.list(now, ListNews::Changes([entry(n, state)].into()));
+                self.ledger.list_update(now, ListNews::Changes([entry(n, state)].into()));
             }
             Step::Pass(span) => {
                 while let Some(at) = self.due.first().filter(|&at| at <= now + span) {
@@ -995,10 +995,10 @@
     let (calls, drained) = (BTreeMap::new(), BTreeMap::new());
     let mut book = Book { ledger, now: 1_000_000 * MS, due: Deadlines::default(), calls, drained };
     let all: Vec<ListEntry> = (0..5).map(|n| entry(n, ListState::Ready)).collect();
-    book.ledger.list(book.now, ListNews::Cached(all.into()));
+    book.ledger.list_update(book.now, ListNews::Cached(all.into()));
     for n in 1..5 {
         let report = LoadReport { free: Some(20.0), size: Some(20.0), ..LoadReport::default() };
-        book.ledger.group(book.now, office(n), report);
+        book.ledger.group_report(book.now, office(n), report);
     }
     book.settle();
     book
@@ -1075,6 +1075,6 @@
         steps.into_iter().for_each(|s| book.step(s));
         book.step(Step::Pass(6_000 * MS));
         assert_eq!(book.ledger.open_calls(), 0);
-        assert_eq!(book.ledger.standing_calls(), book.calls.len());
+        assert_eq!(book.ledger.established_calls(), book.calls.len());
     });
 }
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -62,9 +62,9 @@
         office: OfficeId::default(),
         last_start: None,
     };
-    ledger.list(0, ListNews::Cached([entry].into()));
+    ledger.list_update(0, ListNews::Cached([entry].into()));
     let first = ledger.offer(10 * MS, offer(3_000 * MS));
-    ledger.close(2_000 * MS);
+    ledger.refuse_new_calls(2_000 * MS);
     ledger.take_outputs();
     for n in 0..50 {
         let call = ledger.offer(20 * MS + n, offer(3_000 * MS));
--- a/tests/withdrawals.rs
+++ b/tests/withdrawals.rs
@@ -47,8 +47,8 @@
         office: office(n as u8),
         last_start: None,
     };
-    l.list(T0, ListNews::Complete((1..=3).map(entry).collect()));
-    (1..=3).for_each(|n| l.group(T0, office(n), circuits(20.0)));
+    l.list_update(T0, ListNews::Complete((1..=3).map(entry).collect()));
+    (1..=3).for_each(|n| l.group_report(T0, office(n), circuits(20.0)));
     l.take_outputs();
     l
 }
@@ -94,12 +94,12 @@
 #[test]
 fn calls_for_a_withdrawn_exchange_are_refused_at_once_and_the_others_pass_it_by() {
     let mut l = ledger();
-    l.withdraw(T0, out(&[1], &[], false));
+    l.out_of_service_changed(T0, out(&[1], &[], false));
     l.take_outputs();
     let (_, outputs) = offer(&mut l, T0 + MS, 1);
     assert_eq!((sent(&outputs), refused(&outputs)), (None, Some(2_000_000)), "with when to come back");
     // The direct group to 2 is full: of the tandems only 3 is left.
-    l.group(T0 + 300 * MS, office(2), circuits(0.0));
+    l.group_report(T0 + 300 * MS, office(2), circuits(0.0));
     for n in 0..8 {
         let (_, outputs) = offer(&mut l, T0 + (300 + n) * MS, 2);
         assert_ne!(sent(&outputs), Some(office(1)));
@@ -109,23 +109,23 @@
 #[test]
 fn a_withdrawn_group_takes_nothing_new_and_its_calls_go_over_a_tandem() {
     let mut l = ledger();
-    l.withdraw(T0, out(&[], &[1], false));
+    l.out_of_service_changed(T0, out(&[], &[1], false));
     l.take_outputs();
     let (_, outputs) = offer(&mut l, T0 + MS, 1);
     assert!(sent(&outputs).is_some_and(|o| o != office(1)), "{outputs:?}");
     // News of free circuits does not open it.
-    l.group(T0 + 2 * MS, office(1), circuits(20.0));
+    l.group_report(T0 + 2 * MS, office(1), circuits(20.0));
     let (_, outputs) = offer(&mut l, T0 + 3 * MS, 1);
     assert_ne!(sent(&outputs), Some(office(1)));
     // It comes back by a part of its circuits at a time.
-    l.withdraw(T0 + 1000 * MS, out(&[], &[], false));
+    l.out_of_service_changed(T0 + 1000 * MS, out(&[], &[], false));
     l.take_outputs();
     let direct = |l: &mut Ledger, now| {
         let answers = (0..20).map(|_| sent(&offer(l, now, 1).1));
         answers.filter(|o| *o == Some(office(1))).count()
     };
     assert_eq!(direct(&mut l, T0 + 1001 * MS), 0);
-    l.reopen(T0 + 1000 * MS + 3_000_000);
+    l.ramp_restored_groups(T0 + 1000 * MS + 3_000_000);
     let some = direct(&mut l, T0 + 1001 * MS + 3_000_000);
     assert!((1..=4).contains(&some), "a fifth of the time, at most a fifth of the circuits: {some}");
 }
@@ -136,8 +136,8 @@
         let mut l = ledger();
         let back = T0 + 10_000_000;
         if withdrawn {
-            l.withdraw(T0, out(&[1], &[], false));
-            l.withdraw(back, out(&[], &[], false));
+            l.out_of_service_changed(T0, out(&[1], &[], false));
+            l.out_of_service_changed(back, out(&[], &[], false));
         }
         l.take_outputs();
         // A burst: a cold exchange gets what it has earned, a warm one its share.
@@ -152,16 +152,16 @@
     let mut l = ledger();
     let (call, outputs) = offer(&mut l, T0, 1);
     assert_eq!(sent(&outputs), Some(office(1)));
-    l.answered(T0 + MS, call, AttemptNo(0), None);
-    l.withdraw(T0 + 2 * MS, out(&[], &[], true));
+    l.attempt_answered(T0 + MS, call, AttemptNo(0), None);
+    l.out_of_service_changed(T0 + 2 * MS, out(&[], &[], true));
     l.take_outputs();
     for to in 1..=3 {
         assert!(refused(&offer(&mut l, T0 + 3 * MS, to).1).is_some());
     }
-    assert_eq!((l.standing_calls(), l.loads()[&(ExchangeNo(1), ExchangeNo(1))]), (1, (0, 1)));
-    l.cut(T0 + 4 * MS, |leg, _| leg == Some(ExchangeNo(1)));
+    assert_eq!((l.established_calls(), l.call_loads()[&(ExchangeNo(1), ExchangeNo(1))]), (1, (0, 1)));
+    l.cut_calls(T0 + 4 * MS, |leg, _| leg == Some(ExchangeNo(1)));
     let outputs = l.take_outputs();
     assert!(outputs.iter().any(|o| matches!(o, Output::Release { cut: true, .. })), "{outputs:?}");
     assert!(outputs.iter().any(|o| matches!(o, Output::Clear { .. })));
-    assert_eq!(l.standing_calls(), 0);
+    assert_eq!(l.established_calls(), 0);
 }
