--- a/examples/gossip_tables.rs
+++ b/examples/gossip_tables.rs
@@ -5,9 +5,9 @@
 
 use clap::Parser;
 use std::collections::{BTreeMap, BTreeSet};
-use walnuthatch::routing::deadlines::Deadlines;
 use walnuthatch::routing::interface::*;
 use walnuthatch::routing::ledger::{Answer, FrontendId, Ledger, LedgerTimer, OfferedCall, Output};
+use walnuthatch::routing::timer_queue::TimerQueue;
 use walnuthatch_gossip::bucket::Ceiling;
 use walnuthatch_gossip::lab::{Lab, Net, CEILING};
 use walnuthatch_gossip::node::Output as NodeOutput;
@@ -167,7 +167,7 @@
 
 struct Site {
     ledger: Ledger,
-    deadlines: Deadlines<LedgerTimer>,
+    deadlines: TimerQueue<LedgerTimer>,
     /// Set-ups whose answers are under way, and calls that stand.
     out: BTreeMap<CallId, (AttemptNo, OfficeId, usize)>,
     sent_to_hung: Vec<Micros>,
@@ -215,7 +215,7 @@
         let report = LoadReport { free: Some(60.0), size: Some(60.0), ..LoadReport::default() };
         ledger.group_report(0, office(j), report);
     }
-    Site { ledger, deadlines: Deadlines::default(), out: BTreeMap::new(), sent_to_hung: Vec::new() }
+    Site { ledger, deadlines: TimerQueue::default(), out: BTreeMap::new(), sent_to_hung: Vec::new() }
 }
 
 enum Due {
@@ -385,7 +385,7 @@
             }
         }
         for i in 0..SITES {
-            while let Some(due) = self.sites[i].deadlines.take_due(now) {
+            while let Some(due) = self.sites[i].deadlines.pop_expired(now) {
                 self.sites[i].ledger.timer_expired(now, due);
                 self.follow(i);
             }
--- a/src/program/switchboard.rs
+++ b/src/program/switchboard.rs
@@ -15,9 +15,9 @@
 use crate::protocol::otlp::{CallSpan, Snapshot};
 use crate::protocol::upstream::{UpstreamConnections, UpstreamOutput, UpstreamTimer};
 use crate::protocol::ConnId;
-use crate::routing::deadlines::Deadlines;
 use crate::routing::interface::{CallId, ListEntry, ListNews, LoadReport, Micros, PeerNo};
 use crate::routing::ledger::{AnswerReason, FrontendId, Ledger, LedgerTimer, Output};
+use crate::routing::timer_queue::TimerQueue;
 use crate::transport::outbox::Outbox;
 use crate::transport::saver::Saving;
 use crate::transport::{ConnNews, Inbound, Side};
@@ -104,7 +104,7 @@
     appliance: Option<Appliance>,
     gossip: Option<Gossip>,
     roster: Roster,
-    deadlines: Deadlines<Due>,
+    deadlines: TimerQueue<Due>,
     outboxes: HashMap<(Side, ConnId), Outbox>,
     tasks: Vec<Task>,
     counts: WireCounts,
@@ -145,7 +145,7 @@
             appliance,
             gossip: config.gossip.as_ref().map(|g| Gossip::new(now, g, config.seed)),
             roster: Roster::new(config.zones.clone()),
-            deadlines: Deadlines::default(),
+            deadlines: TimerQueue::default(),
             outboxes: HashMap::new(),
             tasks: Vec::new(),
             counts: WireCounts::default(),
@@ -259,7 +259,7 @@
 
     /// Sweeps the deadlines.
     pub fn sweep(&mut self, now: Micros) {
-        while let Some(due) = self.deadlines.take_due(now) {
+        while let Some(due) = self.deadlines.pop_expired(now) {
             match due {
                 Due::Ledger(due) => self.ledger.timer_expired(now, due),
                 Due::Link(due) => self.links.due(now, due),
@@ -281,7 +281,7 @@
 
     /// The earliest deadline.
     pub fn next_deadline(&self) -> Option<Micros> {
-        self.deadlines.first()
+        self.deadlines.next_expiry()
     }
 
     /// What the transport is to do.
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -3,7 +3,7 @@
 
 pub mod administrative_state;
 pub mod control;
-pub mod deadlines;
 pub mod interface;
 pub mod ledger;
 pub mod shutdown;
+pub mod timer_queue;
--- a/tests/call_agent.rs
+++ b/tests/call_agent.rs
@@ -7,9 +7,9 @@
 use walnuthatch::protocol::mgcp::agent::{Agent, AgentConfig, AgentDue, AgentOutput, AnsweredBy, Gateway};
 use walnuthatch::protocol::mgcp::message::{parse, Packet, Verb};
 use walnuthatch::protocol::mgcp::transactions::SENDS;
-use walnuthatch::routing::deadlines::Deadlines;
 use walnuthatch::routing::interface::*;
 use walnuthatch::routing::ledger::{Answer, FrontendId, SessionDescription};
+use walnuthatch::routing::timer_queue::TimerQueue;
 
 const MS: Micros = 1_000;
 
@@ -40,7 +40,7 @@
 struct Model {
     agent: Agent,
     now: Micros,
-    due: Deadlines<AgentDue>,
+    due: TimerQueue<AgentDue>,
     gateway: SocketAddr,
     office: OfficeId,
     next_call: u32,
@@ -191,9 +191,9 @@
                 }
             }
             Step::Pass(span) => {
-                while let Some(at) = self.due.first().filter(|&at| at <= now + span) {
+                while let Some(at) = self.due.next_expiry().filter(|&at| at <= now + span) {
                     self.now = self.now.max(at);
-                    while let Some(due) = self.due.take_due(self.now) {
+                    while let Some(due) = self.due.pop_expired(self.now) {
                         self.agent.due(self.now, due);
                         self.settle();
                     }
@@ -249,7 +249,7 @@
         let mut m = Model {
             agent,
             now: 0,
-            due: Deadlines::default(),
+            due: TimerQueue::default(),
             gateway,
             office,
             next_call: 0,
--- a/tests/models.rs
+++ b/tests/models.rs
@@ -8,9 +8,9 @@
 use walnuthatch::protocol::membership::Place;
 use walnuthatch::protocol::upstream::{Closing, UpstreamConnections, UpstreamOutput, UpstreamTimer};
 use walnuthatch::protocol::ConnId;
-use walnuthatch::routing::deadlines::Deadlines;
 use walnuthatch::routing::interface::*;
 use walnuthatch::routing::ledger::{Answer, FrontendId, Ledger, LedgerTimer, OfferedCall, Output};
+use walnuthatch::routing::timer_queue::TimerQueue;
 
 const MS: Micros = 1_000;
 
@@ -91,7 +91,7 @@
 struct LinkModel {
     links: UpstreamConnections,
     now: Micros,
-    due: Deadlines<UpstreamTimer>,
+    due: TimerQueue<UpstreamTimer>,
     /// The one connection there may be, and whether it is up.
     conn: Option<(ConnId, bool)>,
     /// Since when a message has been half there.
@@ -244,9 +244,9 @@
 
     fn pass(&mut self, span: Micros) {
         let end = self.now + span;
-        while let Some(at) = self.due.first().filter(|&at| at <= end) {
+        while let Some(at) = self.due.next_expiry().filter(|&at| at <= end) {
             self.now = self.now.max(at);
-            while let Some(due) = self.due.take_due(self.now) {
+            while let Some(due) = self.due.pop_expired(self.now) {
                 self.links.due(self.now, due);
                 self.settle();
             }
@@ -477,7 +477,7 @@
 struct CallerModel {
     callers: ClientConnections,
     now: Micros,
-    due: Deadlines<ClientTimer>,
+    due: TimerQueue<ClientTimer>,
     conns: BTreeMap<ConnId, CallerConn>,
     next: u64,
     /// Each call held: its name, its connection, whether it stands.
@@ -685,9 +685,9 @@
                 let end = self.now + span;
                 let sent = |m: &Self| m.owed.iter().map(|(&s, o)| (s, o.1.len())).collect::<BTreeMap<_, _>>();
                 let (before, there) = (sent(self), self.conns.keys().copied().collect::<Vec<_>>());
-                while let Some(at) = self.due.first().filter(|&at| at <= end) {
+                while let Some(at) = self.due.next_expiry().filter(|&at| at <= end) {
                     self.now = self.now.max(at);
-                    while let Some(due) = self.due.take_due(self.now) {
+                    while let Some(due) = self.due.pop_expired(self.now) {
                         self.callers.due(self.now, due);
                         self.settle();
                     }
@@ -862,7 +862,7 @@
 struct Book {
     ledger: Ledger,
     now: Micros,
-    due: Deadlines<LedgerTimer>,
+    due: TimerQueue<LedgerTimer>,
     calls: BTreeMap<CallId, Held>,
     drained: BTreeMap<u16, Micros>,
 }
@@ -951,9 +951,9 @@
                 self.ledger.list_update(now, ListNews::Changes([entry(n, state)].into()));
             }
             Step::Pass(span) => {
-                while let Some(at) = self.due.first().filter(|&at| at <= now + span) {
+                while let Some(at) = self.due.next_expiry().filter(|&at| at <= now + span) {
                     self.now = self.now.max(at);
-                    while let Some(due) = self.due.take_due(self.now) {
+                    while let Some(due) = self.due.pop_expired(self.now) {
                         self.ledger.timer_expired(self.now, due);
                         self.settle();
                     }
@@ -993,7 +993,7 @@
     };
     let ledger = Ledger::new(settings, 7);
     let (calls, drained) = (BTreeMap::new(), BTreeMap::new());
-    let mut book = Book { ledger, now: 1_000_000 * MS, due: Deadlines::default(), calls, drained };
+    let mut book = Book { ledger, now: 1_000_000 * MS, due: TimerQueue::default(), calls, drained };
     let all: Vec<ListEntry> = (0..5).map(|n| entry(n, ListState::Ready)).collect();
     book.ledger.list_update(book.now, ListNews::Cached(all.into()));
     for n in 1..5 {
