--- a/src/program/switchboard/stop.rs
+++ b/src/program/switchboard/stop.rs
@@ -27,9 +27,9 @@
     /// Whether the program was asked to stop and has answered all that it took.
     pub fn finished(&self, now: Micros) -> bool {
         let Some(stop) = &self.stopping else { return false };
-        let phase = stop.shutdown.phase(now);
+        let phase = stop.shutdown.phase_at(now);
         let closed = stop.listener == ListenerState::Closed && self.callers.connections() == 0;
-        phase == Phase::Over || closed && self.served(phase)
+        phase == Phase::Terminating || closed && self.served(phase)
     }
 
     /// Whether a stop in this phase has nothing to wait for but connections.
@@ -48,7 +48,7 @@
             if let Some(g) = &mut self.gossip {
                 g.leave(now);
             }
-            for (at, _) in shutdown.begins() {
+            for (at, _) in shutdown.phase_starts() {
                 self.deadlines.add(at, Due::Stop);
             }
         }
@@ -57,17 +57,17 @@
     /// Does what the present phase of a stop asks for.
     pub(super) fn advance_stop(&mut self, now: Micros) {
         let Some(stop) = &self.stopping else { return };
-        let phase = stop.shutdown.phase(now);
+        let phase = stop.shutdown.phase_at(now);
         let (open, standing) = (self.ledger.open_calls(), self.ledger.established_calls());
         tracing::info!("stop: {phase:?}; {open} calls open, {standing} stand");
-        if fault_injected(InjectedFault::RequestLeftAtStop) && phase < Phase::Over {
+        if fault_injected(InjectedFault::RequestLeftAtStop) && phase < Phase::Terminating {
             return;
         }
         if phase >= Phase::Draining {
             self.ledger.refuse_new_calls(self.config.settings.max_pause);
             self.callers.drain(now);
         }
-        if phase >= Phase::Answered {
+        if phase >= Phase::OpenCallsFailed {
             self.ledger.fail_open_calls(now);
         }
         if phase >= Phase::Closing {
@@ -78,7 +78,7 @@
     /// Once nothing is left to serve, no caller's connection need come up or stay any more. Whether that is so since
     /// now. Guards the end of the program against callers that connect again whenever their connection is closed.
     pub(super) fn stop_listening_if_served(&mut self, now: Micros) -> bool {
-        let Some(phase) = self.stopping.as_ref().map(|s| s.shutdown.phase(now)) else { return false };
+        let Some(phase) = self.stopping.as_ref().map(|s| s.shutdown.phase_at(now)) else { return false };
         let done = phase >= Phase::Closing || self.served(phase);
         let Some(stop) = self.stopping.as_mut().filter(|s| done && s.listener == ListenerState::Listening)
         else {
--- a/src/routing/shutdown.rs
+++ b/src/routing/shutdown.rs
@@ -25,11 +25,11 @@
     /// New calls are refused, and a connection with nothing left on it is closed.
     Draining,
     /// Nothing is open any more: what was has been failed.
-    Answered,
+    OpenCallsFailed,
     /// Calls that stand are waited for no longer, and all connections are closed.
     Closing,
     /// The program ends whatever is left.
-    Over,
+    Terminating,
 }
 
 /// A stop under way.
@@ -47,19 +47,19 @@
     }
 
     /// When each phase after the first begins.
-    pub fn begins(&self) -> [(Micros, Phase); 4] {
+    pub fn phase_starts(&self) -> [(Micros, Phase); 4] {
         let closing = self.asked + STANDING.max(self.last_answers - self.asked);
         [
             (self.asked + ACCEPTING, Phase::Draining),
-            (self.last_answers, Phase::Answered),
+            (self.last_answers, Phase::OpenCallsFailed),
             (closing, Phase::Closing),
-            (closing + CLOSING, Phase::Over),
+            (closing + CLOSING, Phase::Terminating),
         ]
     }
 
     /// The phase at this time.
-    pub fn phase(&self, now: Micros) -> Phase {
-        let begun = self.begins().into_iter().rev().find(|(at, _)| now >= *at);
+    pub fn phase_at(&self, now: Micros) -> Phase {
+        let begun = self.phase_starts().into_iter().rev().find(|(at, _)| now >= *at);
         begun.map_or(Phase::Accepting, |(_, phase)| phase)
     }
 }
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -30,8 +30,8 @@
     for deadline in [0, 100 * MS, 600 * MS, 3_000 * MS, 9_000 * MS] {
         let stop = Shutdown::new(10_000 * MS, deadline);
         let kill = 10_000 * MS + deadline.min(3_000 * MS) + KILL;
-        let [draining, answered, ..] = stop.begins();
-        assert_eq!((draining.1, answered.1), (Phase::Draining, Phase::Answered));
+        let [draining, answered, ..] = stop.phase_starts();
+        assert_eq!((draining.1, answered.1), (Phase::Draining, Phase::OpenCallsFailed));
         assert!(draining.0 <= answered.0, "nothing new comes after the last answers");
         assert!(
             answered.0 <= (kill - 200 * MS).max(10_700 * MS),
@@ -44,12 +44,12 @@
 #[test]
 fn the_phase_at_a_time_does_not_depend_on_when_it_was_looked_at_last() {
     let stop = Shutdown::new(0, 3_000 * MS);
-    for (at, phase) in stop.begins() {
-        assert_eq!(stop.phase(at), phase);
-        assert!(stop.phase(at - 1) < phase);
+    for (at, phase) in stop.phase_starts() {
+        assert_eq!(stop.phase_at(at), phase);
+        assert!(stop.phase_at(at - 1) < phase);
     }
-    assert_eq!(stop.phase(0), Phase::Accepting);
-    assert_eq!(stop.phase(Micros::MAX), Phase::Over);
+    assert_eq!(stop.phase_at(0), Phase::Accepting);
+    assert_eq!(stop.phase_at(Micros::MAX), Phase::Terminating);
 }
 
 #[test]
