--- a/src/routing/shutdown.rs
+++ b/src/routing/shutdown.rs
@@ -1,65 +1,67 @@
-//! The phases of a stop that was asked for.
+//! The phases of an orderly shutdown.
 //!
-//! What holds in a phase holds for everything that comes in it: nothing is done once at a moment and left undone for
-//! what comes after.
+//! The rules of a phase apply to every call and connection that arrives while the phase lasts, not only to those
+//! present at its start.
 
 use super::interface::Micros;
 
-/// Calls are taken as ever for this long (µs): a platform that asks for a stop goes on sending new calls for 0.6 s.
-const ACCEPTING: Micros = 700_000;
-/// The longest deadline counts as this at the most (µs).
-const LONGEST_DEADLINE: Micros = 3_000_000;
-/// Calls that are open this long after the longest deadline are failed (µs). Guards their answers: a platform ends
-/// the program 0.7 s after that deadline.
-const LAST_ANSWERS: Micros = 400_000;
-/// Calls that stand are waited for this long (µs).
-const STANDING: Micros = 8_000_000;
-/// After that every connection has this long to end (µs).
-const CLOSING: Micros = 1_500_000;
+/// New calls are accepted for this long after the request (µs): the platform that requests a stop keeps sending new
+/// calls for 0.6 s.
+const ACCEPTING_PERIOD: Micros = 700_000;
+/// Upper bound on the longest client deadline that a shutdown waits for (µs).
+const MAX_CLIENT_DEADLINE: Micros = 3_000_000;
+/// Calls still open this long after the longest client deadline are failed (µs). The platform kills the program 0.7 s
+/// after that deadline, so the answers must be sent before then.
+const OPEN_CALL_GRACE: Micros = 400_000;
+/// Established calls may continue for this long after the request (µs).
+const ESTABLISHED_CALL_LIMIT: Micros = 8_000_000;
+/// Time for connections to close after that (µs).
+const CLOSING_PERIOD: Micros = 1_500_000;
 
-/// A phase of a stop. Each holds what the ones before it hold, too.
+/// A phase of a shutdown. The rules of the earlier phases stay in force in the later ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// Tests fail, so that callers go elsewhere; calls are taken as ever.
+    /// Health tests fail, so that callers move to another instance; new calls are still accepted.
     Accepting,
-    /// New calls are refused, and a connection with nothing left on it is closed.
+    /// New calls are refused, and connections without calls are closed.
     Draining,
-    /// Nothing is open any more: what was has been failed.
+    /// Calls that are still unanswered are failed.
     OpenCallsFailed,
-    /// Calls that stand are waited for no longer, and all connections are closed.
+    /// All connections are closed, including those with established calls.
     Closing,
-    /// The program ends whatever is left.
+    /// The program exits whatever is still open.
     Terminating,
 }
 
-/// A stop under way.
+/// A shutdown in progress.
 #[derive(Clone, Copy, Debug)]
 pub struct Shutdown {
-    asked: Micros,
-    last_answers: Micros,
+    requested_at: Micros,
+    fail_open_calls_at: Micros,
 }
 
 impl Shutdown {
-    /// A stop that was asked for now, where callers wait for `longest_deadline` at the most.
+    /// Starts a shutdown now. `longest_deadline` is the longest time that any client waits for an answer.
     pub fn new(now: Micros, longest_deadline: Micros) -> Shutdown {
-        let last_answers = longest_deadline.clamp(0, LONGEST_DEADLINE) + LAST_ANSWERS;
-        Shutdown { asked: now, last_answers: now + last_answers.max(ACCEPTING) }
+        let open_call_limit = longest_deadline.clamp(0, MAX_CLIENT_DEADLINE) + OPEN_CALL_GRACE;
+        Shutdown { requested_at: now, fail_open_calls_at: now + open_call_limit.max(ACCEPTING_PERIOD) }
     }
 
-    /// When each phase after the first begins.
+    /// The start time of each phase after the first.
     pub fn phase_starts(&self) -> [(Micros, Phase); 4] {
-        let closing = self.asked + STANDING.max(self.last_answers - self.asked);
+        let closing =
+            self.requested_at + ESTABLISHED_CALL_LIMIT.max(self.fail_open_calls_at - self.requested_at);
         [
-            (self.asked + ACCEPTING, Phase::Draining),
-            (self.last_answers, Phase::OpenCallsFailed),
+            (self.requested_at + ACCEPTING_PERIOD, Phase::Draining),
+            (self.fail_open_calls_at, Phase::OpenCallsFailed),
             (closing, Phase::Closing),
-            (closing + CLOSING, Phase::Terminating),
+            (closing + CLOSING_PERIOD, Phase::Terminating),
         ]
     }
 
-    /// The phase at this time.
+    /// The phase in force at this time.
     pub fn phase_at(&self, now: Micros) -> Phase {
-        let begun = self.phase_starts().into_iter().rev().find(|(at, _)| now >= *at);
-        begun.map_or(Phase::Accepting, |(_, phase)| phase)
+        let started = self.phase_starts().into_iter().rev().find(|(at, _)| now >= *at);
+        started.map_or(Phase::Accepting, |(_, phase)| phase)
     }
 }
