--- a/src/routing/ledger.rs
+++ b/src/routing/ledger.rs
@@ -1,8 +1,8 @@
 //! The call ledger: owns every call from its acceptance to its one final answer and, if it stands, to its
 //! release. It drives the decision module and keeps the rules whatever front a call came in by.
 //!
-//! Each rule has one place: one final answer ([`Ledger::finish`]), one attempt out, the drain limit and the
-//! quiet period ([`Ledger::start`]).
+//! Each rule has one place: one final answer ([`Ledger::finish_call`]), one attempt out, the drain limit and the
+//! quiet period ([`Ledger::send_set_up`]).
 
 use super::administrative_state::AdministrativeState;
 use super::control::Controller;
@@ -12,9 +12,9 @@
 use std::rc::Rc;
 
 /// An attempt ends this long before its caller gives up, so that the final answer is still in time (µs).
-const ATTEMPT_EARLY: Micros = 10_000;
+const ATTEMPT_MARGIN: Micros = 10_000;
 /// A call without an answer is failed this long before its caller gives up, whatever the module says (µs).
-const ANSWER_EARLY: Micros = 5_000;
+const ANSWER_MARGIN: Micros = 5_000;
 
 /// The front a call came in by; means nothing to the core.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -202,14 +202,14 @@
     /// With the module: nothing is out.
     Deciding,
     /// A set-up is out.
-    Out { attempt: AttemptNo, office: OfficeId, since: Micros },
+    SettingUp { attempt: AttemptNo, office: OfficeId, since: Micros },
     /// It stands.
-    Standing { attempt: AttemptNo, office: OfficeId, since: Micros },
+    Established { attempt: AttemptNo, office: OfficeId, since: Micros },
 }
 
 #[derive(Debug)]
-struct Entry {
-    offer: OfferedCall,
+struct CallEntry {
+    offered: OfferedCall,
     offered_at: Micros,
     deadline: Micros,
     stage: Stage,
@@ -222,25 +222,25 @@
 
 /// What the list has told of an office.
 #[derive(Clone, Copy, Debug, Default)]
-struct Told {
+struct Availability {
     /// When it was told to drain, or to be gone.
-    drains: Option<Micros>,
+    draining_since: Option<Micros>,
     gone: bool,
 }
 
-impl Told {
-    fn note(&mut self, now: Micros, state: ListState) {
-        self.drains = match state {
+impl Availability {
+    fn update(&mut self, now: Micros, state: ListState) {
+        self.draining_since = match state {
             ListState::Ready => None,
-            ListState::Draining | ListState::Gone => self.drains.or(Some(now)),
+            ListState::Draining | ListState::Gone => self.draining_since.or(Some(now)),
         };
         self.gone = state == ListState::Gone;
     }
 }
 
-impl Entry {
+impl CallEntry {
     fn answer(&self, call: CallId, answer: Answer, reason: AnswerReason) -> Output {
-        let (frontend, destination) = (self.offer.frontend, self.offer.new_call.destination);
+        let (frontend, destination) = (self.offered.frontend, self.offered.new_call.destination);
         Output::Answer {
             frontend,
             call,
@@ -274,19 +274,19 @@
 #[derive(Debug)]
 pub struct Ledger {
     controller: Controller,
-    shortest_aim: Micros,
-    release: Micros,
+    shortest_latency_objective: Micros,
+    quiet_period: Micros,
     drain_grace: Micros,
-    calls: BTreeMap<CallId, Entry>,
+    calls: BTreeMap<CallId, CallEntry>,
     /// The offices on the list; nothing is sent to one that is not here.
-    offices: BTreeMap<OfficeId, Told>,
+    offices: BTreeMap<OfficeId, Availability>,
     /// What operators took out of service.
     administrative_state: AdministrativeState,
-    next: u32,
-    out: Vec<Output>,
+    next_call_id: u32,
+    outputs: Vec<Output>,
     counts: LedgerCounts,
     /// Calls not yet answered.
-    open: usize,
+    open_calls: usize,
     /// New calls are refused, with this pause.
     closed_retry_after: Option<Micros>,
 }
@@ -295,17 +295,27 @@
     /// An empty ledger.
     pub fn new(settings: Settings, seed: u64) -> Self {
         Ledger {
-            shortest_aim: settings.classes.iter().map(|c| c.aim).min().unwrap_or(1_000_000).max(1),
-            release: if fault_injected(InjectedFault::RetryInQuietPeriod) { 0 } else { settings.release },
+            shortest_latency_objective: settings
+                .classes
+                .iter()
+                .map(|c| c.aim)
+                .min()
+                .unwrap_or(1_000_000)
+                .max(1),
+            quiet_period: if fault_injected(InjectedFault::RetryInQuietPeriod) {
+                0
+            } else {
+                settings.release
+            },
             drain_grace: settings.drain_grace,
             administrative_state: AdministrativeState::new(settings.cold),
             controller: Controller::new(settings, seed),
             calls: BTreeMap::new(),
             offices: BTreeMap::new(),
-            next: 0,
-            out: Vec::new(),
+            next_call_id: 0,
+            outputs: Vec::new(),
             counts: LedgerCounts::default(),
-            open: 0,
+            open_calls: 0,
             closed_retry_after: None,
         }
     }
@@ -313,14 +323,14 @@
     // ---- What fronts and wires tell ----
 
     /// Takes a call. From here on it is owed one final answer.
-    pub fn offer(&mut self, now: Micros, mut offer: OfferedCall) -> CallId {
-        let call = CallId(self.next);
-        self.next = self.next.wrapping_add(1);
-        offer.new_call.call = call;
-        let new_call = offer.new_call.clone();
+    pub fn offer(&mut self, now: Micros, mut offered: OfferedCall) -> CallId {
+        let call = CallId(self.next_call_id);
+        self.next_call_id = self.next_call_id.wrapping_add(1);
+        offered.new_call.call = call;
+        let new_call = offered.new_call.clone();
         let deadline = now.saturating_add(new_call.patience.max(0));
-        let entry = Entry {
-            offer,
+        let entry = CallEntry {
+            offered,
             offered_at: now,
             deadline,
             stage: Stage::Deciding,
@@ -331,13 +341,13 @@
         };
         self.calls.insert(call, entry);
         self.counts.offered += 1;
-        self.open += 1;
+        self.open_calls += 1;
         if let Some(retry_after) = self.closed_retry_after {
-            self.finish(call, Answer::Refused { retry_after }, AnswerReason::Shutdown);
+            self.finish_call(call, Answer::Refused { retry_after }, AnswerReason::Shutdown);
             return call;
         }
-        self.out.push(Output::SetTimer(deadline - ANSWER_EARLY, LedgerTimer::Call(call)));
-        self.drive(now, Event::Call(new_call));
+        self.outputs.push(Output::SetTimer(deadline - ANSWER_MARGIN, LedgerTimer::Call(call)));
+        self.dispatch(now, Event::Call(new_call));
         call
     }
 
@@ -346,14 +356,14 @@
         let Some(entry) = self.calls.remove(&call) else { return };
         match entry.stage {
             Stage::Deciding => {}
-            Stage::Out { attempt, office, .. } | Stage::Standing { attempt, office, .. } => {
-                self.out.push(Output::Clear { call, attempt, office });
+            Stage::SettingUp { attempt, office, .. } | Stage::Established { attempt, office, .. } => {
+                self.outputs.push(Output::Clear { call, attempt, office });
             }
         }
-        if !matches!(entry.stage, Stage::Standing { .. }) {
-            self.open -= 1;
+        if !matches!(entry.stage, Stage::Established { .. }) {
+            self.open_calls -= 1;
             self.counts.abandoned += 1;
-            self.drive(now, Event::CallerGone(call));
+            self.dispatch(now, Event::CallerGone(call));
         }
     }
 
@@ -367,19 +377,19 @@
         text: Option<SessionDescription>,
     ) -> bool {
         let Some(entry) = self.calls.get_mut(&call) else { return false };
-        let Stage::Out { attempt: out, office, since } = entry.stage else { return false };
+        let Stage::SettingUp { attempt: out, office, since } = entry.stage else { return false };
         if out != attempt {
             return false;
         }
-        entry.stage = Stage::Standing { attempt, office, since: now };
+        entry.stage = Stage::Established { attempt, office, since: now };
         entry.last_attempt =
             Some(LastAttempt { exchange: entry.exchange, setup_time: now - since, failure: None });
         let answer = Answer::Established(text);
         let output = entry.answer(call, answer, AnswerReason::Answered);
-        self.open -= 1;
+        self.open_calls -= 1;
         self.counts.established += 1;
-        self.out.push(output);
-        self.drive(now, Event::Stands { call, attempt, office, took: now - since });
+        self.outputs.push(output);
+        self.dispatch(now, Event::Stands { call, attempt, office, took: now - since });
         true
     }
 
@@ -389,26 +399,26 @@
         now: Micros,
         call: CallId,
         attempt: AttemptNo,
-        how: (Ending, Cause),
+        result: (Ending, Cause),
         report: LoadReport,
     ) {
-        let (ending, cause) = how;
+        let (ending, cause) = result;
         let Some(entry) = self.calls.get_mut(&call) else { return };
         let (office, since, over) = match entry.stage {
-            Stage::Out { attempt: out, office, since } if out == attempt => (office, since, false),
-            Stage::Standing { attempt: out, office, since } if out == attempt => (office, since, true),
+            Stage::SettingUp { attempt: out, office, since } if out == attempt => (office, since, false),
+            Stage::Established { attempt: out, office, since } if out == attempt => (office, since, true),
             _ => return,
         };
         if over {
-            let frontend = entry.offer.frontend;
+            let frontend = entry.offered.frontend;
             self.calls.remove(&call);
             let cut = ending != Ending::Completed;
             self.counts.cut += u64::from(cut);
-            self.out.push(Output::Release { frontend, call, cut });
+            self.outputs.push(Output::Release { frontend, call, cut });
         } else {
             entry.stage = Stage::Deciding;
             if matches!(ending, Ending::TimedOut | Ending::Reset | Ending::CalledOff) {
-                entry.quiet_until = now + self.release;
+                entry.quiet_until = now + self.quiet_period;
             }
             *self.counts.endings.entry(ending_name(ending)).or_default() += 1;
             entry.last_attempt = Some(LastAttempt {
@@ -416,73 +426,75 @@
                 setup_time: now - since,
                 failure: Some((ending, cause)),
             });
-            self.out.push(Output::AttemptEnded { call, exchange: entry.exchange, ending, cause });
+            self.outputs.push(Output::AttemptEnded { call, exchange: entry.exchange, ending, cause });
         }
         let took = now - since;
         let report = self.administrative_state.apply_report(now, office, report);
         let outcome = Outcome { call, attempt, office, ending, cause, took, over, report };
-        self.drive(now, Event::Ended(outcome));
+        self.dispatch(now, Event::Ended(outcome));
     }
 
     /// Figures of an office or of the group toward it.
     pub fn group_report(&mut self, now: Micros, office: OfficeId, report: LoadReport) {
         let report = self.administrative_state.apply_report(now, office, report);
-        self.drive(now, Event::Group { office, report });
+        self.dispatch(now, Event::Group { office, report });
     }
 
     /// Operators took this out of service, and nothing else. Set-ups may go there until the grace is over.
     pub fn out_of_service_changed(&mut self, now: Micros, out_of_service: OutOfService) {
         let changes = self.administrative_state.set_out_of_service(now, out_of_service.clone());
         if !changes.entries.is_empty() {
-            self.note_states(now, &changes.entries);
-            self.drive(now, Event::List(ListNews::Changes(changes.entries.into())));
+            self.update_availability(now, &changes.entries);
+            self.dispatch(now, Event::List(ListNews::Changes(changes.entries.into())));
         }
         for (office, report) in changes.groups {
-            self.drive(now, Event::Group { office, report });
+            self.dispatch(now, Event::Group { office, report });
         }
-        self.drive(now, Event::OutOfService(out_of_service));
+        self.dispatch(now, Event::OutOfService(out_of_service));
     }
 
     /// These exchanges are suspected of taking set-ups and answering none, and no others.
     pub fn suspected_changed(&mut self, now: Micros, suspected: BTreeSet<ExchangeNo>) {
-        self.drive(now, Event::Suspected(suspected));
+        self.dispatch(now, Event::Suspected(suspected));
     }
 
     /// How pressed the own processor is: its wait as a share of the shortest aim's two fifths.
     pub fn processor_load(&self, now: Micros) -> f64 {
-        self.controller.own_delay(now) / (0.4 * self.shortest_aim as f64)
+        self.controller.own_delay(now) / (0.4 * self.shortest_latency_objective as f64)
     }
 
     /// Brings groups that were withdrawn back little by little; to be called now and then.
     pub fn ramp_restored_groups(&mut self, now: Micros) {
         for (office, report) in self.administrative_state.ramping_groups(now) {
-            self.drive(now, Event::Group { office, report });
+            self.dispatch(now, Event::Group { office, report });
         }
     }
 
     /// Releases the calls that stand and that `which` picks by their first leg and destination, towards both sides.
     pub fn cut_calls(&mut self, now: Micros, which: impl Fn(Option<ExchangeNo>, ExchangeNo) -> bool) {
-        let of = |(&call, e): (&CallId, &Entry)| match e.stage {
-            Stage::Standing { attempt, office, .. } if which(e.exchange, e.offer.new_call.destination) => {
+        let selected = |(&call, e): (&CallId, &CallEntry)| match e.stage {
+            Stage::Established { attempt, office, .. }
+                if which(e.exchange, e.offered.new_call.destination) =>
+            {
                 Some((call, attempt, office))
             }
             _ => None,
         };
-        let found: Vec<_> = self.calls.iter().filter_map(of).collect();
+        let found: Vec<_> = self.calls.iter().filter_map(selected).collect();
         for (call, attempt, office) in found {
-            self.out.push(Output::Clear { call, attempt, office });
+            self.outputs.push(Output::Clear { call, attempt, office });
             self.attempt_ended(now, call, attempt, (Ending::Reset, Cause::None), LoadReport::default());
         }
     }
 
     /// A probe got no good answer.
     pub fn probe_failed(&mut self, now: Micros, office: OfficeId) {
-        self.drive(now, Event::ProbeFailed(office));
+        self.dispatch(now, Event::ProbeFailed(office));
     }
 
     /// A message from a peer.
     pub fn peer_message(&mut self, now: Micros, from: PeerNo, body: Vec<u8>) {
-        self.drive(now, Event::Peer { from, body });
+        self.dispatch(now, Event::Peer { from, body });
     }
 
     /// News of the list of offices.
@@ -490,34 +502,38 @@
         let news = self.administrative_state.apply_list(news);
         match &news {
             ListNews::Failed => {}
-            ListNews::Changes(entries) => self.note_states(now, entries),
+            ListNews::Changes(entries) => self.update_availability(now, entries),
             ListNews::Complete(entries) | ListNews::Cached(entries) => {
-                for (office, told) in &mut self.offices {
+                for (office, availability) in &mut self.offices {
                     if !entries.iter().any(|e| e.office == *office) {
-                        told.note(now, ListState::Gone);
+                        availability.update(now, ListState::Gone);
                     }
                 }
-                self.note_states(now, entries);
+                self.update_availability(now, entries);
             }
         }
         // Guards memory against machines that are replaced for ever.
         let grace = self.drain_grace;
-        self.offices.retain(|_, told| !(told.gone && told.drains.is_some_and(|t| now - t > grace)));
-        self.drive(now, Event::List(news));
+        self.offices.retain(|_, availability| {
+            !(availability.gone && availability.draining_since.is_some_and(|t| now - t > grace))
+        });
+        self.dispatch(now, Event::List(news));
     }
 
     /// A deadline of this ledger has come.
     pub fn timer_expired(&mut self, now: Micros, timer: LedgerTimer) {
         match timer {
-            LedgerTimer::Controller(token) => self.drive(now, Event::Timer(token)),
+            LedgerTimer::Controller(token) => self.dispatch(now, Event::Timer(token)),
             LedgerTimer::Attempt(call, attempt) => {
-                self.stop_attempt(now, call, attempt, Ending::TimedOut);
+                self.cancel_attempt(now, call, attempt, Ending::TimedOut);
             }
             LedgerTimer::Call(call) => {
                 let Some(entry) = self.calls.get(&call) else { return };
                 match entry.stage {
-                    Stage::Standing { .. } => return,
-                    Stage::Out { attempt, .. } => self.stop_attempt(now, call, attempt, Ending::TimedOut),
+                    Stage::Established { .. } => return,
+                    Stage::SettingUp { attempt, .. } => {
+                        self.cancel_attempt(now, call, attempt, Ending::TimedOut)
+                    }
                     Stage::Deciding => {}
                 }
                 // Guards against a module that holds a call past its caller's patience.
@@ -528,8 +544,8 @@
 
     /// Fails a call that is still open, whatever the module would do with it.
     pub fn fail_call(&mut self, now: Micros, call: CallId, reason: AnswerReason) {
-        if self.finish(call, Answer::Failed, reason) {
-            self.drive(now, Event::CallerGone(call));
+        if self.finish_call(call, Answer::Failed, reason) {
+            self.dispatch(now, Event::CallerGone(call));
         }
     }
 
@@ -540,31 +556,31 @@
 
     /// Fails all calls that are still open.
     pub fn fail_open_calls(&mut self, now: Micros) {
-        let stands = |e: &Entry| matches!(e.stage, Stage::Standing { .. });
-        let open: Vec<CallId> = self.calls.iter().filter(|(_, e)| !stands(e)).map(|(&c, _)| c).collect();
+        let established = |e: &CallEntry| matches!(e.stage, Stage::Established { .. });
+        let open: Vec<CallId> = self.calls.iter().filter(|(_, e)| !established(e)).map(|(&c, _)| c).collect();
         open.into_iter().for_each(|call| self.fail_call(now, call, AnswerReason::Shutdown));
     }
 
     /// What is to be done, in order.
     pub fn take_outputs(&mut self) -> Vec<Output> {
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outputs)
     }
 
     // ---- What may be asked ----
 
     /// The call as it was offered, while it is open or stands.
     pub fn offered_call(&self, call: CallId) -> Option<&OfferedCall> {
-        self.calls.get(&call).map(|e| &e.offer)
+        self.calls.get(&call).map(|e| &e.offered)
     }
 
     /// Calls that are owed an answer.
     pub fn open_calls(&self) -> usize {
-        self.open
+        self.open_calls
     }
 
     /// Calls that stand.
     pub fn established_calls(&self) -> usize {
-        self.calls.len() - self.open
+        self.calls.len() - self.open_calls
     }
 
     /// Counts since the start.
@@ -582,10 +598,10 @@
         let mut loads: BTreeMap<_, (u32, u32)> = BTreeMap::new();
         for e in self.calls.values() {
             let Some(exchange) = e.exchange else { continue };
-            let at = (exchange, e.offer.new_call.destination);
+            let at = (exchange, e.offered.new_call.destination);
             match e.stage {
-                Stage::Out { .. } => loads.entry(at).or_default().0 += 1,
-                Stage::Standing { .. } => loads.entry(at).or_default().1 += 1,
+                Stage::SettingUp { .. } => loads.entry(at).or_default().0 += 1,
+                Stage::Established { .. } => loads.entry(at).or_default().1 += 1,
                 Stage::Deciding => {}
             }
         }
@@ -597,61 +613,66 @@
         self.calls.iter().map(|(&call, e)| {
             let (doing, exchange, since) = match e.stage {
                 Stage::Deciding => ("waits", None, e.offered_at),
-                Stage::Out { since, .. } => ("set-up out", e.exchange, since),
-                Stage::Standing { since, .. } => ("stands", e.exchange, since),
+                Stage::SettingUp { since, .. } => ("set-up out", e.exchange, since),
+                Stage::Established { since, .. } => ("stands", e.exchange, since),
             };
-            let (frontend, destination) = (e.offer.frontend, e.offer.new_call.destination);
+            let (frontend, destination) = (e.offered.frontend, e.offered.new_call.destination);
             CallView { call, frontend, destination, doing, exchange, since }
         })
     }
 
     // ---- Within ----
 
-    fn note_states(&mut self, now: Micros, entries: &[ListEntry]) {
+    fn update_availability(&mut self, now: Micros, entries: &[ListEntry]) {
         for e in entries {
-            self.offices.entry(e.office).or_default().note(now, e.state);
+            self.offices.entry(e.office).or_default().update(now, e.state);
         }
     }
 
-    fn drive(&mut self, now: Micros, event: Event) {
+    fn dispatch(&mut self, now: Micros, event: Event) {
         let mut actions = Vec::new();
         self.controller.handle(now, event, &mut actions);
         for action in actions {
             match action {
-                Action::SetUp { call, office, timeout } => self.start(now, call, office, timeout),
+                Action::SetUp { call, office, timeout } => self.send_set_up(now, call, office, timeout),
                 Action::SetTimer { after, token } => {
-                    self.out.push(Output::SetTimer(now + after, LedgerTimer::Controller(token)));
+                    self.outputs.push(Output::SetTimer(now + after, LedgerTimer::Controller(token)));
                 }
                 Action::Refuse { call, pause } => {
-                    self.finish(call, Answer::Refused { retry_after: pause }, AnswerReason::Decided);
+                    self.finish_call(call, Answer::Refused { retry_after: pause }, AnswerReason::Decided);
                 }
                 Action::Fail(call) => {
-                    self.finish(call, Answer::Failed, AnswerReason::Decided);
+                    self.finish_call(call, Answer::Failed, AnswerReason::Decided);
                 }
                 Action::CallOff { call, attempt } => {
-                    self.stop_attempt(now, call, attempt, Ending::CalledOff);
+                    self.cancel_attempt(now, call, attempt, Ending::CalledOff);
                 }
-                Action::Probe(office) => self.out.push(Output::Probe(office)),
-                Action::Tell { to, body } => self.out.push(Output::SendToPeer { to, body }),
-                Action::FetchList | Action::Subscribe => self.out.push(Output::FetchList),
-                Action::Log(line) => self.out.push(Output::Log(line)),
+                Action::Probe(office) => self.outputs.push(Output::Probe(office)),
+                Action::Tell { to, body } => self.outputs.push(Output::SendToPeer { to, body }),
+                Action::FetchList | Action::Subscribe => self.outputs.push(Output::FetchList),
+                Action::Log(line) => self.outputs.push(Output::Log(line)),
             }
         }
     }
 
     /// Sends a set-up, unless a rule forbids it: then the module learns that it was not sent.
-    fn start(&mut self, now: Micros, call: CallId, office: OfficeId, timeout: Option<Micros>) {
+    fn send_set_up(&mut self, now: Micros, call: CallId, office: OfficeId, timeout: Option<Micros>) {
         let Some(entry) = self.calls.get_mut(&call) else {
             *self.counts.blocked.entry(BlockReason::SecondAttempt).or_default() += 1;
             return;
         };
         let attempt = AttemptNo(entry.attempts);
         entry.attempts = entry.attempts.saturating_add(1);
-        let shut = self.administrative_state.group_out_since(office);
-        let drained = |told: &Told| {
-            told.drains.into_iter().chain(shut).min().is_some_and(|t| now - t > self.drain_grace)
+        let group_out_since = self.administrative_state.group_out_since(office);
+        let drained = |availability: &Availability| {
+            availability
+                .draining_since
+                .into_iter()
+                .chain(group_out_since)
+                .min()
+                .is_some_and(|t| now - t > self.drain_grace)
         };
-        let held = if entry.stage != Stage::Deciding {
+        let block_reason = if entry.stage != Stage::Deciding {
             Some(BlockReason::SecondAttempt)
         } else if self.offices.get(&office).is_none_or(drained) {
             Some(BlockReason::Drained)
@@ -660,50 +681,52 @@
         } else {
             None
         };
-        if let Some(why) = held {
-            *self.counts.blocked.entry(why).or_default() += 1;
-            if why != BlockReason::SecondAttempt {
+        if let Some(reason) = block_reason {
+            *self.counts.blocked.entry(reason).or_default() += 1;
+            if reason != BlockReason::SecondAttempt {
                 let (ending, cause) = (Ending::NotSent, Cause::None);
                 let report = LoadReport::default();
                 let o = Outcome { call, attempt, office, ending, cause, took: 0, over: false, report };
-                self.drive(now, Event::Ended(o));
+                self.dispatch(now, Event::Ended(o));
             }
             return;
         }
-        let last = entry.deadline - ATTEMPT_EARLY;
+        let last = entry.deadline - ATTEMPT_MARGIN;
         let until = timeout.map_or(last, |t| last.min(now + t.max(0)));
-        entry.stage = Stage::Out { attempt, office, since: now };
+        entry.stage = Stage::SettingUp { attempt, office, since: now };
         entry.exchange = self.administrative_state.exchange_of(office);
         self.counts.attempts += 1;
-        self.out.push(Output::SetUp { call, attempt, office, wait: (until - now).max(0) });
-        self.out.push(Output::SetTimer(until, LedgerTimer::Attempt(call, attempt)));
+        self.outputs.push(Output::SetUp { call, attempt, office, wait: (until - now).max(0) });
+        self.outputs.push(Output::SetTimer(until, LedgerTimer::Attempt(call, attempt)));
     }
 
     /// Gives a set-up up from this side.
-    fn stop_attempt(&mut self, now: Micros, call: CallId, attempt: AttemptNo, ending: Ending) {
+    fn cancel_attempt(&mut self, now: Micros, call: CallId, attempt: AttemptNo, ending: Ending) {
         let Some(entry) = self.calls.get(&call) else { return };
-        let Stage::Out { attempt: out, office, .. } = entry.stage else { return };
+        let Stage::SettingUp { attempt: out, office, .. } = entry.stage else { return };
         if out == attempt {
-            self.out.push(Output::Clear { call, attempt, office });
+            self.outputs.push(Output::Clear { call, attempt, office });
             self.attempt_ended(now, call, attempt, (ending, Cause::None), LoadReport::default());
         }
     }
 
     /// The one place where an unanswered call gets its final answer, other than standing.
-    fn finish(&mut self, call: CallId, answer: Answer, reason: AnswerReason) -> bool {
+    fn finish_call(&mut self, call: CallId, answer: Answer, reason: AnswerReason) -> bool {
         let Some(entry) = self.calls.get(&call) else { return false };
         match entry.stage {
-            Stage::Standing { .. } => return false,
-            Stage::Out { attempt, office, .. } => self.out.push(Output::Clear { call, attempt, office }),
+            Stage::Established { .. } => return false,
+            Stage::SettingUp { attempt, office, .. } => {
+                self.outputs.push(Output::Clear { call, attempt, office })
+            }
             Stage::Deciding => {}
         }
         match answer {
             Answer::Refused { .. } => self.counts.refused += 1,
             _ => self.counts.failed += 1,
         }
-        self.out.push(entry.answer(call, answer, reason));
+        self.outputs.push(entry.answer(call, answer, reason));
         self.calls.remove(&call);
-        self.open -= 1;
+        self.open_calls -= 1;
         true
     }
 }
