--- a/src/program/views.rs
+++ b/src/program/views.rs
@@ -134,7 +134,7 @@
             call: v.call.0,
             front: if v.frontend == GATEWAYS { "gateway" } else { "lines" }.to_owned(),
             destination: v.destination.0,
-            doing: v.doing.to_owned(),
+            doing: v.state.to_owned(),
             over: v.exchange.map(|e| e.0),
             for_ms: ms(self.now - v.since),
         };
--- a/src/routing/ledger.rs
+++ b/src/routing/ledger.rs
@@ -1,8 +1,8 @@
-//! The call ledger: owns every call from its acceptance to its one final answer and, if it stands, to its
-//! release. It drives the decision module and keeps the rules whatever front a call came in by.
+//! The call ledger: holds every call from its offer to its one final answer and, if it is established, to its
+//! release. It runs the decision module and enforces the call-handling rules for every front end.
 //!
-//! Each rule has one place: one final answer ([`Ledger::finish_call`]), one attempt out, the drain limit and the
-//! quiet period ([`Ledger::send_set_up`]).
+//! Each rule is enforced in one place: a single final answer per call ([`Ledger::finish_call`]); at most one attempt
+//! in progress, the drain grace and the quiet period ([`Ledger::send_set_up`]).
 
 use super::administrative_state::AdministrativeState;
 use super::control::Controller;
@@ -11,199 +11,203 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// An attempt ends this long before its caller gives up, so that the final answer is still in time (µs).
+/// An attempt times out this long before the client deadline of its call, so that the final answer is sent in
+/// time (µs).
 const ATTEMPT_MARGIN: Micros = 10_000;
-/// A call without an answer is failed this long before its caller gives up, whatever the module says (µs).
+/// A call without a final answer is failed this long before its client deadline, even if the decision module still
+/// holds it (µs).
 const ANSWER_MARGIN: Micros = 5_000;
 
-/// The front a call came in by; means nothing to the core.
+/// The front end that received a call. The routing core only passes it back with the call's outputs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct FrontendId(pub u8);
 
-/// A session description, carried unchanged from one side to the other.
+/// A session description, passed unchanged between the two ends of a call.
 #[derive(Clone, Debug, PartialEq, Eq, Default)]
 pub struct SessionDescription(pub Rc<str>);
 
-/// A call as a front offers it.
+/// A call as offered by a front end.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OfferedCall {
-    /// The front that is owed the answer.
+    /// The front end that receives the answer.
     pub frontend: FrontendId,
-    /// What the module is told; the ledger gives it its id.
+    /// The call as passed to the decision module; the ledger assigns its id.
     pub new_call: NewCall,
-    /// The caller's description.
+    /// The caller's session description.
     pub description: Option<SessionDescription>,
 }
 
-/// The one final answer to a call.
+/// The final answer to a call; each call gets exactly one.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    /// It stands, with the description that the far side gave.
+    /// The call is established, with the session description from the far end.
     Established(Option<SessionDescription>),
-    /// Refused: trying again is harmless, after the pause.
+    /// Refused: the caller may safely try again after `retry_after`.
     Refused {
-        /// How long the caller ought to keep away; 0: no advice.
+        /// How long the caller should wait before it tries again; 0 gives no advice.
         retry_after: Micros,
     },
-    /// Failed.
+    /// The call failed.
     Failed,
 }
 
-/// Why a call got its final answer, for the log.
+/// Why a call got its final answer; written to the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerReason {
     /// An exchange answered the set-up.
     Answered,
-    /// The decision module decided so.
+    /// The decision module refused or failed the call.
     Decided,
-    /// The caller is about to give up.
+    /// The client deadline of the call was about to pass.
     ClientDeadline,
-    /// The caller's connection is being ended.
+    /// The caller's connection is being closed.
     ConnectionEnding,
-    /// The program stops.
+    /// The program is shutting down.
     Shutdown,
 }
 
-/// What a deadline of the ledger is for.
+/// Identifies a timer of the ledger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LedgerTimer {
-    /// A timer that the module asked for.
+    /// A timer that the decision module requested, with its token.
     Controller(u64),
-    /// The time of an attempt is up.
+    /// The timeout of an attempt.
     Attempt(CallId, AttemptNo),
-    /// The caller is about to give up.
+    /// The deadline for the final answer to a call.
     Call(CallId),
 }
 
-/// What is to be done on a wire.
+/// An action that the ledger requests from the event loop.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Send a set-up; [`Ledger::offered_call`] has the call's particulars.
+    /// Send a set-up; [`Ledger::offered_call`] returns the call's details.
     SetUp {
         /// The call.
         call: CallId,
         /// The attempt.
         attempt: AttemptNo,
-        /// Where to.
+        /// The exchange to send it to.
         office: OfficeId,
-        /// How long it will be waited for.
+        /// The timeout of the attempt.
         wait: Micros,
     },
-    /// Give up a set-up that is out, or release a call that stands.
+    /// Cancel a set-up in progress, or release an established call.
     Clear {
         /// The call.
         call: CallId,
         /// The attempt.
         attempt: AttemptNo,
-        /// Where it went.
+        /// The exchange that the set-up was sent to.
         office: OfficeId,
     },
-    /// Give the caller its final answer.
+    /// Send the final answer to the caller.
     Answer {
-        /// The front it is owed to.
+        /// The front end that the call came from.
         frontend: FrontendId,
         /// The call.
         call: CallId,
         /// The answer.
         answer: Answer,
-        /// Why.
+        /// The reason for the answer.
         reason: AnswerReason,
-        /// When the call was taken.
+        /// When the call was offered.
         offered_at: Micros,
-        /// Where it goes.
+        /// The destination of the call.
         destination: ExchangeNo,
-        /// The last set-up, if one was sent.
+        /// The last attempt, if any set-up was sent.
         last_attempt: Option<LastAttempt>,
     },
-    /// A set-up ended without the call's standing; nothing is to be done about it on a wire.
+    /// An attempt ended without establishing the call. For observers only: no message is sent for it.
     AttemptEnded {
         /// The call.
         call: CallId,
-        /// The exchange that it went to, if it was on the list.
+        /// The exchange that the set-up was sent to, if it was on the exchange list.
         exchange: Option<ExchangeNo>,
-        /// How.
+        /// How the attempt ended.
         ending: Ending,
-        /// Why.
+        /// The reported cause.
         cause: Cause,
     },
-    /// Tell the caller that a call that stood is over.
+    /// Inform the caller that its established call has ended.
     Release {
-        /// The front.
+        /// The front end that the call came from.
         frontend: FrontendId,
         /// The call.
         call: CallId,
-        /// It did not come to its end by itself.
+        /// Whether the call was cut off rather than completed.
         cut: bool,
     },
-    /// Check an office.
+    /// Probe an exchange.
     Probe(OfficeId),
-    /// Send bytes to one peer, or to all.
+    /// Send a message to one peer, or to all peers.
     SendToPeer {
-        /// To whom; `None`: to all.
+        /// The peer; `None` means all peers.
         to: Option<PeerNo>,
-        /// The bytes.
+        /// The message.
         body: Vec<u8>,
     },
-    /// Ask for the list anew.
+    /// Fetch the complete exchange list again.
     FetchList,
-    /// A line for the log.
+    /// Write a line to the log.
     Log(String),
-    /// Come back at this time.
+    /// Set a timer for the given time.
     SetTimer(Micros, LedgerTimer),
 }
 
-/// The last set-up of a call.
+/// The last attempt of a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LastAttempt {
-    /// The exchange that it went to, if it was on the list.
+    /// The exchange that the set-up was sent to, if it was on the exchange list.
     pub exchange: Option<ExchangeNo>,
-    /// How long it was out.
+    /// Time from the set-up to its answer or its end.
     pub setup_time: Micros,
-    /// How it ended; `None`: the call stands.
+    /// How the attempt failed; `None` if it established the call.
     pub failure: Option<(Ending, Cause)>,
 }
 
-/// Why the ledger held back what the module asked for.
+/// Why the ledger blocked a set-up that the decision module requested. The counters `held_back.*` take their names
+/// from the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum BlockReason {
-    /// Another attempt of the call is out, or the call is over.
+    /// Another attempt of the call is in progress, or the call has ended.
     SecondAttempt,
-    /// The office drains or is gone, or the group toward it is withdrawn, for longer than the grace.
+    /// The exchange is not on the exchange list, or it has been draining or removed, or its trunk group out of
+    /// service, for longer than the drain grace.
     Drained,
-    /// The quiet period after an unclear end has not passed.
+    /// The quiet period after an attempt with an unknown result has not passed.
     Quiet,
 }
 
-/// What the ledger has counted since its start.
+/// Counters since the start of the ledger.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LedgerCounts {
-    /// Calls taken.
+    /// Calls offered.
     pub offered: u64,
-    /// Calls that stood.
+    /// Calls established.
     pub established: u64,
     /// Calls refused.
     pub refused: u64,
     /// Calls failed.
     pub failed: u64,
-    /// Callers that left before an answer.
+    /// Calls whose caller left before the final answer.
     pub abandoned: u64,
     /// Set-ups sent.
     pub attempts: u64,
-    /// Set-ups by the way they ended.
+    /// Failed attempts by ending; the keys are the counter names given by [`ending_name`].
     pub endings: BTreeMap<&'static str, u64>,
-    /// Set-ups held back to keep a rule.
+    /// Set-ups blocked by the ledger, by reason.
     pub blocked: BTreeMap<BlockReason, u64>,
-    /// Calls that stood and were cut.
+    /// Established calls that were cut off.
     pub cut: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Stage {
-    /// With the module: nothing is out.
+    /// The decision module holds the call; no attempt is in progress.
     Deciding,
-    /// A set-up is out.
+    /// A set-up is in progress.
     SettingUp { attempt: AttemptNo, office: OfficeId, since: Micros },
-    /// It stands.
+    /// The call is established.
     Established { attempt: AttemptNo, office: OfficeId, since: Micros },
 }
 
@@ -211,19 +215,21 @@
 struct CallEntry {
     offered: OfferedCall,
     offered_at: Micros,
+    /// When the client stops waiting for the answer.
     deadline: Micros,
     stage: Stage,
     attempts: u8,
+    /// No set-up is sent before this time: an earlier attempt may still be active at its exchange.
     quiet_until: Micros,
-    /// The exchange that the last set-up went to.
+    /// The exchange that the last set-up was sent to.
     exchange: Option<ExchangeNo>,
     last_attempt: Option<LastAttempt>,
 }
 
-/// What the list has told of an office.
+/// The availability of an exchange according to the exchange list.
 #[derive(Clone, Copy, Debug, Default)]
 struct Availability {
-    /// When it was told to drain, or to be gone.
+    /// Start of the current draining or removal; `None` while the exchange is in service.
     draining_since: Option<Micros>,
     gone: bool,
 }
@@ -253,24 +259,24 @@
     }
 }
 
-/// A line about one call, for the console.
+/// One call as shown to operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallView {
     /// The call.
     pub call: CallId,
-    /// Its front.
+    /// The front end that the call came from.
     pub frontend: FrontendId,
-    /// Where it goes.
+    /// The destination of the call.
     pub destination: ExchangeNo,
-    /// What it is doing.
-    pub doing: &'static str,
-    /// The exchange that its set-up went to, while one is out or stands.
+    /// The state of the call, as shown to operators.
+    pub state: &'static str,
+    /// The exchange that the current set-up or the established call uses.
     pub exchange: Option<ExchangeNo>,
-    /// Since when.
+    /// When the call entered this state.
     pub since: Micros,
 }
 
-/// The ledger and the decision module in it.
+/// The call ledger and the decision module that it runs.
 #[derive(Debug)]
 pub struct Ledger {
     controller: Controller,
@@ -278,21 +284,21 @@
     quiet_period: Micros,
     drain_grace: Micros,
     calls: BTreeMap<CallId, CallEntry>,
-    /// The offices on the list; nothing is sent to one that is not here.
+    /// The exchanges on the list and those removed within the drain grace. No set-up is sent to any other.
     offices: BTreeMap<OfficeId, Availability>,
-    /// What operators took out of service.
+    /// Exchanges and trunk groups that operators took out of service.
     administrative_state: AdministrativeState,
     next_call_id: u32,
     outputs: Vec<Output>,
     counts: LedgerCounts,
-    /// Calls not yet answered.
+    /// Number of calls without a final answer.
     open_calls: usize,
-    /// New calls are refused, with this pause.
+    /// If set, new calls are refused with this retry delay.
     closed_retry_after: Option<Micros>,
 }
 
 impl Ledger {
-    /// An empty ledger.
+    /// Creates an empty ledger.
     pub fn new(settings: Settings, seed: u64) -> Self {
         Ledger {
             shortest_latency_objective: settings
@@ -320,9 +326,9 @@
         }
     }
 
-    // ---- What fronts and wires tell ----
+    // ---- Events from front ends, exchanges and operators ----
 
-    /// Takes a call. From here on it is owed one final answer.
+    /// Accepts a call, which gets exactly one final answer unless its caller leaves first.
     pub fn offer(&mut self, now: Micros, mut offered: OfferedCall) -> CallId {
         let call = CallId(self.next_call_id);
         self.next_call_id = self.next_call_id.wrapping_add(1);
@@ -351,7 +357,7 @@
         call
     }
 
-    /// The caller gave its set-up up, or released its call.
+    /// The caller cancelled its set-up or released its call.
     pub fn caller_left(&mut self, now: Micros, call: CallId) {
         let Some(entry) = self.calls.remove(&call) else { return };
         match entry.stage {
@@ -367,8 +373,8 @@
         }
     }
 
-    /// The set-up that is out was answered. Whether the answer was wanted: one for an attempt that is over
-    /// must be released by the wire that brought it.
+    /// An exchange answered an attempt. Returns false if that attempt is no longer in progress; the protocol layer that
+    /// received the answer must then release the call at the exchange.
     pub fn attempt_answered(
         &mut self,
         now: Micros,
@@ -393,7 +399,7 @@
         true
     }
 
-    /// An attempt ended on its wire, or a call that stood is over.
+    /// An attempt ended at its exchange, or an established call ended.
     pub fn attempt_ended(
         &mut self,
         now: Micros,
@@ -434,13 +440,14 @@
         self.dispatch(now, Event::Ended(outcome));
     }
 
-    /// Figures of an office or of the group toward it.
+    /// A load report of an exchange or of the trunk group to it.
     pub fn group_report(&mut self, now: Micros, office: OfficeId, report: LoadReport) {
         let report = self.administrative_state.apply_report(now, office, report);
         self.dispatch(now, Event::Group { office, report });
     }
 
-    /// Operators took this out of service, and nothing else. Set-ups may go there until the grace is over.
+    /// Replaces the set of exchanges and groups that operators took out of service. Set-ups may still be sent to them
+    /// within the drain grace.
     pub fn out_of_service_changed(&mut self, now: Micros, out_of_service: OutOfService) {
         let changes = self.administrative_state.set_out_of_service(now, out_of_service.clone());
         if !changes.entries.is_empty() {
@@ -453,24 +460,25 @@
         self.dispatch(now, Event::OutOfService(out_of_service));
     }
 
-    /// These exchanges are suspected of taking set-ups and answering none, and no others.
+    /// Replaces the set of exchanges suspected of accepting set-ups without answering them.
     pub fn suspected_changed(&mut self, now: Micros, suspected: BTreeSet<ExchangeNo>) {
         self.dispatch(now, Event::Suspected(suspected));
     }
 
-    /// How pressed the own processor is: its wait as a share of the shortest aim's two fifths.
+    /// Queueing delay of this controller's own processor, relative to two fifths of the shortest latency objective.
     pub fn processor_load(&self, now: Micros) -> f64 {
         self.controller.own_delay(now) / (0.4 * self.shortest_latency_objective as f64)
     }
 
-    /// Brings groups that were withdrawn back little by little; to be called now and then.
+    /// Raises the capacity of groups that were put back into service. To be called periodically.
     pub fn ramp_restored_groups(&mut self, now: Micros) {
         for (office, report) in self.administrative_state.ramping_groups(now) {
             self.dispatch(now, Event::Group { office, report });
         }
     }
 
-    /// Releases the calls that stand and that `which` picks by their first leg and destination, towards both sides.
+    /// Releases, towards both sides, the established calls for which `which` returns true, given the exchange that the
+    /// call was set up through and its destination.
     pub fn cut_calls(&mut self, now: Micros, which: impl Fn(Option<ExchangeNo>, ExchangeNo) -> bool) {
         let selected = |(&call, e): (&CallId, &CallEntry)| match e.stage {
             Stage::Established { attempt, office, .. }
@@ -487,7 +495,7 @@
         }
     }
 
-    /// A probe got no good answer.
+    /// A probe failed.
     pub fn probe_failed(&mut self, now: Micros, office: OfficeId) {
         self.dispatch(now, Event::ProbeFailed(office));
     }
@@ -497,7 +505,7 @@
         self.dispatch(now, Event::Peer { from, body });
     }
 
-    /// News of the list of offices.
+    /// An update of the exchange list.
     pub fn list_update(&mut self, now: Micros, news: ListNews) {
         let news = self.administrative_state.apply_list(news);
         match &news {
@@ -512,7 +520,7 @@
                 self.update_availability(now, entries);
             }
         }
-        // Guards memory against machines that are replaced for ever.
+        // Forgets removed exchanges after the drain grace: memory would otherwise grow with every replaced machine.
         let grace = self.drain_grace;
         self.offices.retain(|_, availability| {
             !(availability.gone && availability.draining_since.is_some_and(|t| now - t > grace))
@@ -520,7 +528,7 @@
         self.dispatch(now, Event::List(news));
     }
 
-    /// A deadline of this ledger has come.
+    /// A timer of the ledger expired.
     pub fn timer_expired(&mut self, now: Micros, timer: LedgerTimer) {
         match timer {
             LedgerTimer::Controller(token) => self.dispatch(now, Event::Timer(token)),
@@ -536,64 +544,64 @@
                     }
                     Stage::Deciding => {}
                 }
-                // Guards against a module that holds a call past its caller's patience.
+                // Needed in case the decision module holds a call past its client deadline.
                 self.fail_call(now, call, AnswerReason::ClientDeadline);
             }
         }
     }
 
-    /// Fails a call that is still open, whatever the module would do with it.
+    /// Fails a call that has no final answer yet, whatever the decision module plans for it.
     pub fn fail_call(&mut self, now: Micros, call: CallId, reason: AnswerReason) {
         if self.finish_call(call, Answer::Failed, reason) {
             self.dispatch(now, Event::CallerGone(call));
         }
     }
 
-    /// From now on new calls are refused at once, whatever front they come in by.
+    /// Refuses all new calls from now on, whichever front end they come from.
     pub fn refuse_new_calls(&mut self, retry_after: Micros) {
         self.closed_retry_after = Some(retry_after);
     }
 
-    /// Fails all calls that are still open.
+    /// Fails all calls that have no final answer yet.
     pub fn fail_open_calls(&mut self, now: Micros) {
         let established = |e: &CallEntry| matches!(e.stage, Stage::Established { .. });
         let open: Vec<CallId> = self.calls.iter().filter(|(_, e)| !established(e)).map(|(&c, _)| c).collect();
         open.into_iter().for_each(|call| self.fail_call(now, call, AnswerReason::Shutdown));
     }
 
-    /// What is to be done, in order.
+    /// Takes the pending outputs, in the order in which they must be carried out.
     pub fn take_outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.outputs)
     }
 
-    // ---- What may be asked ----
+    // ---- Queries ----
 
-    /// The call as it was offered, while it is open or stands.
+    /// The call as it was offered, until it ends.
     pub fn offered_call(&self, call: CallId) -> Option<&OfferedCall> {
         self.calls.get(&call).map(|e| &e.offered)
     }
 
-    /// Calls that are owed an answer.
+    /// Number of calls without a final answer.
     pub fn open_calls(&self) -> usize {
         self.open_calls
     }
 
-    /// Calls that stand.
+    /// Number of established calls.
     pub fn established_calls(&self) -> usize {
         self.calls.len() - self.open_calls
     }
 
-    /// Counts since the start.
+    /// Counters since the start.
     pub fn counts(&self) -> &LedgerCounts {
         &self.counts
     }
 
-    /// What operators took out of service, and the list and groups that it lies over.
+    /// What operators took out of service, and the exchange list and trunk groups that this applies to.
     pub fn administrative_state(&self) -> &AdministrativeState {
         &self.administrative_state
     }
 
-    /// Set-ups that are out and calls that stand, by first leg and destination.
+    /// Number of set-ups in progress and of established calls, by the exchange that they were sent to and destination.
     pub fn call_loads(&self) -> BTreeMap<(ExchangeNo, ExchangeNo), (u32, u32)> {
         let mut loads: BTreeMap<_, (u32, u32)> = BTreeMap::new();
         for e in self.calls.values() {
@@ -608,20 +616,20 @@
         loads
     }
 
-    /// The calls held, oldest first.
+    /// All current calls, oldest first.
     pub fn call_views(&self) -> impl Iterator<Item = CallView> + '_ {
         self.calls.iter().map(|(&call, e)| {
-            let (doing, exchange, since) = match e.stage {
+            let (state, exchange, since) = match e.stage {
                 Stage::Deciding => ("waits", None, e.offered_at),
                 Stage::SettingUp { since, .. } => ("set-up out", e.exchange, since),
                 Stage::Established { since, .. } => ("stands", e.exchange, since),
             };
             let (frontend, destination) = (e.offered.frontend, e.offered.new_call.destination);
-            CallView { call, frontend, destination, doing, exchange, since }
+            CallView { call, frontend, destination, state, exchange, since }
         })
     }
 
-    // ---- Within ----
+    // ---- Internals ----
 
     fn update_availability(&mut self, now: Micros, entries: &[ListEntry]) {
         for e in entries {
@@ -655,7 +663,8 @@
         }
     }
 
-    /// Sends a set-up, unless a rule forbids it: then the module learns that it was not sent.
+    /// Sends a set-up unless a rule forbids it. One blocked by the drain grace or the quiet period is reported
+    /// to the decision module as not sent.
     fn send_set_up(&mut self, now: Micros, call: CallId, office: OfficeId, timeout: Option<Micros>) {
         let Some(entry) = self.calls.get_mut(&call) else {
             *self.counts.blocked.entry(BlockReason::SecondAttempt).or_default() += 1;
@@ -700,7 +709,7 @@
         self.outputs.push(Output::SetTimer(until, LedgerTimer::Attempt(call, attempt)));
     }
 
-    /// Gives a set-up up from this side.
+    /// Ends an attempt in progress from this side.
     fn cancel_attempt(&mut self, now: Micros, call: CallId, attempt: AttemptNo, ending: Ending) {
         let Some(entry) = self.calls.get(&call) else { return };
         let Stage::SettingUp { attempt: out, office, .. } = entry.stage else { return };
@@ -710,7 +719,8 @@
         }
     }
 
-    /// The one place where an unanswered call gets its final answer, other than standing.
+    /// Gives an open call its final answer, other than established. The only place that does so. Returns false if the
+    /// call has been answered already.
     fn finish_call(&mut self, call: CallId, answer: Answer, reason: AnswerReason) -> bool {
         let Some(entry) = self.calls.get(&call) else { return false };
         match entry.stage {
@@ -731,7 +741,7 @@
     }
 }
 
-/// The name of an ending, for counters.
+/// The name of an ending in the counters `attempts.*`.
 pub fn ending_name(ending: Ending) -> &'static str {
     match ending {
         Ending::Completed => "completed",
