--- a/src/routing/administrative_state.rs
+++ b/src/routing/administrative_state.rs
@@ -1,43 +1,44 @@
-//! What operators took out of service, laid over what the coordinator and the exchanges tell.
+//! Administrative state: exchanges and trunk groups that operators took out of service, applied to the exchange list
+//! and the load reports before the decision module sees them.
 //!
-//! The decision module hears of it in the words that it knows: an exchange that is withdrawn is on its list as
-//! draining, a group that is withdrawn has no free circuit. What comes back does so by the rules that the module
-//! has for a cold processor, and a group's circuits come back little by little, so that nothing gets its full share
-//! at once. While nothing was ever withdrawn, all passes through unchanged.
+//! An exchange that is out of service appears on the list as draining, and a trunk group that is out of service has no
+//! free circuit. An exchange put back into service is treated as freshly started, so that the rules for a cold
+//! processor apply, and the circuits of a group return gradually: neither gets its full share of calls at once. Until
+//! something is first taken out of service, lists and reports pass through unchanged.
 
 use super::interface::{
     ExchangeNo, ListEntry, ListNews, ListState, LoadReport, Micros, OfficeId, OutOfService,
 };
 use std::collections::BTreeMap;
 
-/// What follows for the module when something is withdrawn or comes back.
+/// Updates for the decision module after a change of the administrative state.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Changes {
-    /// Offices whose state on the list is another now.
+    /// List entries of the exchanges whose administrative state changed.
     pub entries: Vec<ListEntry>,
-    /// Figures of groups as they count now.
+    /// Load reports of the groups whose administrative state changed.
     pub groups: Vec<(OfficeId, LoadReport)>,
 }
 
-/// The list and the groups as they were told, and what is out of service.
+/// The exchange list and circuit counts as received, and what operators took out of service.
 #[derive(Debug)]
 pub struct AdministrativeState {
-    /// Time in which something that came back is taken up again (µs).
+    /// Time over which a group put back into service regains its circuits (µs).
     ramp_period: Micros,
     listed: BTreeMap<OfficeId, ListEntry>,
-    /// Free circuits and size of the group toward each office, and when they were told.
+    /// Free circuits and size of the group to each exchange, and when they were reported.
     circuits: BTreeMap<OfficeId, (f64, f64, Micros)>,
     out_of_service: OutOfService,
-    /// Groups that are withdrawn, and since when.
+    /// When each group that is out of service was taken out.
     groups_out_since: BTreeMap<ExchangeNo, Micros>,
-    /// Exchanges that came back, and when.
+    /// When exchanges were put back into service.
     restored_exchanges: BTreeMap<ExchangeNo, Micros>,
-    /// Groups that came back, and when.
+    /// When groups were put back into service, until they have regained all circuits.
     restored_groups: BTreeMap<ExchangeNo, Micros>,
 }
 
 impl AdministrativeState {
-    /// Nothing is withdrawn. `warm`: the time that a cold processor takes to be warm.
+    /// Creates a state with everything in service. `ramp_period` is the cold-start period of a processor.
     pub fn new(ramp_period: Micros) -> Self {
         AdministrativeState {
             ramp_period: ramp_period.max(1),
@@ -50,27 +51,27 @@
         }
     }
 
-    /// An office as it counts: the worse of what the list says and what operators want.
+    /// The entry that the decision module sees: the worse of the listed and the administrative state.
     fn effective(&self, base: &ListEntry) -> ListEntry {
         let mut e = base.clone();
         if self.out_of_service.exchanges.contains(&e.exchange) && e.state == ListState::Ready {
             e.state = ListState::Draining;
         }
-        if let Some(&back) = self.restored_exchanges.get(&e.exchange) {
-            // A machine that started after that is colder still.
-            e.last_start = Some(e.last_start.map_or(back, |s| s.max(back)));
+        if let Some(&restored_at) = self.restored_exchanges.get(&e.exchange) {
+            // A machine that started after the exchange was put back counts from its own, later start.
+            e.last_start = Some(e.last_start.map_or(restored_at, |s| s.max(restored_at)));
         }
         e
     }
 
-    /// Takes news of the list and gives what the module is to hear.
+    /// Records a list update and returns it with the administrative state applied.
     pub fn apply_list(&mut self, news: ListNews) -> ListNews {
-        let complete = matches!(news, ListNews::Complete(_) | ListNews::Cached(_));
+        let is_complete = matches!(news, ListNews::Complete(_) | ListNews::Cached(_));
         let (ListNews::Changes(entries) | ListNews::Complete(entries) | ListNews::Cached(entries)) = &news
         else {
             return news;
         };
-        if complete {
+        if is_complete {
             self.listed.clear();
         }
         for e in entries.iter() {
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Takes the figures of a group and gives them as they count.
+    /// Records a load report and returns it with the administrative state applied.
     pub fn apply_report(&mut self, now: Micros, office: OfficeId, mut report: LoadReport) -> LoadReport {
         if let (Some(free), Some(size)) = (report.free, report.size) {
             self.circuits.insert(office, (free, size, now));
@@ -107,7 +108,7 @@
             return 0.0;
         }
         match self.restored_groups.get(&exchange) {
-            // As many circuits are taken up as a cold processor gains: in step with the time since.
+            // The circuits return linearly over the period, at the rate at which a cold processor gains capacity.
             Some(&since) if now - since < self.ramp_period => {
                 free.min((size * (now - since) as f64 / self.ramp_period as f64).floor())
             }
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Sets what is withdrawn from now on, and tells what changes by it.
+    /// Replaces the administrative state and returns the resulting updates.
     pub fn set_out_of_service(&mut self, now: Micros, new: OutOfService) -> Changes {
         let old = std::mem::replace(&mut self.out_of_service, new);
         let ramp_period = self.ramp_period;
@@ -159,8 +160,8 @@
         }
     }
 
-    /// Groups that come back little by little: their figures as they count now. To be told on about every tenth of
-    /// the time that they take.
+    /// Load reports of the groups that are regaining their circuits. To be passed to the decision module about every
+    /// tenth of the ramp period.
     pub fn ramping_groups(&mut self, now: Micros) -> Vec<(OfficeId, LoadReport)> {
         if self.restored_groups.is_empty() {
             return Vec::new();
@@ -175,27 +176,27 @@
         reports
     }
 
-    /// Since when the group toward an office is withdrawn.
+    /// When the group to an exchange was taken out of service; `None` if it is in service.
     pub fn group_out_since(&self, office: OfficeId) -> Option<Micros> {
         self.groups_out_since.get(&self.listed.get(&office)?.exchange).copied()
     }
 
-    /// What is withdrawn.
+    /// What is out of service.
     pub fn out_of_service(&self) -> &OutOfService {
         &self.out_of_service
     }
 
-    /// The exchange that an office serves, while it is on the list.
+    /// The exchange number of a machine, while it is on the list.
     pub fn exchange_of(&self, office: OfficeId) -> Option<ExchangeNo> {
         self.listed.get(&office).map(|e| e.exchange)
     }
 
-    /// Each office on the list as the coordinator has it, with free circuits and size of its group.
+    /// The list as received from the coordinator, with free circuits and size of each group.
     pub fn offices(&self) -> impl Iterator<Item = (&ListEntry, Option<(f64, f64)>)> {
         self.listed.values().map(|e| (e, self.circuits.get(&e.office).map(|f| (f.0, f.1))))
     }
 
-    /// Free circuits and size of each group as they were told, and when.
+    /// Free circuits and size of each group as reported, and when.
     pub fn group_circuits(&self) -> impl Iterator<Item = (OfficeId, (f64, f64, Micros))> + '_ {
         self.circuits.iter().map(|(&office, &f)| (office, f))
     }
@@ -212,70 +213,94 @@
         ListEntry { exchange: ExchangeNo(n), zone: 0, state, office, last_start: None }
     }
 
-    fn out(exchanges: &[u16], groups: &[u16]) -> OutOfService {
-        let set = |l: &[u16]| l.iter().map(|&n| ExchangeNo(n)).collect();
+    fn out_of_service(exchanges: &[u16], groups: &[u16]) -> OutOfService {
+        let set = |numbers: &[u16]| numbers.iter().map(|&n| ExchangeNo(n)).collect();
         OutOfService { exchanges: set(exchanges), groups: set(groups), all: false }
     }
 
-    fn figures(free: f64) -> LoadReport {
+    fn report(free: f64) -> LoadReport {
         LoadReport { free: Some(free), size: Some(20.0), ..LoadReport::default() }
     }
 
     #[test]
-    fn nothing_changes_while_nothing_was_withdrawn() {
-        let mut w = AdministrativeState::new(RAMP_PERIOD);
+    fn lists_and_reports_are_unchanged_while_everything_is_in_service() {
+        let mut administration = AdministrativeState::new(RAMP_PERIOD);
         let news = ListNews::Complete([entry(1, ListState::Ready), entry(2, ListState::Draining)].into());
-        assert_eq!(w.apply_list(news.clone()), news);
-        assert_eq!(w.apply_report(5, entry(1, ListState::Ready).office, figures(7.0)), figures(7.0));
+        assert_eq!(administration.apply_list(news.clone()), news);
+        assert_eq!(
+            administration.apply_report(5, entry(1, ListState::Ready).office, report(7.0)),
+            report(7.0)
+        );
         assert!(
-            w.set_out_of_service(9, OutOfService::default()).entries.is_empty()
-                && w.ramping_groups(9).is_empty()
+            administration.set_out_of_service(9, OutOfService::default()).entries.is_empty()
+                && administration.ramping_groups(9).is_empty()
         );
     }
 
     #[test]
-    fn whichever_drain_ends_first_the_other_holds() {
-        let mut w = AdministrativeState::new(RAMP_PERIOD);
-        w.apply_list(ListNews::Complete([entry(1, ListState::Ready)].into()));
-        assert_eq!(w.set_out_of_service(10, out(&[1], &[])).entries[0].state, ListState::Draining);
-        // The coordinator drains it too, and ends its drain first.
+    fn coordinator_and_operator_drains_are_independent() {
+        let mut administration = AdministrativeState::new(RAMP_PERIOD);
+        administration.apply_list(ListNews::Complete([entry(1, ListState::Ready)].into()));
+        assert_eq!(
+            administration.set_out_of_service(10, out_of_service(&[1], &[])).entries[0].state,
+            ListState::Draining
+        );
+        // The coordinator drains the exchange as well and ends its drain first.
         for state in [ListState::Draining, ListState::Ready] {
-            let ListNews::Changes(told) = w.apply_list(ListNews::Changes([entry(1, state)].into())) else {
+            let ListNews::Changes(effective) =
+                administration.apply_list(ListNews::Changes([entry(1, state)].into()))
+            else {
                 panic!()
             };
-            assert_eq!(told[0].state, ListState::Draining);
+            assert_eq!(effective[0].state, ListState::Draining);
         }
-        // A replacement under a new name serves the same exchange: it is withdrawn as well.
-        let new = ListEntry { office: OfficeId { addr: [9; 4], port: 0 }, ..entry(1, ListState::Ready) };
-        let ListNews::Changes(told) = w.apply_list(ListNews::Changes([new].into())) else { panic!() };
-        assert_eq!(told[0].state, ListState::Draining);
-        // The operator's ends first.
-        w.apply_list(ListNews::Changes([entry(1, ListState::Draining)].into()));
-        let back = w.set_out_of_service(20, out(&[], &[])).entries;
-        let state = |office| back.iter().find(|e| e.office == office).unwrap();
+        // A replacement machine that serves the same exchange is out of service as well.
+        let replacement =
+            ListEntry { office: OfficeId { addr: [9; 4], port: 0 }, ..entry(1, ListState::Ready) };
+        let ListNews::Changes(effective) = administration.apply_list(ListNews::Changes([replacement].into()))
+        else {
+            panic!()
+        };
+        assert_eq!(effective[0].state, ListState::Draining);
+        // The operator ends the drain before the coordinator does.
+        administration.apply_list(ListNews::Changes([entry(1, ListState::Draining)].into()));
+        let restored = administration.set_out_of_service(20, out_of_service(&[], &[])).entries;
+        let state = |office| restored.iter().find(|e| e.office == office).unwrap();
         assert_eq!(state(entry(1, ListState::Ready).office).state, ListState::Draining);
         let ready = state(OfficeId { addr: [9; 4], port: 0 });
         assert_eq!(
             (ready.state, ready.last_start),
             (ListState::Ready, Some(20)),
-            "it comes back as a cold one"
+            "it is treated as freshly started"
         );
     }
 
     #[test]
-    fn a_group_is_shut_at_once_and_comes_back_little_by_little() {
-        let mut w = AdministrativeState::new(RAMP_PERIOD);
+    fn a_group_loses_its_circuits_at_once_and_regains_them_gradually() {
+        let mut administration = AdministrativeState::new(RAMP_PERIOD);
         let office = entry(1, ListState::Ready).office;
-        w.apply_list(ListNews::Complete([entry(1, ListState::Ready)].into()));
-        w.apply_report(0, office, figures(18.0));
-        assert_eq!(w.set_out_of_service(10, out(&[], &[1])).groups[0].1.free, Some(0.0));
+        administration.apply_list(ListNews::Complete([entry(1, ListState::Ready)].into()));
+        administration.apply_report(0, office, report(18.0));
         assert_eq!(
-            (w.apply_report(11, office, figures(20.0)).free, w.group_out_since(office)),
+            administration.set_out_of_service(10, out_of_service(&[], &[1])).groups[0].1.free,
+            Some(0.0)
+        );
+        assert_eq!(
+            (
+                administration.apply_report(11, office, report(20.0)).free,
+                administration.group_out_since(office)
+            ),
             (Some(0.0), Some(10))
         );
-        assert_eq!(w.set_out_of_service(100, OutOfService::default()).groups[0].1.free, Some(0.0));
-        assert_eq!(w.ramping_groups(100 + RAMP_PERIOD / 2)[0].1.free, Some(10.0));
-        assert_eq!(w.ramping_groups(100 + RAMP_PERIOD)[0].1.free, Some(20.0));
-        assert!(w.ramping_groups(101 + RAMP_PERIOD).is_empty() && w.group_out_since(office).is_none());
+        assert_eq!(
+            administration.set_out_of_service(100, OutOfService::default()).groups[0].1.free,
+            Some(0.0)
+        );
+        assert_eq!(administration.ramping_groups(100 + RAMP_PERIOD / 2)[0].1.free, Some(10.0));
+        assert_eq!(administration.ramping_groups(100 + RAMP_PERIOD)[0].1.free, Some(20.0));
+        assert!(
+            administration.ramping_groups(101 + RAMP_PERIOD).is_empty()
+                && administration.group_out_since(office).is_none()
+        );
     }
 }
