--- a/src/fault_injection.rs
+++ b/src/fault_injection.rs
@@ -1,34 +1,34 @@
-//! Faults that are planted in the program to show that the fault trials find them.
+//! Deliberate faults for verifying that the fault trials detect them.
 //!
-//! They are there only with the feature `planted-faults`, which no build for service has, and then only the one that
-//! the variable `WALNUTHATCH_PLANTED` names.
+//! They are compiled in only with the feature `planted-faults`, which release builds must not enable. At most one is
+//! active: the one whose variant name is the value of the environment variable `WALNUTHATCH_PLANTED`.
 
-/// A fault that can be planted.
+/// A fault that can be injected. The variant names are values of `WALNUTHATCH_PLANTED`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedFault {
-    /// An answer is given twice.
+    /// Sends the answer to a call twice.
     AnswerTwice,
-    /// Set-ups go on to an exchange that drains.
+    /// Keeps sending set-ups to a draining exchange.
     SetUpAfterDrain,
-    /// Attempts follow at once after an unclear end.
+    /// Retries at once, without the quiet period, after an attempt with an unknown result.
     RetryInQuietPeriod,
-    /// The release of a call is not passed on.
+    /// Does not forward the release of a call.
     ReleaseLost,
-    /// Calls at an exchange that vanished are not released.
+    /// Does not release calls at an exchange that disappeared.
     NoReleaseForVanished,
-    /// Requests are left open at a stop.
+    /// Leaves requests unanswered at shutdown.
     RequestLeftAtStop,
-    /// Set-ups that are given up are not released at their exchange.
+    /// Does not release cancelled set-ups at their exchange.
     LeakedCall,
-    /// Descriptors of connections that ended are not given back.
+    /// Leaks the descriptors of closed connections.
     LeakedConnection,
-    /// After a reload the coordinator's news is passed over.
+    /// Ignores the coordinator's updates after a configuration reload.
     NewsMissedAfterReload,
-    /// A cold exchange gets every call.
+    /// Sends every call to an exchange in its cold start.
     ColdFlooded,
 }
 
-/// Whether this fault is planted.
+/// Whether this fault is active.
 #[cfg(feature = "planted-faults")]
 pub fn fault_injected(fault: InjectedFault) -> bool {
     static NAME: std::sync::OnceLock<Option<String>> = std::sync::OnceLock::new();
@@ -36,7 +36,7 @@
     name.as_deref() == Some(&format!("{fault:?}"))
 }
 
-/// Whether this fault is planted: none ever is in this build.
+/// Whether this fault is active. Always false without the feature `planted-faults`.
 #[cfg(not(feature = "planted-faults"))]
 pub const fn fault_injected(_: InjectedFault) -> bool {
     false
--- a/src/routing/administrative_state.rs
+++ b/src/routing/administrative_state.rs
@@ -1,8 +1,8 @@
 //! Administrative state: exchanges and trunk groups that operators took out of service, applied to the exchange list
 //! and the load reports before the decision module sees them.
 //!
-//! An exchange that is out of service appears on the list as draining, and a trunk group that is out of service has no
-//! free circuit. An exchange put back into service is treated as freshly started, so that the rules for a cold
+//! An exchange that is out of service appears on the list as draining, and a trunk group that is out of service has
+//! no free circuit. An exchange put back into service is treated as freshly started, so that the rules for a cold
 //! processor apply, and the circuits of a group return gradually: neither gets its full share of calls at once. Until
 //! something is first taken out of service, lists and reports pass through unchanged.
 
--- a/src/routing/ledger.rs
+++ b/src/routing/ledger.rs
@@ -373,8 +373,8 @@
         }
     }
 
-    /// An exchange answered an attempt. Returns false if that attempt is no longer in progress; the protocol layer that
-    /// received the answer must then release the call at the exchange.
+    /// An exchange answered an attempt. Returns false if that attempt is no longer in progress; the protocol
+    /// layer that received the answer must then release the call at the exchange.
     pub fn attempt_answered(
         &mut self,
         now: Micros,
@@ -477,8 +477,8 @@
         }
     }
 
-    /// Releases, towards both sides, the established calls for which `which` returns true, given the exchange that the
-    /// call was set up through and its destination.
+    /// Releases, towards both sides, the established calls for which `which` returns true, given the exchange
+    /// that the call was set up through and its destination.
     pub fn cut_calls(&mut self, now: Micros, which: impl Fn(Option<ExchangeNo>, ExchangeNo) -> bool) {
         let selected = |(&call, e): (&CallId, &CallEntry)| match e.stage {
             Stage::Established { attempt, office, .. }
@@ -601,7 +601,8 @@
         &self.administrative_state
     }
 
-    /// Number of set-ups in progress and of established calls, by the exchange that they were sent to and destination.
+    /// Number of set-ups in progress and of established calls, by the exchange that they were sent
+    /// to and by destination.
     pub fn call_loads(&self) -> BTreeMap<(ExchangeNo, ExchangeNo), (u32, u32)> {
         let mut loads: BTreeMap<_, (u32, u32)> = BTreeMap::new();
         for e in self.calls.values() {
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,5 +1,5 @@
-//! The core: the decision module and the call ledger round it. Requests, attempts and outcomes go in, actions
-//! come out; there are no sockets, no clock and no wire formats here.
+//! The routing core: the decision module and the call ledger that runs it. Its inputs are calls, attempt outcomes,
+//! load reports and timers; its outputs are actions. It uses no sockets, clock or wire formats.
 
 pub mod administrative_state;
 pub mod control;
--- a/src/routing/shutdown.rs
+++ b/src/routing/shutdown.rs
@@ -10,8 +10,8 @@
 const ACCEPTING_PERIOD: Micros = 700_000;
 /// Upper bound on the longest client deadline that a shutdown waits for (µs).
 const MAX_CLIENT_DEADLINE: Micros = 3_000_000;
-/// Calls still open this long after the longest client deadline are failed (µs). The platform kills the program 0.7 s
-/// after that deadline, so the answers must be sent before then.
+/// Calls still open this long after the longest client deadline are failed (µs). The platform kills the program
+/// 0.7 s after that deadline, so the answers must be sent before then.
 const OPEN_CALL_GRACE: Micros = 400_000;
 /// Established calls may continue for this long after the request (µs).
 const ESTABLISHED_CALL_LIMIT: Micros = 8_000_000;
@@ -21,9 +21,9 @@
 /// A phase of a shutdown. The rules of the earlier phases stay in force in the later ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// Health tests fail, so that callers move to another instance; new calls are still accepted.
+    /// Health probes are answered negatively, so that callers move to another instance; new calls are still accepted.
     Accepting,
-    /// New calls are refused, and connections without calls are closed.
+    /// New calls are refused, and connections with no work left are closed.
     Draining,
     /// Calls that are still unanswered are failed.
     OpenCallsFailed,
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -1,4 +1,4 @@
-//! What the program holds after many connections and calls is what it held after a few.
+//! Memory and descriptor usage must not grow with the number of connections and calls served.
 
 mod common;
 
@@ -11,15 +11,16 @@
 use std::time::Duration;
 use walnuthatch_standin::{Exchange, Traits};
 
-/// Rounds, and connections of a round: about what a controller gets in a fault trial.
+/// Number of rounds, and connections per round: in total about the load of one fault trial.
 const ROUNDS: u32 = 20;
-const CONNECTIONS: u32 = 200;
-/// Memory (KiB) that a round may leave more than the one before the last few.
-const GROWTH: u64 = 1_024;
-/// Everything of a round is over and closed after this.
-const SETTLED: Duration = Duration::from_millis(600);
+const CONNECTIONS_PER_ROUND: u32 = 200;
+/// Allowed growth of resident memory between the fifth round and the last (KiB).
+const MAX_GROWTH_KIB: u64 = 1_024;
+/// Time after which all calls of a round have ended and its connections are closed.
+const SETTLING_TIME: Duration = Duration::from_millis(600);
 
-fn held(program: &Program) -> (u64, usize) {
+/// Resident memory (KiB) and number of open descriptors.
+fn resource_usage(program: &Program) -> (u64, usize) {
     let id = program.child.id();
     let status = fs::read_to_string(format!("/proc/{id}/status")).unwrap();
     let memory = status.lines().find_map(|l| l.strip_prefix("VmRSS:")).unwrap();
@@ -28,7 +29,7 @@
 }
 
 #[test]
-fn twenty_rounds_of_connections_and_calls_leave_neither_memory_nor_descriptors() {
+fn memory_and_descriptors_do_not_grow_over_twenty_rounds_of_calls() {
     let (delay, hold) = (Duration::from_millis(1), Duration::from_millis(100));
     let exchange = Exchange::start(None, Traits { circuits: 2_000, delay, hold, seed: 7 }).unwrap();
     let member = member("s-1", exchange.address(), 1, "up");
@@ -37,21 +38,22 @@
     let callers = program.at("callers");
     let mut rounds = Vec::new();
     for round in 0..ROUNDS {
-        let mut lines: Vec<Line> = (0..CONNECTIONS).map(|_| Line::to(callers)).collect();
-        let name = |n: usize| sid(1 + round * CONNECTIONS + n as u32);
+        let mut lines: Vec<Line> = (0..CONNECTIONS_PER_ROUND).map(|_| Line::to(callers)).collect();
+        let name = |n: usize| sid(1 + round * CONNECTIONS_PER_ROUND + n as u32);
         lines.iter_mut().enumerate().for_each(|(n, line)| line.say(open(&name(n), 1, 5_000)));
         for (n, line) in lines.iter_mut().enumerate() {
-            // The end of its call, or its refusal while the program has not learnt how fast the exchange is.
+            // Either the call ended, or it was refused while the program had not yet learnt how fast the
+            // exchange answers.
             while line.about(&name(n))["msg"] != "close" {}
             line.say(json!({"msg": "closed", "sid": name(n), "attrs": {}}));
         }
         drop(lines);
-        thread::sleep(SETTLED);
-        rounds.push(held(&program));
+        thread::sleep(SETTLING_TIME);
+        rounds.push(resource_usage(&program));
     }
-    // Past the capture of the test's output, so that it is read.
+    // Written to the real stderr, which the test harness does not capture.
     writeln!(std::io::stderr(), "memory (KiB) and descriptors after each round: {rounds:?}").unwrap();
     let (early, late) = (rounds[4], rounds[rounds.len() - 1]);
     assert_eq!(late.1, early.1, "descriptors");
-    assert!(late.0 <= early.0 + GROWTH, "{} KiB after {} KiB", late.0, early.0);
+    assert!(late.0 <= early.0 + MAX_GROWTH_KIB, "{} KiB after {} KiB", late.0, early.0);
 }
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -1,12 +1,12 @@
-//! The phases of a stop, and what the ledger does with calls that come in them.
+//! The phases of a shutdown, and how the ledger handles calls during them.
 
 use walnuthatch::routing::interface::*;
 use walnuthatch::routing::ledger::{Answer, AnswerReason, FrontendId, Ledger, OfferedCall, Output};
 use walnuthatch::routing::shutdown::{Phase, Shutdown};
 
 const MS: Micros = 1_000;
-/// SIGKILL comes this long after the longest deadline.
-const KILL: Micros = 700 * MS;
+/// The platform sends SIGKILL this long after the longest client deadline.
+const KILL_DELAY: Micros = 700 * MS;
 
 fn offer(patience: Micros) -> OfferedCall {
     let new_call = NewCall {
@@ -28,28 +28,28 @@
 #[test]
 fn every_open_call_is_answered_well_before_the_kill_whatever_the_longest_deadline() {
     for deadline in [0, 100 * MS, 600 * MS, 3_000 * MS, 9_000 * MS] {
-        let stop = Shutdown::new(10_000 * MS, deadline);
-        let kill = 10_000 * MS + deadline.min(3_000 * MS) + KILL;
-        let [draining, answered, ..] = stop.phase_starts();
-        assert_eq!((draining.1, answered.1), (Phase::Draining, Phase::OpenCallsFailed));
-        assert!(draining.0 <= answered.0, "nothing new comes after the last answers");
+        let shutdown = Shutdown::new(10_000 * MS, deadline);
+        let kill = 10_000 * MS + deadline.min(3_000 * MS) + KILL_DELAY;
+        let [draining, open_calls_failed, ..] = shutdown.phase_starts();
+        assert_eq!((draining.1, open_calls_failed.1), (Phase::Draining, Phase::OpenCallsFailed));
+        assert!(draining.0 <= open_calls_failed.0, "no new call is accepted once open calls are failed");
         assert!(
-            answered.0 <= (kill - 200 * MS).max(10_700 * MS),
-            "{deadline}: {answered:?}, killed at {kill}"
+            open_calls_failed.0 <= (kill - 200 * MS).max(10_700 * MS),
+            "{deadline}: {open_calls_failed:?}, killed at {kill}"
         );
-        assert!(draining.0 - 10_000 * MS >= 600 * MS, "the platform goes on sending for 0.6 s");
+        assert!(draining.0 - 10_000 * MS >= 600 * MS, "the platform keeps sending calls for 0.6 s");
     }
 }
 
 #[test]
-fn the_phase_at_a_time_does_not_depend_on_when_it_was_looked_at_last() {
-    let stop = Shutdown::new(0, 3_000 * MS);
-    for (at, phase) in stop.phase_starts() {
-        assert_eq!(stop.phase_at(at), phase);
-        assert!(stop.phase_at(at - 1) < phase);
+fn the_phase_depends_only_on_the_time() {
+    let shutdown = Shutdown::new(0, 3_000 * MS);
+    for (at, phase) in shutdown.phase_starts() {
+        assert_eq!(shutdown.phase_at(at), phase);
+        assert!(shutdown.phase_at(at - 1) < phase);
     }
-    assert_eq!(stop.phase_at(0), Phase::Accepting);
-    assert_eq!(stop.phase_at(Micros::MAX), Phase::Terminating);
+    assert_eq!(shutdown.phase_at(0), Phase::Accepting);
+    assert_eq!(shutdown.phase_at(Micros::MAX), Phase::Terminating);
 }
 
 #[test]
