--- /dev/null
+++ b/tests/out_of_service.rs
@@ -0,0 +1,182 @@
+//! Taking exchanges, trunk groups and the controller out of service, tested through the ledger and the decision
+//! module: no new set-ups after the drain grace, calls to the exchange are refused at once, and capacity returns
+//! gradually when it is put back.
+
+use walnuthatch::routing::interface::*;
+use walnuthatch::routing::ledger::*;
+
+const T0: Micros = 100_000_000;
+const MS: Micros = 1000;
+
+fn office(n: u8) -> OfficeId {
+    OfficeId { addr: [10, 0, 0, n], port: 5060 }
+}
+
+fn circuits(free: f64) -> LoadReport {
+    LoadReport { free: Some(free), size: Some(20.0), wait: Some(10_000), ..LoadReport::default() }
+}
+
+/// A ledger in exchange 0 that knows exchanges 1 to 3, each through a group of 20 circuits.
+fn new_ledger() -> Ledger {
+    let class = Class {
+        aim: 1_200_000,
+        give_up: 9_000_000,
+        late_worth: 0.25,
+        worth: 1.0,
+        effect: Effect::Retryable,
+        hold: 10_000_000,
+        pools: Vec::new(),
+    };
+    let settings = Settings {
+        classes: vec![class],
+        own: Some(ExchangeNo(0)),
+        release: 500_000,
+        drain_grace: 250_000,
+        cold: 15_000_000,
+        cold_from: 0.35,
+        overload_factor: 2.5,
+        fall: 2_000_000,
+        max_pause: 2_000_000,
+        try_limit: 4,
+        ..Settings::default()
+    };
+    let mut ledger = Ledger::new(settings, 7);
+    let entry = |n| ListEntry {
+        exchange: ExchangeNo(n),
+        zone: 0,
+        state: ListState::Ready,
+        office: office(n as u8),
+        last_start: None,
+    };
+    ledger.list_update(T0, ListNews::Complete((1..=3).map(entry).collect()));
+    (1..=3).for_each(|n| ledger.group_report(T0, office(n), circuits(20.0)));
+    ledger.take_outputs();
+    ledger
+}
+
+fn offer(ledger: &mut Ledger, now: Micros, to: u16) -> (CallId, Vec<Output>) {
+    let new_call = NewCall {
+        call: CallId(0),
+        destination: ExchangeNo(to),
+        transit: false,
+        redialled: false,
+        cut_before: false,
+        number: None,
+        width: 1,
+        patience: 3_000_000,
+        class: 0,
+        via: None,
+        not_before: 0,
+    };
+    let call = ledger.offer(now, OfferedCall { frontend: FrontendId(0), new_call, description: None });
+    (call, ledger.take_outputs())
+}
+
+/// The exchange that a set-up was sent to, if any.
+fn set_up_target(outputs: &[Output]) -> Option<OfficeId> {
+    outputs.iter().find_map(|o| match o {
+        Output::SetUp { office, .. } => Some(*office),
+        _ => None,
+    })
+}
+
+/// The retry delay, if the call was refused.
+fn refusal_delay(outputs: &[Output]) -> Option<Micros> {
+    outputs.iter().find_map(|o| match o {
+        Output::Answer { answer: Answer::Refused { retry_after }, .. } => Some(*retry_after),
+        _ => None,
+    })
+}
+
+fn out_of_service(exchanges: &[u16], groups: &[u16], all: bool) -> OutOfService {
+    let set = |numbers: &[u16]| numbers.iter().map(|&n| ExchangeNo(n)).collect();
+    OutOfService { exchanges: set(exchanges), groups: set(groups), all }
+}
+
+#[test]
+fn calls_to_an_exchange_out_of_service_are_refused_and_others_avoid_it_as_tandem() {
+    let mut ledger = new_ledger();
+    ledger.out_of_service_changed(T0, out_of_service(&[1], &[], false));
+    ledger.take_outputs();
+    let (_, outputs) = offer(&mut ledger, T0 + MS, 1);
+    assert_eq!(
+        (set_up_target(&outputs), refusal_delay(&outputs)),
+        (None, Some(2_000_000)),
+        "the refusal carries a retry delay"
+    );
+    // The direct group to 2 is full, so only 3 is left as a tandem.
+    ledger.group_report(T0 + 300 * MS, office(2), circuits(0.0));
+    for n in 0..8 {
+        let (_, outputs) = offer(&mut ledger, T0 + (300 + n) * MS, 2);
+        assert_ne!(set_up_target(&outputs), Some(office(1)));
+    }
+}
+
+#[test]
+fn calls_avoid_a_group_out_of_service_by_a_tandem() {
+    let mut ledger = new_ledger();
+    ledger.out_of_service_changed(T0, out_of_service(&[], &[1], false));
+    ledger.take_outputs();
+    let (_, outputs) = offer(&mut ledger, T0 + MS, 1);
+    assert!(set_up_target(&outputs).is_some_and(|o| o != office(1)), "{outputs:?}");
+    // A report of free circuits does not put it back into service.
+    ledger.group_report(T0 + 2 * MS, office(1), circuits(20.0));
+    let (_, outputs) = offer(&mut ledger, T0 + 3 * MS, 1);
+    assert_ne!(set_up_target(&outputs), Some(office(1)));
+    // Once put back into service, it regains its circuits gradually.
+    ledger.out_of_service_changed(T0 + 1000 * MS, out_of_service(&[], &[], false));
+    ledger.take_outputs();
+    let direct = |ledger: &mut Ledger, now| {
+        let targets = (0..20).map(|_| set_up_target(&offer(ledger, now, 1).1));
+        targets.filter(|o| *o == Some(office(1))).count()
+    };
+    assert_eq!(direct(&mut ledger, T0 + 1001 * MS), 0);
+    ledger.ramp_restored_groups(T0 + 1000 * MS + 3_000_000);
+    let regained = direct(&mut ledger, T0 + 1001 * MS + 3_000_000);
+    assert!(
+        (1..=4).contains(&regained),
+        "after a fifth of the ramp period, at most a fifth of the circuits: {regained}"
+    );
+}
+
+#[test]
+fn an_exchange_put_back_into_service_is_treated_as_cold() {
+    let direct_calls = |restored: bool| {
+        let mut ledger = new_ledger();
+        let restored_at = T0 + 10_000_000;
+        if restored {
+            ledger.out_of_service_changed(T0, out_of_service(&[1], &[], false));
+            ledger.out_of_service_changed(restored_at, out_of_service(&[], &[], false));
+        }
+        ledger.take_outputs();
+        // In a burst, an exchange in its cold start gets only the calls its capacity allows so far, a warm one its
+        // full share.
+        (0..10)
+            .filter(|n| set_up_target(&offer(&mut ledger, restored_at + n * MS, 1).1) == Some(office(1)))
+            .count()
+    };
+    let (cold, warm) = (direct_calls(true), direct_calls(false));
+    assert!(cold <= 1 && warm >= 4, "{cold} {warm}");
+}
+
+#[test]
+fn a_controller_out_of_service_refuses_all_calls_and_keeps_established_ones_until_cut() {
+    let mut ledger = new_ledger();
+    let (call, outputs) = offer(&mut ledger, T0, 1);
+    assert_eq!(set_up_target(&outputs), Some(office(1)));
+    ledger.attempt_answered(T0 + MS, call, AttemptNo(0), None);
+    ledger.out_of_service_changed(T0 + 2 * MS, out_of_service(&[], &[], true));
+    ledger.take_outputs();
+    for to in 1..=3 {
+        assert!(refusal_delay(&offer(&mut ledger, T0 + 3 * MS, to).1).is_some());
+    }
+    assert_eq!(
+        (ledger.established_calls(), ledger.call_loads()[&(ExchangeNo(1), ExchangeNo(1))]),
+        (1, (0, 1))
+    );
+    ledger.cut_calls(T0 + 4 * MS, |exchange, _| exchange == Some(ExchangeNo(1)));
+    let outputs = ledger.take_outputs();
+    assert!(outputs.iter().any(|o| matches!(o, Output::Release { cut: true, .. })), "{outputs:?}");
+    assert!(outputs.iter().any(|o| matches!(o, Output::Clear { .. })));
+    assert_eq!(ledger.established_calls(), 0);
+}
