--- a/src/program/switchboard.rs
+++ b/src/program/switchboard.rs
@@ -477,7 +477,7 @@
     fn ledger_output(&mut self, now: Micros, output: Output) {
         self.observe(now, &output);
         match output {
-            Output::SetUp { call, attempt, office, wait } => match &mut self.agent {
+            Output::SetUp { call, attempt, office, timeout: wait } => match &mut self.agent {
                 Some(agent) if agent.has(office) => {
                     let description = self.ledger.offered_call(call).and_then(|o| o.description.as_ref());
                     agent.set_up(now, (call, attempt), office, description);
--- a/src/routing/ledger.rs
+++ b/src/routing/ledger.rs
@@ -89,7 +89,7 @@
         /// The exchange to send it to.
         office: OfficeId,
         /// The timeout of the attempt.
-        wait: Micros,
+        timeout: Micros,
     },
     /// Cancel a set-up in progress, or release an established call.
     Clear {
@@ -380,17 +380,17 @@
         now: Micros,
         call: CallId,
         attempt: AttemptNo,
-        text: Option<SessionDescription>,
+        description: Option<SessionDescription>,
     ) -> bool {
         let Some(entry) = self.calls.get_mut(&call) else { return false };
-        let Stage::SettingUp { attempt: out, office, since } = entry.stage else { return false };
-        if out != attempt {
+        let Stage::SettingUp { attempt: current, office, since } = entry.stage else { return false };
+        if current != attempt {
             return false;
         }
         entry.stage = Stage::Established { attempt, office, since: now };
         entry.last_attempt =
             Some(LastAttempt { exchange: entry.exchange, setup_time: now - since, failure: None });
-        let answer = Answer::Established(text);
+        let answer = Answer::Established(description);
         let output = entry.answer(call, answer, AnswerReason::Answered);
         self.open_calls -= 1;
         self.counts.established += 1;
@@ -410,12 +410,16 @@
     ) {
         let (ending, cause) = result;
         let Some(entry) = self.calls.get_mut(&call) else { return };
-        let (office, since, over) = match entry.stage {
-            Stage::SettingUp { attempt: out, office, since } if out == attempt => (office, since, false),
-            Stage::Established { attempt: out, office, since } if out == attempt => (office, since, true),
+        let (office, since, was_established) = match entry.stage {
+            Stage::SettingUp { attempt: current, office, since } if current == attempt => {
+                (office, since, false)
+            }
+            Stage::Established { attempt: current, office, since } if current == attempt => {
+                (office, since, true)
+            }
             _ => return,
         };
-        if over {
+        if was_established {
             let frontend = entry.offered.frontend;
             self.calls.remove(&call);
             let cut = ending != Ending::Completed;
@@ -436,7 +440,7 @@
         }
         let took = now - since;
         let report = self.administrative_state.apply_report(now, office, report);
-        let outcome = Outcome { call, attempt, office, ending, cause, took, over, report };
+        let outcome = Outcome { call, attempt, office, ending, cause, took, over: was_established, report };
         self.dispatch(now, Event::Ended(outcome));
     }
 
@@ -446,8 +450,8 @@
         self.dispatch(now, Event::Group { office, report });
     }
 
-    /// Replaces the set of exchanges and groups that operators took out of service. Set-ups may still be sent to them
-    /// within the drain grace.
+    /// Replaces the set of exchanges and groups that operators took out of service. Set-ups may still be sent
+    /// to them within the drain grace.
     pub fn out_of_service_changed(&mut self, now: Micros, out_of_service: OutOfService) {
         let changes = self.administrative_state.set_out_of_service(now, out_of_service.clone());
         if !changes.entries.is_empty() {
@@ -696,32 +700,32 @@
             if reason != BlockReason::SecondAttempt {
                 let (ending, cause) = (Ending::NotSent, Cause::None);
                 let report = LoadReport::default();
-                let o = Outcome { call, attempt, office, ending, cause, took: 0, over: false, report };
-                self.dispatch(now, Event::Ended(o));
+                let outcome = Outcome { call, attempt, office, ending, cause, took: 0, over: false, report };
+                self.dispatch(now, Event::Ended(outcome));
             }
             return;
         }
-        let last = entry.deadline - ATTEMPT_MARGIN;
-        let until = timeout.map_or(last, |t| last.min(now + t.max(0)));
+        let latest = entry.deadline - ATTEMPT_MARGIN;
+        let expires_at = timeout.map_or(latest, |t| latest.min(now + t.max(0)));
         entry.stage = Stage::SettingUp { attempt, office, since: now };
         entry.exchange = self.administrative_state.exchange_of(office);
         self.counts.attempts += 1;
-        self.outputs.push(Output::SetUp { call, attempt, office, wait: (until - now).max(0) });
-        self.outputs.push(Output::SetTimer(until, LedgerTimer::Attempt(call, attempt)));
+        self.outputs.push(Output::SetUp { call, attempt, office, timeout: (expires_at - now).max(0) });
+        self.outputs.push(Output::SetTimer(expires_at, LedgerTimer::Attempt(call, attempt)));
     }
 
     /// Ends an attempt in progress from this side.
     fn cancel_attempt(&mut self, now: Micros, call: CallId, attempt: AttemptNo, ending: Ending) {
         let Some(entry) = self.calls.get(&call) else { return };
-        let Stage::SettingUp { attempt: out, office, .. } = entry.stage else { return };
-        if out == attempt {
+        let Stage::SettingUp { attempt: current, office, .. } = entry.stage else { return };
+        if current == attempt {
             self.outputs.push(Output::Clear { call, attempt, office });
             self.attempt_ended(now, call, attempt, (ending, Cause::None), LoadReport::default());
         }
     }
 
-    /// Gives an open call its final answer, other than established. The only place that does so. Returns false if the
-    /// call has been answered already.
+    /// Gives an open call its final answer, other than established; the only place that does so. Returns
+    /// false if the call has been answered already.
     fn finish_call(&mut self, call: CallId, answer: Answer, reason: AnswerReason) -> bool {
         let Some(entry) = self.calls.get(&call) else { return false };
         match entry.stage {
--- a/tests/models.rs
+++ b/tests/models.rs
@@ -871,7 +871,7 @@
     fn settle(&mut self) {
         for output in self.ledger.take_outputs() {
             match output {
-                Output::SetUp { call, attempt, office, wait } => {
+                Output::SetUp { call, attempt, office, timeout: wait } => {
                     let held = self.calls.get_mut(&call).expect("a call that is owed an answer");
                     assert!(held.out.is_none() && !held.stands, "one attempt out");
                     assert!(self.now >= held.quiet, "the quiet period");
