--- a/examples/gossip_tables.rs
+++ b/examples/gossip_tables.rs
@@ -5,9 +5,9 @@
 
 use clap::Parser;
 use std::collections::{BTreeMap, BTreeSet};
-use walnuthatch::routing::deadlines::Deadlines;
 use walnuthatch::routing::interface::*;
-use walnuthatch::routing::ledger::{Answer, FrontId, Ledger, LedgerDue, Offer, Output};
+use walnuthatch::routing::ledger::{Answer, FrontendId, Ledger, LedgerTimer, OfferedCall, Output};
+use walnuthatch::routing::timer_queue::TimerQueue;
 use walnuthatch_gossip::bucket::Ceiling;
 use walnuthatch_gossip::lab::{Lab, Net, CEILING};
 use walnuthatch_gossip::node::Output as NodeOutput;
@@ -167,7 +167,7 @@
 
 struct Site {
     ledger: Ledger,
-    deadlines: Deadlines<LedgerDue>,
+    deadlines: TimerQueue<LedgerTimer>,
     /// Set-ups whose answers are under way, and calls that stand.
     out: BTreeMap<CallId, (AttemptNo, OfficeId, usize)>,
     sent_to_hung: Vec<Micros>,
@@ -210,12 +210,12 @@
         office: office(j),
         last_start: None,
     };
-    ledger.list(0, ListNews::Cached((0..SITES).map(entry).collect()));
+    ledger.list_update(0, ListNews::Cached((0..SITES).map(entry).collect()));
     for j in (0..SITES).filter(|j| *j != i) {
         let report = LoadReport { free: Some(60.0), size: Some(60.0), ..LoadReport::default() };
-        ledger.group(0, office(j), report);
+        ledger.group_report(0, office(j), report);
     }
-    Site { ledger, deadlines: Deadlines::default(), out: BTreeMap::new(), sent_to_hung: Vec::new() }
+    Site { ledger, deadlines: TimerQueue::default(), out: BTreeMap::new(), sent_to_hung: Vec::new() }
 }
 
 enum Due {
@@ -274,7 +274,10 @@
         match output {
             Output::SetUp { call, attempt, office, .. } => {
                 let j = usize::from(office.addr[3]);
-                let to = self.sites[i].ledger.offer_of(call).map_or(j, |o| usize::from(o.ask.destination.0));
+                let to = self.sites[i]
+                    .ledger
+                    .offered_call(call)
+                    .map_or(j, |o| usize::from(o.new_call.destination.0));
                 *self.busy.entry(Model::pair(i, j)).or_default() += 1;
                 self.sites[i].out.insert(call, (attempt, office, j));
                 if self.hangs(j) || self.hangs(to) {
@@ -292,7 +295,7 @@
             Output::Clear { call, office, .. } if self.sites[i].out.remove(&call).is_some() => {
                 self.free(i, usize::from(office.addr[3]));
             }
-            Output::AttemptEnded { call, leg: Some(leg), ending, .. } => {
+            Output::AttemptEnded { call, exchange: Some(leg), ending, .. } => {
                 let e = Exchange(leg.0);
                 let call = u64::from(call.0);
                 self.tell(i, |n, now| match ending {
@@ -301,17 +304,17 @@
                     _ => n.dropped(now, e, call),
                 });
             }
-            Output::Answer { call, answer, taken, destination, last, .. } => {
+            Output::Answer { call, answer, offered_at: taken, destination, last_attempt: last, .. } => {
                 let other = usize::from(usize::from(destination.0) != HUNG);
-                if let Answer::Stands(_) = answer {
+                if let Answer::Established(_) = answer {
                     self.good[other] += u32::from(now - taken <= 1_200_000);
                     if let Some(last) = last {
-                        let (e, took) = (Exchange(last.leg.map_or(0, |l| l.0)), last.took);
+                        let (e, took) = (Exchange(last.exchange.map_or(0, |l| l.0)), last.setup_time);
                         self.tell(i, |n, now| n.answered(now, e, u64::from(call.0), took));
                     }
                 }
             }
-            Output::Wake(at, due) => self.sites[i].deadlines.add(at, due),
+            Output::SetTimer(at, due) => self.sites[i].deadlines.add(at, due),
             _ => {}
         }
     }
@@ -322,7 +325,7 @@
         let free = f64::from(60u32.saturating_sub(*busy));
         for (a, b) in [(i, j), (j, i)] {
             let report = LoadReport { free: Some(free), size: Some(60.0), ..LoadReport::default() };
-            self.sites[a].ledger.group(self.now, office(b), report);
+            self.sites[a].ledger.group_report(self.now, office(b), report);
         }
     }
 
@@ -343,7 +346,9 @@
             via: None,
             not_before: 0,
         };
-        self.sites[i].ledger.offer(self.now, Offer { front: FrontId(0), ask, description: None });
+        self.sites[i]
+            .ledger
+            .offer(self.now, OfferedCall { frontend: FrontendId(0), new_call: ask, description: None });
         self.follow(i);
     }
 
@@ -354,7 +359,7 @@
             for (_, i, said) in std::mem::take(&mut lab.said) {
                 if let (NodeOutput::Suspected(all), true) = (said, i < SITES) {
                     let all: BTreeSet<ExchangeNo> = all.into_iter().map(|e| ExchangeNo(e.0)).collect();
-                    self.sites[i].ledger.suspect(now, all);
+                    self.sites[i].ledger.suspected_changed(now, all);
                     self.follow(i);
                 }
             }
@@ -363,7 +368,7 @@
             match due {
                 Due::Answer(i, call, attempt) => {
                     let known = self.sites[i].out.get(&call).is_some_and(|o| o.0 == attempt);
-                    if known && self.sites[i].ledger.answered(now, call, attempt, None) {
+                    if known && self.sites[i].ledger.attempt_answered(now, call, attempt, None) {
                         let hold = (-2e6 * (1.0 - self.rng.f64()).ln()) as Micros;
                         self.later(now + hold, Due::End(i, call, attempt));
                         self.follow(i);
@@ -372,7 +377,7 @@
                 Due::End(i, call, attempt) => {
                     if let Some((_, _, j)) = self.sites[i].out.remove(&call) {
                         let how = (Ending::Completed, Cause::None);
-                        self.sites[i].ledger.ended(now, call, attempt, how, LoadReport::default());
+                        self.sites[i].ledger.attempt_ended(now, call, attempt, how, LoadReport::default());
                         self.free(i, j);
                         self.follow(i);
                     }
@@ -380,8 +385,8 @@
             }
         }
         for i in 0..SITES {
-            while let Some(due) = self.sites[i].deadlines.take_due(now) {
-                self.sites[i].ledger.due(now, due);
+            while let Some(due) = self.sites[i].deadlines.pop_expired(now) {
+                self.sites[i].ledger.timer_expired(now, due);
                 self.follow(i);
             }
         }
--- a/src/program/appliance.rs
+++ b/src/program/appliance.rs
@@ -9,8 +9,8 @@
 use super::gossip::Gossip;
 use super::log::Log;
 use super::views::{Loads, Scene, CALLS};
-use crate::routing::interface::{Cause, Ending, ExchangeNo, Micros, Withdrawn};
-use crate::routing::ledger::{Answer, Last, Ledger, Output as LedgerOutput};
+use crate::routing::interface::{Cause, Ending, ExchangeNo, Micros, OutOfService};
+use crate::routing::ledger::{Answer, LastAttempt, Ledger, Output as LedgerOutput};
 use crate::transport::ControlNews;
 use async_channel::Sender;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -40,7 +40,7 @@
 #[derive(Debug)]
 pub enum Output {
     /// This is out of service from now on.
-    Withdraw(Withdrawn),
+    Withdraw(OutOfService),
     /// Release the calls that stand there.
     Cut(Target),
     /// Bring groups back a little more.
@@ -187,31 +187,33 @@
     pub fn observe(&mut self, now: Micros, output: &LedgerOutput, ledger: &Ledger, aims: &[Micros]) {
         match output {
             LedgerOutput::SetUp { call, office, .. } => {
-                let leg = ledger.withdrawals().exchange_of(*office);
-                let Some((leg, offer)) = leg.zip(ledger.offer_of(*call)) else { return };
-                self.traffic.record_setup(now, Exchange(offer.ask.destination.0), Exchange(leg.0));
+                let leg = ledger.administrative_state().exchange_of(*office);
+                let Some((leg, offer)) = leg.zip(ledger.offered_call(*call)) else { return };
+                self.traffic.record_setup(now, Exchange(offer.new_call.destination.0), Exchange(leg.0));
                 if let Some(e) = self.exchanges.entry(leg.0) {
                     e.record_attempt(now);
                 }
             }
-            LedgerOutput::AttemptEnded { leg: Some(leg), .. } => {
+            LedgerOutput::AttemptEnded { exchange: Some(leg), .. } => {
                 if let Some(e) = self.exchanges.entry(leg.0) {
                     e.unsuccessful_attempts += 1;
                 }
             }
-            LedgerOutput::Answer { call, answer, taken, destination, last, .. } => {
+            LedgerOutput::Answer {
+                call, answer, offered_at: taken, destination, last_attempt: last, ..
+            } => {
                 self.answers.record(now, now - taken);
                 let outcome = match answer {
                     Answer::Failed => CallOutcome::Failed,
                     Answer::Refused { .. } => self.refusal(*destination, *last),
-                    Answer::Stands(_) => {
-                        if let Some(Last { leg: Some(leg), took, .. }) = last {
+                    Answer::Established(_) => {
+                        if let Some(LastAttempt { exchange: Some(leg), setup_time: took, .. }) = last {
                             self.traffic.record_established(now, Exchange(destination.0), Exchange(leg.0));
                             if let Some(e) = self.exchanges.entry(leg.0) {
                                 e.setup_times.record(now, *took);
                             }
                         }
-                        let class = ledger.offer_of(*call).map_or(0, |o| o.ask.class);
+                        let class = ledger.offered_call(*call).map_or(0, |o| o.new_call.class);
                         let aim = aims.get(class).copied().unwrap_or(Micros::MAX);
                         if now - taken <= aim {
                             CallOutcome::WithinObjective
@@ -227,9 +229,9 @@
     }
 
     /// Why a call was refused, as far as its last attempt, or the lack of one, tells.
-    fn refusal(&self, destination: ExchangeNo, last: Option<Last>) -> CallOutcome {
+    fn refusal(&self, destination: ExchangeNo, last: Option<LastAttempt>) -> CallOutcome {
         let w = self.book.out_of_service();
-        match last.and_then(|l| l.how) {
+        match last.and_then(|l| l.failure) {
             _ if w.refuse_new_calls || w.exchanges.contains(&Exchange(destination.0)) => CallOutcome::Drained,
             Some((_, Cause::NoCircuit)) => CallOutcome::NoCircuit,
             Some((_, Cause::ProcessorFull(_) | Cause::FarProcessorFull)) => CallOutcome::ProcessorFull,
@@ -301,7 +303,7 @@
         for (leg, to, calls) in site.standing() {
             self.traffic.record_held(now.steady, Exchange(to.0), Exchange(leg.0), calls, span);
         }
-        let abandoned = scene.ledger.tally().abandoned;
+        let abandoned = scene.ledger.counts().abandoned;
         (self.abandoned..abandoned).for_each(|_| self.service.record(now.steady, CallOutcome::Abandoned));
         self.abandoned = abandoned;
         self.service.advance(now.steady);
@@ -374,7 +376,7 @@
                     };
                     self.sessions.reply(client, id, what);
                 }
-                registry::Output::SetOutOfService(w) => self.out.push(Output::Withdraw(Withdrawn {
+                registry::Output::SetOutOfService(w) => self.out.push(Output::Withdraw(OutOfService {
                     exchanges: exchanges(&w.exchanges),
                     groups: exchanges(&w.groups),
                     all: w.refuse_new_calls,
--- a/src/program/counters.rs
+++ b/src/program/counters.rs
@@ -3,7 +3,7 @@
 use crate::protocol::client::ClientCounts;
 use crate::protocol::mgcp::agent::AgentCounts;
 use crate::protocol::upstream::UpstreamCounts;
-use crate::routing::ledger::Tally;
+use crate::routing::ledger::LedgerCounts;
 
 /// What the task that owns routing counts itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -41,10 +41,10 @@
 }
 
 /// All counters as names and values, in a fixed order.
-pub fn table(w: &WireCounts, t: &Tally, c: &ClientCounts, l: &UpstreamCounts) -> Vec<(String, u64)> {
+pub fn table(w: &WireCounts, t: &LedgerCounts, c: &ClientCounts, l: &UpstreamCounts) -> Vec<(String, u64)> {
     let mut out: Vec<(String, u64)> = [
         ("calls.offered", t.offered),
-        ("calls.stood", t.stood),
+        ("calls.stood", t.established),
         ("calls.refused", t.refused),
         ("calls.failed", t.failed),
         ("calls.abandoned", t.abandoned),
@@ -90,7 +90,7 @@
     .map(|(name, value)| (name.to_owned(), value))
     .collect();
     out.extend(t.endings.iter().map(|(name, &n)| (format!("attempts.{name}"), n)));
-    out.extend(t.held_back.iter().map(|(why, &n)| (format!("held_back.{why:?}").to_lowercase(), n)));
+    out.extend(t.blocked.iter().map(|(why, &n)| (format!("held_back.{why:?}").to_lowercase(), n)));
     out
 }
 
--- a/src/program/gossip.rs
+++ b/src/program/gossip.rs
@@ -75,23 +75,25 @@
     pub fn observe(&mut self, now: Micros, output: &LedgerOutput, ledger: &Ledger) {
         match output {
             LedgerOutput::SetUp { call, office, .. } => {
-                let leg = ledger.withdrawals().exchange_of(*office);
-                let to = ledger.offer_of(*call).map(|o| o.ask.destination);
+                let leg = ledger.administrative_state().exchange_of(*office);
+                let to = ledger.offered_call(*call).map(|o| o.new_call.destination);
                 if let Some(leg) = leg.filter(|l| Some(*l) == to) {
                     self.out.insert(*call, exchange(leg));
                     self.node.sent(now, exchange(leg), u64::from(call.0));
                 }
             }
-            LedgerOutput::Answer { call, answer: Answer::Stands(_), last: Some(last), .. } => {
+            LedgerOutput::Answer {
+                call, answer: Answer::Established(_), last_attempt: Some(last), ..
+            } => {
                 let direct = self.out.remove(call);
-                if let Some(leg) = last.leg {
+                if let Some(leg) = last.exchange {
                     match direct {
-                        Some(e) => self.node.answered(now, e, u64::from(call.0), last.took),
+                        Some(e) => self.node.answered(now, e, u64::from(call.0), last.setup_time),
                         None => self.node.turned_away(now, exchange(leg), u64::from(call.0)),
                     }
                 }
             }
-            LedgerOutput::AttemptEnded { call, leg: Some(leg), ending, cause } => {
+            LedgerOutput::AttemptEnded { call, exchange: Some(leg), ending, cause } => {
                 let direct = self.out.remove(call).is_some();
                 let (e, call) = (exchange(*leg), u64::from(call.0));
                 match (ending, cause) {
@@ -107,7 +109,7 @@
                 }
             }
             // Its caller left; an attempt that this side gave up is told to have ended besides.
-            LedgerOutput::Clear { call, .. } if ledger.offer_of(*call).is_none() => {
+            LedgerOutput::Clear { call, .. } if ledger.offered_call(*call).is_none() => {
                 if let Some(e) = self.out.remove(call) {
                     self.node.dropped(now, e, u64::from(call.0));
                 }
@@ -130,12 +132,12 @@
         }
         if now - self.tick >= SECOND {
             self.tick = now;
-            let offices: Vec<_> = ledger.withdrawals().offices().collect();
+            let offices: Vec<_> = ledger.administrative_state().offices().collect();
             let linked = offices.iter().filter(|(_, g)| g.is_some_and(|g| g.1 >= 1.0));
             self.node.set_links(&linked.map(|(e, _)| exchange(e.exchange)).collect());
             let known: BTreeSet<ExchangeNo> = offices.iter().map(|(e, _)| e.exchange).collect();
             self.node.set_exchanges(known.len());
-            self.node.set_pressed((ledger.pressed(now) * 200.0).clamp(0.0, 255.0) as u8);
+            self.node.set_pressed((ledger.processor_load(now) * 200.0).clamp(0.0, 255.0) as u8);
         }
         self.node.due(now);
         self.follow(now);
--- a/src/program/log.rs
+++ b/src/program/log.rs
@@ -125,24 +125,24 @@
 pub fn call(output: &Output, sid: Option<Sid>) {
     let sid = sid.map(tracing::field::display);
     match output {
-        Output::Answer { call, answer, reason, destination, last, .. } => {
+        Output::Answer { call, answer, reason, destination, last_attempt: last, .. } => {
             let answer = match answer {
-                Answer::Stands(_) => "stands",
+                Answer::Established(_) => "stands",
                 Answer::Refused { .. } => "refused",
                 Answer::Failed => "failed",
             };
             let exchange = destination.0;
-            let last = last.and_then(|l| l.how);
+            let last = last.and_then(|l| l.failure);
             tracing::debug!(target: CALLS, sid, call = call.0, exchange, ?reason, ?last, "{answer}");
         }
-        Output::SetUp { call, attempt, wait, office } => {
+        Output::SetUp { call, attempt, timeout: wait, office } => {
             let (attempt, office) = (attempt.0, u32::from_be_bytes(office.addr));
             tracing::debug!(target: CALLS, sid, call = call.0, attempt, office, wait, "set-up sent");
         }
         Output::Clear { call, attempt, .. } => {
             tracing::debug!(target: CALLS, sid, call = call.0, attempt = attempt.0, "given up or released");
         }
-        Output::AttemptEnded { call, leg, ending, cause } => {
+        Output::AttemptEnded { call, exchange: leg, ending, cause } => {
             let exchange = leg.map(|e| e.0);
             tracing::debug!(target: CALLS, sid, call = call.0, exchange, ?cause, "set-up ended: {ending:?}");
         }
--- a/src/program/switchboard.rs
+++ b/src/program/switchboard.rs
@@ -15,9 +15,9 @@
 use crate::protocol::otlp::{CallSpan, Snapshot};
 use crate::protocol::upstream::{UpstreamConnections, UpstreamOutput, UpstreamTimer};
 use crate::protocol::ConnId;
-use crate::routing::deadlines::Deadlines;
 use crate::routing::interface::{CallId, ListEntry, ListNews, LoadReport, Micros, PeerNo};
-use crate::routing::ledger::{AnswerReason, FrontId, Ledger, LedgerDue, Output};
+use crate::routing::ledger::{AnswerReason, FrontendId, Ledger, LedgerTimer, Output};
+use crate::routing::timer_queue::TimerQueue;
 use crate::transport::outbox::Outbox;
 use crate::transport::saver::Saving;
 use crate::transport::{ConnNews, Inbound, Side};
@@ -36,9 +36,9 @@
 use stop::{ListenerState, Stop};
 
 /// The platform's front.
-pub const LINES: FrontId = FrontId(0);
+pub const LINES: FrontendId = FrontendId(0);
 /// The front towards gateways.
-pub const GATEWAYS: FrontId = FrontId(1);
+pub const GATEWAYS: FrontendId = FrontendId(1);
 /// A test passes this long after the start even if an exchange has not been heard of (µs).
 const SETTLE: Micros = 1_500_000;
 /// After an event of the coordinator that can't be used, the whole list is asked for this long after (µs).
@@ -50,7 +50,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Due {
     /// The ledger's.
-    Ledger(LedgerDue),
+    Ledger(LedgerTimer),
     /// The links'.
     Link(UpstreamTimer),
     /// The callers'.
@@ -104,7 +104,7 @@
     appliance: Option<Appliance>,
     gossip: Option<Gossip>,
     roster: Roster,
-    deadlines: Deadlines<Due>,
+    deadlines: TimerQueue<Due>,
     outboxes: HashMap<(Side, ConnId), Outbox>,
     tasks: Vec<Task>,
     counts: WireCounts,
@@ -145,7 +145,7 @@
             appliance,
             gossip: config.gossip.as_ref().map(|g| Gossip::new(now, g, config.seed)),
             roster: Roster::new(config.zones.clone()),
-            deadlines: Deadlines::default(),
+            deadlines: TimerQueue::default(),
             outboxes: HashMap::new(),
             tasks: Vec::new(),
             counts: WireCounts::default(),
@@ -164,7 +164,7 @@
         }
         let gateways = board.gateway_entries();
         if !gateways.is_empty() {
-            board.ledger.list(now, ListNews::Cached(gateways.into()));
+            board.ledger.list_update(now, ListNews::Cached(gateways.into()));
         }
         if let Some(agent) = &mut board.agent {
             agent.start(now);
@@ -189,7 +189,7 @@
             Inbound::Peer { from, body } => {
                 if let Some(at) = self.config.peers.iter().position(|p| *p == from) {
                     self.counts.peers_in += 1;
-                    self.ledger.peer(now, PeerNo(at as u32), body);
+                    self.ledger.peer_message(now, PeerNo(at as u32), body);
                 }
             }
             Inbound::Gateway { from, body } => {
@@ -259,9 +259,9 @@
 
     /// Sweeps the deadlines.
     pub fn sweep(&mut self, now: Micros) {
-        while let Some(due) = self.deadlines.take_due(now) {
+        while let Some(due) = self.deadlines.pop_expired(now) {
             match due {
-                Due::Ledger(due) => self.ledger.due(now, due),
+                Due::Ledger(due) => self.ledger.timer_expired(now, due),
                 Due::Link(due) => self.links.due(now, due),
                 Due::Caller(due) => self.callers.due(now, due),
                 Due::Agent(due) => {
@@ -281,7 +281,7 @@
 
     /// The earliest deadline.
     pub fn next_deadline(&self) -> Option<Micros> {
-        self.deadlines.first()
+        self.deadlines.next_expiry()
     }
 
     /// What the transport is to do.
@@ -302,7 +302,7 @@
     /// All counters.
     pub fn counters(&self) -> Vec<(String, u64)> {
         let (callers, links) = (self.callers.counts(), self.links.counts());
-        let mut table = counters::table(&self.counts, self.ledger.tally(), &callers, &links);
+        let mut table = counters::table(&self.counts, self.ledger.counts(), &callers, &links);
         if self.config.telemetry.is_some() {
             table.extend(self.exported.table());
         }
@@ -375,7 +375,7 @@
     fn caller(&mut self, now: Micros, conn: ConnId, message: Message) {
         match self.callers.message(now, conn, message) {
             Ask::Offer(sid, key, offer) => {
-                let (class, left) = (offer.ask.class, offer.ask.patience);
+                let (class, left) = (offer.new_call.class, offer.new_call.patience);
                 tracing::debug!(target: CALLS, %sid, conn = conn.0, class, left, "taken");
                 let call = self.ledger.offer(now, *offer);
                 self.callers.taken(conn, sid, key, call);
@@ -426,7 +426,7 @@
             tracing::debug!(target: "walnuthatch::list", index = update.index, %member, "{state:?}");
         }
         // The ledger first: the guard on drains must know before anything else is done.
-        self.ledger.list(now, news);
+        self.ledger.list_update(now, news);
         self.links.list(now, &entries, &update.places, complete);
     }
 
@@ -477,9 +477,9 @@
     fn ledger_output(&mut self, now: Micros, output: Output) {
         self.observe(now, &output);
         match output {
-            Output::SetUp { call, attempt, office, wait } => match &mut self.agent {
+            Output::SetUp { call, attempt, office, timeout: wait } => match &mut self.agent {
                 Some(agent) if agent.has(office) => {
-                    let description = self.ledger.offer_of(call).and_then(|o| o.description.as_ref());
+                    let description = self.ledger.offered_call(call).and_then(|o| o.description.as_ref());
                     agent.set_up(now, (call, attempt), office, description);
                 }
                 _ => {
@@ -492,25 +492,25 @@
                 Some(agent) if agent.has(office) => agent.clear(now, call, attempt),
                 _ => self.links.clear(now, call, attempt),
             },
-            Output::Answer { front, call, answer, taken, destination, .. } => {
+            Output::Answer { frontend, call, answer, offered_at: taken, destination, .. } => {
                 self.span(call, &answer, (taken, now), destination);
                 match &mut self.agent {
-                    Some(agent) if front == GATEWAYS => agent.answer(now, call, &answer),
+                    Some(agent) if frontend == GATEWAYS => agent.answer(now, call, &answer),
                     _ => self.callers.answer(now, call, answer),
                 }
             }
-            Output::Release { front, call, cut } => match &mut self.agent {
-                Some(agent) if front == GATEWAYS => agent.release(now, call),
+            Output::Release { frontend, call, cut } => match &mut self.agent {
+                Some(agent) if frontend == GATEWAYS => agent.release(now, call),
                 _ => self.callers.release(now, call, cut),
             },
             Output::AttemptEnded { .. } => {}
             Output::Probe(office) => self.links.probe(now, office),
             // With gossip the own groups are told on its signed path.
-            Output::Tell { .. } if self.gossip.is_some() => {}
-            Output::Tell { to, body } => self.tell_peers(to, body),
+            Output::SendToPeer { .. } if self.gossip.is_some() => {}
+            Output::SendToPeer { to, body } => self.tell_peers(to, body),
             Output::FetchList => self.tasks.push(Task::Refetch),
             Output::Log(line) => tracing::info!("{line}"),
-            Output::Wake(at, due) => self.deadlines.add(at, Due::Ledger(due)),
+            Output::SetTimer(at, due) => self.deadlines.add(at, Due::Ledger(due)),
         }
     }
 
@@ -545,14 +545,14 @@
             }
             UpstreamOutput::Wake(at, due) => self.deadlines.add(at, Due::Link(due)),
             UpstreamOutput::Answered(call, attempt, text) => {
-                if !self.ledger.answered(now, call, attempt, text) {
+                if !self.ledger.attempt_answered(now, call, attempt, text) {
                     self.links.clear(now, call, attempt);
                 }
             }
             UpstreamOutput::Ended(call, attempt, how, load) => {
-                self.ledger.ended(now, call, attempt, how, load);
+                self.ledger.attempt_ended(now, call, attempt, how, load);
             }
-            UpstreamOutput::Group(office, load) => self.ledger.group(now, office, load),
+            UpstreamOutput::Group(office, load) => self.ledger.group_report(now, office, load),
             UpstreamOutput::ProbeFailed(office) => self.ledger.probe_failed(now, office),
             UpstreamOutput::GaveUp(member, why) => {
                 tracing::info!(%member, "exchange {member}: connection given up: {why}");
@@ -568,7 +568,7 @@
         let outbox = |conn| self.outboxes.get(&(Side::Callers, conn));
         match output {
             ClientOutput::Tell(conn, message) => self.send(Side::Callers, conn, None, &message),
-            ClientOutput::Fail(call) => self.ledger.fail(now, call, AnswerReason::ConnectionEnding),
+            ClientOutput::Fail(call) => self.ledger.fail_call(now, call, AnswerReason::ConnectionEnding),
             ClientOutput::Ending(conn, why) => {
                 tracing::debug!(target: CONNECTIONS, conn = conn.0, "caller's connection ends: {why:?}");
             }
@@ -594,23 +594,23 @@
             }
             AgentOutput::Left(call) => self.ledger.caller_left(now, call),
             AgentOutput::Answered(call, attempt, text) => {
-                if !self.ledger.answered(now, call, attempt, text) {
+                if !self.ledger.attempt_answered(now, call, attempt, text) {
                     if let Some(agent) = &mut self.agent {
                         agent.clear(now, call, attempt);
                     }
                 }
             }
             AgentOutput::Ended(call, attempt, how) => {
-                self.ledger.ended(now, call, attempt, how, LoadReport::default());
+                self.ledger.attempt_ended(now, call, attempt, how, LoadReport::default());
             }
-            AgentOutput::Group(office, load) => self.ledger.group(now, office, load),
-            AgentOutput::List(entry) => self.ledger.list(now, ListNews::Changes([entry].into())),
+            AgentOutput::Group(office, load) => self.ledger.group_report(now, office, load),
+            AgentOutput::List(entry) => self.ledger.list_update(now, ListNews::Changes([entry].into())),
         }
     }
 
     fn set_up_message(&mut self, call: CallId, wait: Micros) -> Option<Message> {
-        let offer = self.ledger.offer_of(call)?;
-        let class = self.config.classes.get(offer.ask.class)?.clone();
+        let offer = self.ledger.offered_call(call)?;
+        let class = self.config.classes.get(offer.new_call.class)?.clone();
         let (sid, key) = match self.callers.particulars(call) {
             Some(known) => known,
             None => {
--- a/src/program/views.rs
+++ b/src/program/views.rs
@@ -70,7 +70,7 @@
     /// In short; alarms, drains and the like are filled in by whoever has them.
     pub fn status(&self) -> Status {
         let count = |state: Option<ListState>| {
-            let offices = self.ledger.withdrawals().offices();
+            let offices = self.ledger.administrative_state().offices();
             offices.filter(|o| state.is_none_or(|s| o.0.state == s)).count()
         };
         Status {
@@ -79,7 +79,7 @@
             state: self.state().to_owned(),
             up_s: ms(self.now - self.born) / 1000,
             open: self.ledger.open_calls(),
-            standing: self.ledger.standing_calls(),
+            standing: self.ledger.established_calls(),
             connections: self.connections,
             deadlines: self.deadlines,
             ready: count(Some(ListState::Ready)),
@@ -93,7 +93,7 @@
     /// by whoever has them.
     pub fn exchanges(&self) -> Vec<Exchange> {
         let loads = self.loads();
-        let figures: BTreeMap<OfficeId, _> = self.ledger.withdrawals().figures().collect();
+        let figures: BTreeMap<OfficeId, _> = self.ledger.administrative_state().group_circuits().collect();
         let of = |office: &OfficeId, exchange: ExchangeNo, name: &str, address: String, state, connected| {
             let known = figures.get(office);
             let Load { pending_setups: out, established: standing } =
@@ -112,7 +112,7 @@
                 ..Exchange::default()
             }
         };
-        let list = self.ledger.withdrawals();
+        let list = self.ledger.administrative_state();
         let links = self.links.views().filter_map(|(office, place, state, up)| {
             let exchange = list.exchange_of(office)?;
             Some(of(&office, exchange, &place.member, place.address.to_string(), state, up))
@@ -133,20 +133,20 @@
     pub fn calls(&self, search: &str, most: usize) -> (Vec<Call>, usize) {
         let view = |v: CallView| Call {
             call: v.call.0,
-            front: if v.front == GATEWAYS { "gateway" } else { "lines" }.to_owned(),
+            front: if v.frontend == GATEWAYS { "gateway" } else { "lines" }.to_owned(),
             destination: v.destination.0,
-            doing: v.doing.to_owned(),
-            over: v.leg.map(|e| e.0),
+            doing: v.state.to_owned(),
+            over: v.exchange.map(|e| e.0),
             for_ms: ms(self.now - v.since),
         };
         let fits = |c: &Call| search.is_empty() || call_line(c).contains(search);
-        let found = self.ledger.views().map(view).filter(fits).take(most).collect();
-        (found, self.ledger.open_calls() + self.ledger.standing_calls())
+        let found = self.ledger.call_views().map(view).filter(fits).take(most).collect();
+        (found, self.ledger.open_calls() + self.ledger.established_calls())
     }
 
     /// What is at each exchange.
     pub fn loads(&self) -> Loads<'_> {
-        Loads { scene: self, loads: self.ledger.loads(), links: None, health: Health::default() }
+        Loads { scene: self, loads: self.ledger.call_loads(), links: None, health: Health::default() }
     }
 }
 
@@ -188,7 +188,7 @@
             let of = |n: usize| u32::try_from(n).unwrap_or(u32::MAX);
             return Load {
                 pending_setups: of(self.scene.ledger.open_calls()),
-                established: of(self.scene.ledger.standing_calls()),
+                established: of(self.scene.ledger.established_calls()),
             };
         }
         let at = |leg: ExchangeNo, to: ExchangeNo| match target {
@@ -207,7 +207,9 @@
     fn neighbours(&self) -> Vec<Neighbour> {
         let own = self.scene.config.settings.own;
         let mut all: BTreeMap<ExchangeNo, Neighbour> = BTreeMap::new();
-        for (e, group) in self.scene.ledger.withdrawals().offices().filter(|o| Some(o.0.exchange) != own) {
+        for (e, group) in
+            self.scene.ledger.administrative_state().offices().filter(|o| Some(o.0.exchange) != own)
+        {
             let ready = e.state == ListState::Ready;
             let n = Neighbour { exchange: target::Exchange(e.exchange.0), ready, group };
             // Of an old machine and its replacement the one that is in service counts.
--- a/src/protocol/mgcp/agent.rs
+++ b/src/protocol/mgcp/agent.rs
@@ -13,7 +13,7 @@
 use crate::routing::interface::{
     AttemptNo, CallId, Cause, Ending, ExchangeNo, ListEntry, ListState, LoadReport, Micros, NewCall, OfficeId,
 };
-use crate::routing::ledger::{Answer, Description, FrontId, Offer};
+use crate::routing::ledger::{Answer, FrontendId, OfferedCall, SessionDescription};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -89,11 +89,11 @@
     /// Come back then.
     Wake(Micros, AgentDue),
     /// Offer this call to the core, and then [`Agent::taken`] with the port.
-    Offer(usize, Box<Offer>),
+    Offer(usize, Box<OfferedCall>),
     /// The caller left.
     Left(CallId),
     /// A set-up was answered.
-    Answered(CallId, AttemptNo, Option<Description>),
+    Answered(CallId, AttemptNo, Option<SessionDescription>),
     /// An attempt ended, or a call that stood is over.
     Ended(CallId, AttemptNo, (Ending, Cause)),
     /// Free endpoints of a gateway, and how many there are.
@@ -170,7 +170,7 @@
 #[derive(Clone, Debug, PartialEq)]
 enum Stage {
     Creating,
-    Ringing(Option<Description>),
+    Ringing(Option<SessionDescription>),
     Standing,
 }
 
@@ -192,7 +192,7 @@
 /// The call agent.
 #[derive(Debug)]
 pub struct Agent {
-    front: FrontId,
+    front: FrontendId,
     config: AgentConfig,
     ports: Vec<Port>,
     states: Vec<(ListState, Option<Micros>)>,
@@ -212,7 +212,7 @@
 
 impl Agent {
     /// An agent that has sent nothing yet.
-    pub fn new(front: FrontId, config: AgentConfig, seed: u64) -> Self {
+    pub fn new(front: FrontendId, config: AgentConfig, seed: u64) -> Self {
         let mut ports = Vec::new();
         for (gateway, g) in config.gateways.iter().enumerate() {
             for local in &g.endpoints {
@@ -556,7 +556,7 @@
     fn created(&mut self, now: Micros, p: usize, id: u64, r: Response) {
         let good = (200..300).contains(&r.code);
         let connection = r.params.get("I").map(str::to_owned);
-        let text = r.sdp.map(|s| Description(s.into()));
+        let text = r.sdp.map(|s| SessionDescription(s.into()));
         if self.ports[p].use_id != id || !self.ports[p].awaits_connection() {
             if good {
                 // Guards against a connection that nobody owns: it was given up while its answer was on the way.
@@ -590,7 +590,7 @@
                     via: None,
                     not_before: 0,
                 };
-                let offer = Offer { front: self.front, ask, description: text };
+                let offer = OfferedCall { frontend: self.front, new_call: ask, description: text };
                 self.out.push(AgentOutput::Offer(p, Box::new(offer)));
             }
             (Role::Preparing { .. }, false) => {
@@ -679,7 +679,7 @@
         let Some(&p) = self.calls.get(&call) else { return };
         let (code, tone) = codes::answer(answer);
         match (answer, tone) {
-            (Answer::Stands(text), _) => {
+            (Answer::Established(text), _) => {
                 self.ports[p].role = Role::Talking(call);
                 self.watch_lease(now, p);
                 let mut c = command(Verb::Mdcx, self.ports[p].endpoint.clone());
@@ -693,7 +693,7 @@
                 let mut params = Params::default().with("R", "L/hu(N)").with("S", tone.unwrap_or("L/ro"));
                 // For gateways that dial again by themselves: the code, and how long to keep away.
                 params = params.with("X-Outcome", code);
-                if let Answer::Refused { pause } = refused {
+                if let Answer::Refused { retry_after: pause } = refused {
                     params = params.with("X-Pause", (pause + 999) / 1000);
                 }
                 self.delete(now, p, params, Role::Tone);
@@ -715,7 +715,7 @@
         now: Micros,
         (call, attempt): (CallId, AttemptNo),
         office: OfficeId,
-        description: Option<&Description>,
+        description: Option<&SessionDescription>,
     ) {
         let Some(g) = self.gateway_of(office) else { return };
         let ports: Vec<usize> = (0..self.ports.len()).filter(|&p| self.ports[p].gateway == g).collect();
--- /dev/null
+++ b/src/routing/administrative_state.rs
@@ -0,0 +1,306 @@
+//! Administrative state: exchanges and trunk groups that operators took out of service, applied to the exchange list
+//! and the load reports before the decision module sees them.
+//!
+//! An exchange that is out of service appears on the list as draining, and a trunk group that is out of service has
+//! no free circuit. An exchange put back into service is treated as freshly started, so that the rules for a cold
+//! processor apply, and the circuits of a group return gradually: neither gets its full share of calls at once. Until
+//! something is first taken out of service, lists and reports pass through unchanged.
+
+use super::interface::{
+    ExchangeNo, ListEntry, ListNews, ListState, LoadReport, Micros, OfficeId, OutOfService,
+};
+use std::collections::BTreeMap;
+
+/// Updates for the decision module after a change of the administrative state.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Changes {
+    /// List entries of the exchanges whose administrative state changed.
+    pub entries: Vec<ListEntry>,
+    /// Load reports of the groups whose administrative state changed.
+    pub groups: Vec<(OfficeId, LoadReport)>,
+}
+
+/// The exchange list and circuit counts as received, and what operators took out of service.
+#[derive(Debug)]
+pub struct AdministrativeState {
+    /// Time over which a group put back into service regains its circuits (µs).
+    ramp_period: Micros,
+    listed: BTreeMap<OfficeId, ListEntry>,
+    /// Free circuits and size of the group to each exchange, and when they were reported.
+    circuits: BTreeMap<OfficeId, (f64, f64, Micros)>,
+    out_of_service: OutOfService,
+    /// When each group that is out of service was taken out.
+    groups_out_since: BTreeMap<ExchangeNo, Micros>,
+    /// When exchanges were put back into service.
+    restored_exchanges: BTreeMap<ExchangeNo, Micros>,
+    /// When groups were put back into service, until they have regained all circuits.
+    restored_groups: BTreeMap<ExchangeNo, Micros>,
+}
+
+impl AdministrativeState {
+    /// Creates a state with everything in service. `ramp_period` is the cold-start period of a processor.
+    pub fn new(ramp_period: Micros) -> Self {
+        AdministrativeState {
+            ramp_period: ramp_period.max(1),
+            listed: BTreeMap::new(),
+            circuits: BTreeMap::new(),
+            out_of_service: OutOfService::default(),
+            groups_out_since: BTreeMap::new(),
+            restored_exchanges: BTreeMap::new(),
+            restored_groups: BTreeMap::new(),
+        }
+    }
+
+    /// The entry that the decision module sees: the worse of the listed and the administrative state.
+    fn effective(&self, base: &ListEntry) -> ListEntry {
+        let mut e = base.clone();
+        if self.out_of_service.exchanges.contains(&e.exchange) && e.state == ListState::Ready {
+            e.state = ListState::Draining;
+        }
+        if let Some(&restored_at) = self.restored_exchanges.get(&e.exchange) {
+            // A machine that started after the exchange was put back counts from its own, later start.
+            e.last_start = Some(e.last_start.map_or(restored_at, |s| s.max(restored_at)));
+        }
+        e
+    }
+
+    /// Records a list update and returns it with the administrative state applied.
+    pub fn apply_list(&mut self, news: ListNews) -> ListNews {
+        let is_complete = matches!(news, ListNews::Complete(_) | ListNews::Cached(_));
+        let (ListNews::Changes(entries) | ListNews::Complete(entries) | ListNews::Cached(entries)) = &news
+        else {
+            return news;
+        };
+        if is_complete {
+            self.listed.clear();
+        }
+        for e in entries.iter() {
+            match e.state {
+                ListState::Gone => drop(self.listed.remove(&e.office)),
+                _ => drop(self.listed.insert(e.office, e.clone())),
+            }
+        }
+        let listed = &self.listed;
+        self.circuits.retain(|office, _| listed.contains_key(office));
+        if self.out_of_service.exchanges.is_empty() && self.restored_exchanges.is_empty() {
+            return news;
+        }
+        let effective = entries.iter().map(|e| self.effective(e)).collect();
+        match news {
+            ListNews::Changes(_) => ListNews::Changes(effective),
+            ListNews::Complete(_) => ListNews::Complete(effective),
+            _ => ListNews::Cached(effective),
+        }
+    }
+
+    /// Records a load report and returns it with the administrative state applied.
+    pub fn apply_report(&mut self, now: Micros, office: OfficeId, mut report: LoadReport) -> LoadReport {
+        if let (Some(free), Some(size)) = (report.free, report.size) {
+            self.circuits.insert(office, (free, size, now));
+            report.free = Some(self.free_circuits(now, office, (free, size)));
+        }
+        report
+    }
+
+    fn free_circuits(&self, now: Micros, office: OfficeId, (free, size): (f64, f64)) -> f64 {
+        let Some(exchange) = self.listed.get(&office).map(|e| e.exchange) else { return free };
+        if self.out_of_service.groups.contains(&exchange) {
+            return 0.0;
+        }
+        match self.restored_groups.get(&exchange) {
+            // The circuits return linearly over the period, at the rate at which a cold processor gains capacity.
+            Some(&since) if now - since < self.ramp_period => {
+                free.min((size * (now - since) as f64 / self.ramp_period as f64).floor())
+            }
+            _ => free,
+        }
+    }
+
+    /// Replaces the administrative state and returns the resulting updates.
+    pub fn set_out_of_service(&mut self, now: Micros, new: OutOfService) -> Changes {
+        let old = std::mem::replace(&mut self.out_of_service, new);
+        let ramp_period = self.ramp_period;
+        self.restored_exchanges.retain(|e, _| self.listed.values().any(|l| l.exchange == *e));
+        self.restored_groups.retain(|_, t| now - *t < ramp_period);
+        for &e in old.exchanges.difference(&self.out_of_service.exchanges) {
+            self.restored_exchanges.insert(e, now);
+        }
+        for &e in &self.out_of_service.exchanges {
+            self.restored_exchanges.remove(&e);
+        }
+        for &e in old.groups.difference(&self.out_of_service.groups) {
+            self.restored_groups.insert(e, now);
+        }
+        let groups = &self.out_of_service.groups;
+        self.groups_out_since.retain(|e, _| groups.contains(e));
+        for &e in groups {
+            self.restored_groups.remove(&e);
+            self.groups_out_since.entry(e).or_insert(now);
+        }
+        let exchange_changed = |e: &&ListEntry| {
+            old.exchanges.contains(&e.exchange) != self.out_of_service.exchanges.contains(&e.exchange)
+        };
+        let entries = self.listed.values().filter(exchange_changed).map(|e| self.effective(e)).collect();
+        let group_changed = |office: &OfficeId| {
+            self.listed.get(office).is_some_and(|e| {
+                old.groups.contains(&e.exchange) != self.out_of_service.groups.contains(&e.exchange)
+            })
+        };
+        let changed_groups = self.circuits.iter().filter(|f| group_changed(f.0));
+        let groups =
+            changed_groups.map(|(&office, &f)| (office, self.group_report(now, office, f))).collect();
+        Changes { entries, groups }
+    }
+
+    fn group_report(&self, now: Micros, office: OfficeId, f: (f64, f64, Micros)) -> LoadReport {
+        LoadReport {
+            free: Some(self.free_circuits(now, office, (f.0, f.1))),
+            size: Some(f.1),
+            ..LoadReport::default()
+        }
+    }
+
+    /// Load reports of the groups that are regaining their circuits. To be passed to the decision module about every
+    /// tenth of the ramp period.
+    pub fn ramping_groups(&mut self, now: Micros) -> Vec<(OfficeId, LoadReport)> {
+        if self.restored_groups.is_empty() {
+            return Vec::new();
+        }
+        let report_of = |(&office, &f): (&OfficeId, &(f64, f64, Micros))| {
+            let exchange = self.listed.get(&office)?.exchange;
+            self.restored_groups.contains_key(&exchange).then(|| (office, self.group_report(now, office, f)))
+        };
+        let reports = self.circuits.iter().filter_map(report_of).collect();
+        let ramp_period = self.ramp_period;
+        self.restored_groups.retain(|_, since| now - *since < ramp_period);
+        reports
+    }
+
+    /// When the group to an exchange was taken out of service; `None` if it is in service.
+    pub fn group_out_since(&self, office: OfficeId) -> Option<Micros> {
+        self.groups_out_since.get(&self.listed.get(&office)?.exchange).copied()
+    }
+
+    /// What is out of service.
+    pub fn out_of_service(&self) -> &OutOfService {
+        &self.out_of_service
+    }
+
+    /// The exchange number of a machine, while it is on the list.
+    pub fn exchange_of(&self, office: OfficeId) -> Option<ExchangeNo> {
+        self.listed.get(&office).map(|e| e.exchange)
+    }
+
+    /// The list as received from the coordinator, with free circuits and size of each group.
+    pub fn offices(&self) -> impl Iterator<Item = (&ListEntry, Option<(f64, f64)>)> {
+        self.listed.values().map(|e| (e, self.circuits.get(&e.office).map(|f| (f.0, f.1))))
+    }
+
+    /// Free circuits and size of each group as reported, and when.
+    pub fn group_circuits(&self) -> impl Iterator<Item = (OfficeId, (f64, f64, Micros))> + '_ {
+        self.circuits.iter().map(|(&office, &f)| (office, f))
+    }
+}
+
+#[cfg(test)]
+mod tests {
+    use super::*;
+
+    const RAMP_PERIOD: Micros = 15_000_000;
+
+    fn entry(n: u16, state: ListState) -> ListEntry {
+        let office = OfficeId { addr: [0, 0, 0, n as u8], port: 0 };
+        ListEntry { exchange: ExchangeNo(n), zone: 0, state, office, last_start: None }
+    }
+
+    fn out_of_service(exchanges: &[u16], groups: &[u16]) -> OutOfService {
+        let set = |numbers: &[u16]| numbers.iter().map(|&n| ExchangeNo(n)).collect();
+        OutOfService { exchanges: set(exchanges), groups: set(groups), all: false }
+    }
+
+    fn report(free: f64) -> LoadReport {
+        LoadReport { free: Some(free), size: Some(20.0), ..LoadReport::default() }
+    }
+
+    #[test]
+    fn lists_and_reports_are_unchanged_while_everything_is_in_service() {
+        let mut administration = AdministrativeState::new(RAMP_PERIOD);
+        let news = ListNews::Complete([entry(1, ListState::Ready), entry(2, ListState::Draining)].into());
+        assert_eq!(administration.apply_list(news.clone()), news);
+        assert_eq!(
+            administration.apply_report(5, entry(1, ListState::Ready).office, report(7.0)),
+            report(7.0)
+        );
+        assert!(
+            administration.set_out_of_service(9, OutOfService::default()).entries.is_empty()
+                && administration.ramping_groups(9).is_empty()
+        );
+    }
+
+    #[test]
+    fn coordinator_and_operator_drains_are_independent() {
+        let mut administration = AdministrativeState::new(RAMP_PERIOD);
+        administration.apply_list(ListNews::Complete([entry(1, ListState::Ready)].into()));
+        assert_eq!(
+            administration.set_out_of_service(10, out_of_service(&[1], &[])).entries[0].state,
+            ListState::Draining
+        );
+        // The coordinator drains the exchange as well and ends its drain first.
+        for state in [ListState::Draining, ListState::Ready] {
+            let ListNews::Changes(effective) =
+                administration.apply_list(ListNews::Changes([entry(1, state)].into()))
+            else {
+                panic!()
+            };
+            assert_eq!(effective[0].state, ListState::Draining);
+        }
+        // A replacement machine that serves the same exchange is out of service as well.
+        let replacement =
+            ListEntry { office: OfficeId { addr: [9; 4], port: 0 }, ..entry(1, ListState::Ready) };
+        let ListNews::Changes(effective) = administration.apply_list(ListNews::Changes([replacement].into()))
+        else {
+            panic!()
+        };
+        assert_eq!(effective[0].state, ListState::Draining);
+        // The operator ends the drain before the coordinator does.
+        administration.apply_list(ListNews::Changes([entry(1, ListState::Draining)].into()));
+        let restored = administration.set_out_of_service(20, out_of_service(&[], &[])).entries;
+        let state = |office| restored.iter().find(|e| e.office == office).unwrap();
+        assert_eq!(state(entry(1, ListState::Ready).office).state, ListState::Draining);
+        let ready = state(OfficeId { addr: [9; 4], port: 0 });
+        assert_eq!(
+            (ready.state, ready.last_start),
+            (ListState::Ready, Some(20)),
+            "it is treated as freshly started"
+        );
+    }
+
+    #[test]
+    fn a_group_loses_its_circuits_at_once_and_regains_them_gradually() {
+        let mut administration = AdministrativeState::new(RAMP_PERIOD);
+        let office = entry(1, ListState::Ready).office;
+        administration.apply_list(ListNews::Complete([entry(1, ListState::Ready)].into()));
+        administration.apply_report(0, office, report(18.0));
+        assert_eq!(
+            administration.set_out_of_service(10, out_of_service(&[], &[1])).groups[0].1.free,
+            Some(0.0)
+        );
+        assert_eq!(
+            (
+                administration.apply_report(11, office, report(20.0)).free,
+                administration.group_out_since(office)
+            ),
+            (Some(0.0), Some(10))
+        );
+        assert_eq!(
+            administration.set_out_of_service(100, OutOfService::default()).groups[0].1.free,
+            Some(0.0)
+        );
+        assert_eq!(administration.ramping_groups(100 + RAMP_PERIOD / 2)[0].1.free, Some(10.0));
+        assert_eq!(administration.ramping_groups(100 + RAMP_PERIOD)[0].1.free, Some(20.0));
+        assert!(
+            administration.ramping_groups(101 + RAMP_PERIOD).is_empty()
+                && administration.group_out_since(office).is_none()
+        );
+    }
+}
--- a/src/routing/ledger.rs
+++ b/src/routing/ledger.rs
@@ -1,701 +1,752 @@
-//! The call ledger: owns every call from its acceptance to its one final answer and, if it stands, to its
-//! release. It drives the decision module and keeps the rules whatever front a call came in by.
+//! The call ledger: holds every call from its offer to its one final answer and, if it is established, to its
+//! release. It runs the decision module and enforces the call-handling rules for every front end.
 //!
-//! Each rule has one place: one final answer ([`Ledger::finish`]), one attempt out, the drain limit and the
-//! quiet period ([`Ledger::start`]).
+//! Each rule is enforced in one place: a single final answer per call ([`Ledger::finish_call`]); at most one attempt
+//! in progress, the drain grace and the quiet period ([`Ledger::send_set_up`]).
 
+use super::administrative_state::AdministrativeState;
 use super::control::Controller;
 use super::interface::*;
-use super::withdrawals::Withdrawals;
-use crate::planted::{planted, Planted};
+use crate::fault_injection::{fault_injected, InjectedFault};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// An attempt ends this long before its caller gives up, so that the final answer is still in time (µs).
-const ATTEMPT_EARLY: Micros = 10_000;
-/// A call without an answer is failed this long before its caller gives up, whatever the module says (µs).
-const ANSWER_EARLY: Micros = 5_000;
+/// An attempt times out this long before the client deadline of its call, so that the final answer is sent in
+/// time (µs).
+const ATTEMPT_MARGIN: Micros = 10_000;
+/// A call without a final answer is failed this long before its client deadline, even if the decision module still
+/// holds it (µs).
+const ANSWER_MARGIN: Micros = 5_000;
 
-/// The front a call came in by; means nothing to the core.
+/// The front end that received a call. The routing core only passes it back with the call's outputs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct FrontId(pub u8);
+pub struct FrontendId(pub u8);
 
-/// A session description, carried unchanged from one side to the other.
+/// A session description, passed unchanged between the two ends of a call.
 #[derive(Clone, Debug, PartialEq, Eq, Default)]
-pub struct Description(pub Rc<str>);
+pub struct SessionDescription(pub Rc<str>);
 
-/// A call as a front offers it.
+/// A call as offered by a front end.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Offer {
-    /// The front that is owed the answer.
-    pub front: FrontId,
-    /// What the module is told; the ledger gives it its id.
-    pub ask: NewCall,
-    /// The caller's description.
-    pub description: Option<Description>,
+pub struct OfferedCall {
+    /// The front end that receives the answer.
+    pub frontend: FrontendId,
+    /// The call as passed to the decision module; the ledger assigns its id.
+    pub new_call: NewCall,
+    /// The caller's session description.
+    pub description: Option<SessionDescription>,
 }
 
-/// The one final answer to a call.
+/// The final answer to a call; each call gets exactly one.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    /// It stands, with the description that the far side gave.
-    Stands(Option<Description>),
-    /// Refused: trying again is harmless, after the pause.
+    /// The call is established, with the session description from the far end.
+    Established(Option<SessionDescription>),
+    /// Refused: the caller may safely try again after `retry_after`.
     Refused {
-        /// How long the caller ought to keep away; 0: no advice.
-        pause: Micros,
+        /// How long the caller should wait before it tries again; 0 gives no advice.
+        retry_after: Micros,
     },
-    /// Failed.
+    /// The call failed.
     Failed,
 }
 
-/// Why a call got its final answer, for the log.
+/// Why a call got its final answer; written to the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerReason {
     /// An exchange answered the set-up.
     Answered,
-    /// The decision module decided so.
+    /// The decision module refused or failed the call.
     Decided,
-    /// The caller is about to give up.
+    /// The client deadline of the call was about to pass.
     ClientDeadline,
-    /// The caller's connection is being ended.
+    /// The caller's connection is being closed.
     ConnectionEnding,
-    /// The program stops.
+    /// The program is shutting down.
     Shutdown,
 }
 
-/// What a deadline of the ledger is for.
+/// Identifies a timer of the ledger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LedgerDue {
-    /// A timer that the module asked for.
-    Module(u64),
-    /// The time of an attempt is up.
+pub enum LedgerTimer {
+    /// A timer that the decision module requested, with its token.
+    Controller(u64),
+    /// The timeout of an attempt.
     Attempt(CallId, AttemptNo),
-    /// The caller is about to give up.
+    /// The deadline for the final answer to a call.
     Call(CallId),
 }
 
-/// What is to be done on a wire.
+/// An action that the ledger requests from the event loop.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Send a set-up; [`Ledger::offer_of`] has the call's particulars.
+    /// Send a set-up; [`Ledger::offered_call`] returns the call's details.
     SetUp {
         /// The call.
         call: CallId,
         /// The attempt.
         attempt: AttemptNo,
-        /// Where to.
+        /// The exchange to send it to.
         office: OfficeId,
-        /// How long it will be waited for.
-        wait: Micros,
+        /// The timeout of the attempt.
+        timeout: Micros,
     },
-    /// Give up a set-up that is out, or release a call that stands.
+    /// Cancel a set-up in progress, or release an established call.
     Clear {
         /// The call.
         call: CallId,
         /// The attempt.
         attempt: AttemptNo,
-        /// Where it went.
+        /// The exchange that the set-up was sent to.
         office: OfficeId,
     },
-    /// Give the caller its final answer.
+    /// Send the final answer to the caller.
     Answer {
-        /// The front it is owed to.
-        front: FrontId,
+        /// The front end that the call came from.
+        frontend: FrontendId,
         /// The call.
         call: CallId,
         /// The answer.
         answer: Answer,
-        /// Why.
+        /// The reason for the answer.
         reason: AnswerReason,
-        /// When the call was taken.
-        taken: Micros,
-        /// Where it goes.
+        /// When the call was offered.
+        offered_at: Micros,
+        /// The destination of the call.
         destination: ExchangeNo,
-        /// The last set-up, if one was sent.
-        last: Option<Last>,
+        /// The last attempt, if any set-up was sent.
+        last_attempt: Option<LastAttempt>,
     },
-    /// A set-up ended without the call's standing; nothing is to be done about it on a wire.
+    /// An attempt ended without establishing the call. For observers only: no message is sent for it.
     AttemptEnded {
         /// The call.
         call: CallId,
-        /// The exchange that it went to, if it was on the list.
-        leg: Option<ExchangeNo>,
-        /// How.
+        /// The exchange that the set-up was sent to, if it was on the exchange list.
+        exchange: Option<ExchangeNo>,
+        /// How the attempt ended.
         ending: Ending,
-        /// Why.
+        /// The reported cause.
         cause: Cause,
     },
-    /// Tell the caller that a call that stood is over.
+    /// Inform the caller that its established call has ended.
     Release {
-        /// The front.
-        front: FrontId,
+        /// The front end that the call came from.
+        frontend: FrontendId,
         /// The call.
         call: CallId,
-        /// It did not come to its end by itself.
+        /// Whether the call was cut off rather than completed.
         cut: bool,
     },
-    /// Check an office.
+    /// Probe an exchange.
     Probe(OfficeId),
-    /// Send bytes to one peer, or to all.
-    Tell {
-        /// To whom; `None`: to all.
+    /// Send a message to one peer, or to all peers.
+    SendToPeer {
+        /// The peer; `None` means all peers.
         to: Option<PeerNo>,
-        /// The bytes.
+        /// The message.
         body: Vec<u8>,
     },
-    /// Ask for the list anew.
+    /// Fetch the complete exchange list again.
     FetchList,
-    /// A line for the log.
+    /// Write a line to the log.
     Log(String),
-    /// Come back at this time.
-    Wake(Micros, LedgerDue),
+    /// Set a timer for the given time.
+    SetTimer(Micros, LedgerTimer),
 }
 
-/// The last set-up of a call.
+/// The last attempt of a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Last {
-    /// The exchange that it went to, if it was on the list.
-    pub leg: Option<ExchangeNo>,
-    /// How long it was out.
-    pub took: Micros,
-    /// How it ended; `None`: the call stands.
-    pub how: Option<(Ending, Cause)>,
+pub struct LastAttempt {
+    /// The exchange that the set-up was sent to, if it was on the exchange list.
+    pub exchange: Option<ExchangeNo>,
+    /// Time from the set-up to its answer or its end.
+    pub setup_time: Micros,
+    /// How the attempt failed; `None` if it established the call.
+    pub failure: Option<(Ending, Cause)>,
 }
 
-/// Why the ledger held back what the module asked for.
+/// Why the ledger blocked a set-up that the decision module requested. The counters `held_back.*` take their names
+/// from the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum HeldBack {
-    /// Another attempt of the call is out, or the call is over.
+pub enum BlockReason {
+    /// Another attempt of the call is in progress, or the call has ended.
     SecondAttempt,
-    /// The office drains or is gone, or the group toward it is withdrawn, for longer than the grace.
+    /// The exchange is not on the exchange list, or it has been draining or removed, or its trunk group out of
+    /// service, for longer than the drain grace.
     Drained,
-    /// The quiet period after an unclear end has not passed.
+    /// The quiet period after an attempt with an unknown result has not passed.
     Quiet,
 }
 
-/// What the ledger has counted since its start.
+/// Counters since the start of the ledger.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Tally {
-    /// Calls taken.
+pub struct LedgerCounts {
+    /// Calls offered.
     pub offered: u64,
-    /// Calls that stood.
-    pub stood: u64,
+    /// Calls established.
+    pub established: u64,
     /// Calls refused.
     pub refused: u64,
     /// Calls failed.
     pub failed: u64,
-    /// Callers that left before an answer.
+    /// Calls whose caller left before the final answer.
     pub abandoned: u64,
     /// Set-ups sent.
     pub attempts: u64,
-    /// Set-ups by the way they ended.
+    /// Failed attempts by ending; the keys are the counter names given by [`ending_name`].
     pub endings: BTreeMap<&'static str, u64>,
-    /// Set-ups held back to keep a rule.
-    pub held_back: BTreeMap<HeldBack, u64>,
-    /// Calls that stood and were cut.
+    /// Set-ups blocked by the ledger, by reason.
+    pub blocked: BTreeMap<BlockReason, u64>,
+    /// Established calls that were cut off.
     pub cut: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Stage {
-    /// With the module: nothing is out.
+    /// The decision module holds the call; no attempt is in progress.
     Deciding,
-    /// A set-up is out.
-    Out { attempt: AttemptNo, office: OfficeId, since: Micros },
-    /// It stands.
-    Standing { attempt: AttemptNo, office: OfficeId, since: Micros },
+    /// A set-up is in progress.
+    SettingUp { attempt: AttemptNo, office: OfficeId, since: Micros },
+    /// The call is established.
+    Established { attempt: AttemptNo, office: OfficeId, since: Micros },
 }
 
 #[derive(Debug)]
-struct Entry {
-    offer: Offer,
-    taken: Micros,
+struct CallEntry {
+    offered: OfferedCall,
+    offered_at: Micros,
+    /// When the client stops waiting for the answer.
     deadline: Micros,
     stage: Stage,
     attempts: u8,
+    /// No set-up is sent before this time: an earlier attempt may still be active at its exchange.
     quiet_until: Micros,
-    /// The exchange that the last set-up went to.
-    leg: Option<ExchangeNo>,
-    last: Option<Last>,
+    /// The exchange that the last set-up was sent to.
+    exchange: Option<ExchangeNo>,
+    last_attempt: Option<LastAttempt>,
 }
 
-/// What the list has told of an office.
+/// The availability of an exchange according to the exchange list.
 #[derive(Clone, Copy, Debug, Default)]
-struct Told {
-    /// When it was told to drain, or to be gone.
-    drains: Option<Micros>,
+struct Availability {
+    /// Start of the current draining or removal; `None` while the exchange is in service.
+    draining_since: Option<Micros>,
     gone: bool,
 }
 
-impl Told {
-    fn note(&mut self, now: Micros, state: ListState) {
-        self.drains = match state {
+impl Availability {
+    fn update(&mut self, now: Micros, state: ListState) {
+        self.draining_since = match state {
             ListState::Ready => None,
-            ListState::Draining | ListState::Gone => self.drains.or(Some(now)),
+            ListState::Draining | ListState::Gone => self.draining_since.or(Some(now)),
         };
         self.gone = state == ListState::Gone;
     }
 }
 
-impl Entry {
+impl CallEntry {
     fn answer(&self, call: CallId, answer: Answer, reason: AnswerReason) -> Output {
-        let (front, destination) = (self.offer.front, self.offer.ask.destination);
-        Output::Answer { front, call, answer, reason, taken: self.taken, destination, last: self.last }
+        let (frontend, destination) = (self.offered.frontend, self.offered.new_call.destination);
+        Output::Answer {
+            frontend,
+            call,
+            answer,
+            reason,
+            offered_at: self.offered_at,
+            destination,
+            last_attempt: self.last_attempt,
+        }
     }
 }
 
-/// A line about one call, for the console.
+/// One call as shown to operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallView {
     /// The call.
     pub call: CallId,
-    /// Its front.
-    pub front: FrontId,
-    /// Where it goes.
+    /// The front end that the call came from.
+    pub frontend: FrontendId,
+    /// The destination of the call.
     pub destination: ExchangeNo,
-    /// What it is doing.
-    pub doing: &'static str,
-    /// The exchange that its set-up went to, while one is out or stands.
-    pub leg: Option<ExchangeNo>,
-    /// Since when.
+    /// The state of the call, as shown to operators.
+    pub state: &'static str,
+    /// The exchange that the current set-up or the established call uses.
+    pub exchange: Option<ExchangeNo>,
+    /// When the call entered this state.
     pub since: Micros,
 }
 
-/// The ledger and the decision module in it.
+/// The call ledger and the decision module that it runs.
 #[derive(Debug)]
 pub struct Ledger {
     controller: Controller,
-    shortest_aim: Micros,
-    release: Micros,
+    shortest_latency_objective: Micros,
+    quiet_period: Micros,
     drain_grace: Micros,
-    calls: BTreeMap<CallId, Entry>,
-    /// The offices on the list; nothing is sent to one that is not here.
-    offices: BTreeMap<OfficeId, Told>,
-    /// What operators took out of service.
-    withdrawals: Withdrawals,
-    next: u32,
-    out: Vec<Output>,
-    tally: Tally,
-    /// Calls not yet answered.
-    open: usize,
-    /// New calls are refused, with this pause.
-    closed: Option<Micros>,
+    calls: BTreeMap<CallId, CallEntry>,
+    /// The exchanges on the list and those removed within the drain grace. No set-up is sent to any other.
+    offices: BTreeMap<OfficeId, Availability>,
+    /// Exchanges and trunk groups that operators took out of service.
+    administrative_state: AdministrativeState,
+    next_call_id: u32,
+    outputs: Vec<Output>,
+    counts: LedgerCounts,
+    /// Number of calls without a final answer.
+    open_calls: usize,
+    /// If set, new calls are refused with this retry delay.
+    closed_retry_after: Option<Micros>,
 }
 
 impl Ledger {
-    /// An empty ledger.
+    /// Creates an empty ledger.
     pub fn new(settings: Settings, seed: u64) -> Self {
         Ledger {
-            shortest_aim: settings.classes.iter().map(|c| c.aim).min().unwrap_or(1_000_000).max(1),
-            release: if planted(Planted::RetryInQuietPeriod) { 0 } else { settings.release },
+            shortest_latency_objective: settings
+                .classes
+                .iter()
+                .map(|c| c.aim)
+                .min()
+                .unwrap_or(1_000_000)
+                .max(1),
+            quiet_period: if fault_injected(InjectedFault::RetryInQuietPeriod) {
+                0
+            } else {
+                settings.release
+            },
             drain_grace: settings.drain_grace,
-            withdrawals: Withdrawals::new(settings.cold),
+            administrative_state: AdministrativeState::new(settings.cold),
             controller: Controller::new(settings, seed),
             calls: BTreeMap::new(),
             offices: BTreeMap::new(),
-            next: 0,
-            out: Vec::new(),
-            tally: Tally::default(),
-            open: 0,
-            closed: None,
+            next_call_id: 0,
+            outputs: Vec::new(),
+            counts: LedgerCounts::default(),
+            open_calls: 0,
+            closed_retry_after: None,
         }
     }
 
-    // ---- What fronts and wires tell ----
+    // ---- Events from front ends, exchanges and operators ----
 
-    /// Takes a call. From here on it is owed one final answer.
-    pub fn offer(&mut self, now: Micros, mut offer: Offer) -> CallId {
-        let call = CallId(self.next);
-        self.next = self.next.wrapping_add(1);
-        offer.ask.call = call;
-        let ask = offer.ask.clone();
-        let deadline = now.saturating_add(ask.patience.max(0));
-        let entry = Entry {
-            offer,
-            taken: now,
+    /// Accepts a call, which gets exactly one final answer unless its caller leaves first.
+    pub fn offer(&mut self, now: Micros, mut offered: OfferedCall) -> CallId {
+        let call = CallId(self.next_call_id);
+        self.next_call_id = self.next_call_id.wrapping_add(1);
+        offered.new_call.call = call;
+        let new_call = offered.new_call.clone();
+        let deadline = now.saturating_add(new_call.patience.max(0));
+        let entry = CallEntry {
+            offered,
+            offered_at: now,
             deadline,
             stage: Stage::Deciding,
             attempts: 0,
-            quiet_until: ask.not_before,
-            last: None,
-            leg: None,
+            quiet_until: new_call.not_before,
+            last_attempt: None,
+            exchange: None,
         };
         self.calls.insert(call, entry);
-        self.tally.offered += 1;
-        self.open += 1;
-        if let Some(pause) = self.closed {
-            self.finish(call, Answer::Refused { pause }, AnswerReason::Shutdown);
+        self.counts.offered += 1;
+        self.open_calls += 1;
+        if let Some(retry_after) = self.closed_retry_after {
+            self.finish_call(call, Answer::Refused { retry_after }, AnswerReason::Shutdown);
             return call;
         }
-        self.out.push(Output::Wake(deadline - ANSWER_EARLY, LedgerDue::Call(call)));
-        self.drive(now, Event::Call(ask));
+        self.outputs.push(Output::SetTimer(deadline - ANSWER_MARGIN, LedgerTimer::Call(call)));
+        self.dispatch(now, Event::Call(new_call));
         call
     }
 
-    /// The caller gave its set-up up, or released its call.
+    /// The caller cancelled its set-up or released its call.
     pub fn caller_left(&mut self, now: Micros, call: CallId) {
         let Some(entry) = self.calls.remove(&call) else { return };
         match entry.stage {
             Stage::Deciding => {}
-            Stage::Out { attempt, office, .. } | Stage::Standing { attempt, office, .. } => {
-                self.out.push(Output::Clear { call, attempt, office });
+            Stage::SettingUp { attempt, office, .. } | Stage::Established { attempt, office, .. } => {
+                self.outputs.push(Output::Clear { call, attempt, office });
             }
         }
-        if !matches!(entry.stage, Stage::Standing { .. }) {
-            self.open -= 1;
-            self.tally.abandoned += 1;
-            self.drive(now, Event::CallerGone(call));
+        if !matches!(entry.stage, Stage::Established { .. }) {
+            self.open_calls -= 1;
+            self.counts.abandoned += 1;
+            self.dispatch(now, Event::CallerGone(call));
         }
     }
 
-    /// The set-up that is out was answered. Whether the answer was wanted: one for an attempt that is over
-    /// must be released by the wire that brought it.
-    pub fn answered(
+    /// An exchange answered an attempt. Returns false if that attempt is no longer in progress; the protocol
+    /// layer that received the answer must then release the call at the exchange.
+    pub fn attempt_answered(
         &mut self,
         now: Micros,
         call: CallId,
         attempt: AttemptNo,
-        text: Option<Description>,
+        description: Option<SessionDescription>,
     ) -> bool {
         let Some(entry) = self.calls.get_mut(&call) else { return false };
-        let Stage::Out { attempt: out, office, since } = entry.stage else { return false };
-        if out != attempt {
+        let Stage::SettingUp { attempt: current, office, since } = entry.stage else { return false };
+        if current != attempt {
             return false;
         }
-        entry.stage = Stage::Standing { attempt, office, since: now };
-        entry.last = Some(Last { leg: entry.leg, took: now - since, how: None });
-        let answer = Answer::Stands(text);
+        entry.stage = Stage::Established { attempt, office, since: now };
+        entry.last_attempt =
+            Some(LastAttempt { exchange: entry.exchange, setup_time: now - since, failure: None });
+        let answer = Answer::Established(description);
         let output = entry.answer(call, answer, AnswerReason::Answered);
-        self.open -= 1;
-        self.tally.stood += 1;
-        self.out.push(output);
-        self.drive(now, Event::Stands { call, attempt, office, took: now - since });
+        self.open_calls -= 1;
+        self.counts.established += 1;
+        self.outputs.push(output);
+        self.dispatch(now, Event::Stands { call, attempt, office, took: now - since });
         true
     }
 
-    /// An attempt ended on its wire, or a call that stood is over.
-    pub fn ended(
+    /// An attempt ended at its exchange, or an established call ended.
+    pub fn attempt_ended(
         &mut self,
         now: Micros,
         call: CallId,
         attempt: AttemptNo,
-        how: (Ending, Cause),
+        result: (Ending, Cause),
         report: LoadReport,
     ) {
-        let (ending, cause) = how;
+        let (ending, cause) = result;
         let Some(entry) = self.calls.get_mut(&call) else { return };
-        let (office, since, over) = match entry.stage {
-            Stage::Out { attempt: out, office, since } if out == attempt => (office, since, false),
-            Stage::Standing { attempt: out, office, since } if out == attempt => (office, since, true),
+        let (office, since, was_established) = match entry.stage {
+            Stage::SettingUp { attempt: current, office, since } if current == attempt => {
+                (office, since, false)
+            }
+            Stage::Established { attempt: current, office, since } if current == attempt => {
+                (office, since, true)
+            }
             _ => return,
         };
-        if over {
-            let front = entry.offer.front;
+        if was_established {
+            let frontend = entry.offered.frontend;
             self.calls.remove(&call);
             let cut = ending != Ending::Completed;
-            self.tally.cut += u64::from(cut);
-            self.out.push(Output::Release { front, call, cut });
+            self.counts.cut += u64::from(cut);
+            self.outputs.push(Output::Release { frontend, call, cut });
         } else {
             entry.stage = Stage::Deciding;
             if matches!(ending, Ending::TimedOut | Ending::Reset | Ending::CalledOff) {
-                entry.quiet_until = now + self.release;
+                entry.quiet_until = now + self.quiet_period;
             }
-            *self.tally.endings.entry(ending_name(ending)).or_default() += 1;
-            entry.last = Some(Last { leg: entry.leg, took: now - since, how: Some((ending, cause)) });
-            self.out.push(Output::AttemptEnded { call, leg: entry.leg, ending, cause });
+            *self.counts.endings.entry(ending_name(ending)).or_default() += 1;
+            entry.last_attempt = Some(LastAttempt {
+                exchange: entry.exchange,
+                setup_time: now - since,
+                failure: Some((ending, cause)),
+            });
+            self.outputs.push(Output::AttemptEnded { call, exchange: entry.exchange, ending, cause });
         }
         let took = now - since;
-        let report = self.withdrawals.report(now, office, report);
-        let outcome = Outcome { call, attempt, office, ending, cause, took, over, report };
-        self.drive(now, Event::Ended(outcome));
+        let report = self.administrative_state.apply_report(now, office, report);
+        let outcome = Outcome { call, attempt, office, ending, cause, took, over: was_established, report };
+        self.dispatch(now, Event::Ended(outcome));
     }
 
-    /// Figures of an office or of the group toward it.
-    pub fn group(&mut self, now: Micros, office: OfficeId, report: LoadReport) {
-        let report = self.withdrawals.report(now, office, report);
-        self.drive(now, Event::Group { office, report });
+    /// A load report of an exchange or of the trunk group to it.
+    pub fn group_report(&mut self, now: Micros, office: OfficeId, report: LoadReport) {
+        let report = self.administrative_state.apply_report(now, office, report);
+        self.dispatch(now, Event::Group { office, report });
     }
 
-    /// Operators took this out of service, and nothing else. Set-ups may go there until the grace is over.
-    pub fn withdraw(&mut self, now: Micros, withdrawn: Withdrawn) {
-        let changes = self.withdrawals.set(now, withdrawn.clone());
+    /// Replaces the set of exchanges and groups that operators took out of service. Set-ups may still be sent
+    /// to them within the drain grace.
+    pub fn out_of_service_changed(&mut self, now: Micros, out_of_service: OutOfService) {
+        let changes = self.administrative_state.set_out_of_service(now, out_of_service.clone());
         if !changes.entries.is_empty() {
-            self.note_states(now, &changes.entries);
-            self.drive(now, Event::List(ListNews::Changes(changes.entries.into())));
+            self.update_availability(now, &changes.entries);
+            self.dispatch(now, Event::List(ListNews::Changes(changes.entries.into())));
         }
         for (office, report) in changes.groups {
-            self.drive(now, Event::Group { office, report });
+            self.dispatch(now, Event::Group { office, report });
         }
-        self.drive(now, Event::Withdrawn(withdrawn));
+        self.dispatch(now, Event::OutOfService(out_of_service));
     }
 
-    /// These exchanges are suspected of taking set-ups and answering none, and no others.
-    pub fn suspect(&mut self, now: Micros, suspected: BTreeSet<ExchangeNo>) {
-        self.drive(now, Event::Suspected(suspected));
+    /// Replaces the set of exchanges suspected of accepting set-ups without answering them.
+    pub fn suspected_changed(&mut self, now: Micros, suspected: BTreeSet<ExchangeNo>) {
+        self.dispatch(now, Event::Suspected(suspected));
     }
 
-    /// How pressed the own processor is: its wait as a share of the shortest aim's two fifths.
-    pub fn pressed(&self, now: Micros) -> f64 {
-        self.controller.own_delay(now) / (0.4 * self.shortest_aim as f64)
+    /// Queueing delay of this controller's own processor, relative to two fifths of the shortest latency objective.
+    pub fn processor_load(&self, now: Micros) -> f64 {
+        self.controller.own_delay(now) / (0.4 * self.shortest_latency_objective as f64)
     }
 
-    /// Brings groups that were withdrawn back little by little; to be called now and then.
-    pub fn reopen(&mut self, now: Micros) {
-        for (office, report) in self.withdrawals.reopening(now) {
-            self.drive(now, Event::Group { office, report });
+    /// Raises the capacity of groups that were put back into service. To be called periodically.
+    pub fn ramp_restored_groups(&mut self, now: Micros) {
+        for (office, report) in self.administrative_state.ramping_groups(now) {
+            self.dispatch(now, Event::Group { office, report });
         }
     }
 
-    /// Releases the calls that stand and that `which` picks by their first leg and destination, towards both sides.
-    pub fn cut(&mut self, now: Micros, which: impl Fn(Option<ExchangeNo>, ExchangeNo) -> bool) {
-        let of = |(&call, e): (&CallId, &Entry)| match e.stage {
-            Stage::Standing { attempt, office, .. } if which(e.leg, e.offer.ask.destination) => {
+    /// Releases, towards both sides, the established calls for which `which` returns true, given the exchange
+    /// that the call was set up through and its destination.
+    pub fn cut_calls(&mut self, now: Micros, which: impl Fn(Option<ExchangeNo>, ExchangeNo) -> bool) {
+        let selected = |(&call, e): (&CallId, &CallEntry)| match e.stage {
+            Stage::Established { attempt, office, .. }
+                if which(e.exchange, e.offered.new_call.destination) =>
+            {
                 Some((call, attempt, office))
             }
             _ => None,
         };
-        let found: Vec<_> = self.calls.iter().filter_map(of).collect();
+        let found: Vec<_> = self.calls.iter().filter_map(selected).collect();
         for (call, attempt, office) in found {
-            self.out.push(Output::Clear { call, attempt, office });
-            self.ended(now, call, attempt, (Ending::Reset, Cause::None), LoadReport::default());
+            self.outputs.push(Output::Clear { call, attempt, office });
+            self.attempt_ended(now, call, attempt, (Ending::Reset, Cause::None), LoadReport::default());
         }
     }
 
-    /// A probe got no good answer.
+    /// A probe failed.
     pub fn probe_failed(&mut self, now: Micros, office: OfficeId) {
-        self.drive(now, Event::ProbeFailed(office));
+        self.dispatch(now, Event::ProbeFailed(office));
     }
 
     /// A message from a peer.
-    pub fn peer(&mut self, now: Micros, from: PeerNo, body: Vec<u8>) {
-        self.drive(now, Event::Peer { from, body });
+    pub fn peer_message(&mut self, now: Micros, from: PeerNo, body: Vec<u8>) {
+        self.dispatch(now, Event::Peer { from, body });
     }
 
-    /// News of the list of offices.
-    pub fn list(&mut self, now: Micros, news: ListNews) {
-        let news = self.withdrawals.list(news);
+    /// An update of the exchange list.
+    pub fn list_update(&mut self, now: Micros, news: ListNews) {
+        let news = self.administrative_state.apply_list(news);
         match &news {
             ListNews::Failed => {}
-            ListNews::Changes(entries) => self.note_states(now, entries),
+            ListNews::Changes(entries) => self.update_availability(now, entries),
             ListNews::Complete(entries) | ListNews::Cached(entries) => {
-                for (office, told) in &mut self.offices {
+                for (office, availability) in &mut self.offices {
                     if !entries.iter().any(|e| e.office == *office) {
-                        told.note(now, ListState::Gone);
+                        availability.update(now, ListState::Gone);
                     }
                 }
-                self.note_states(now, entries);
+                self.update_availability(now, entries);
             }
         }
-        // Guards memory against machines that are replaced for ever.
+        // Forgets removed exchanges after the drain grace: memory would otherwise grow with every replaced machine.
         let grace = self.drain_grace;
-        self.offices.retain(|_, told| !(told.gone && told.drains.is_some_and(|t| now - t > grace)));
-        self.drive(now, Event::List(news));
-    }
-
-    /// A deadline of this ledger has come.
-    pub fn due(&mut self, now: Micros, due: LedgerDue) {
-        match due {
-            LedgerDue::Module(token) => self.drive(now, Event::Timer(token)),
-            LedgerDue::Attempt(call, attempt) => {
-                self.stop_attempt(now, call, attempt, Ending::TimedOut);
+        self.offices.retain(|_, availability| {
+            !(availability.gone && availability.draining_since.is_some_and(|t| now - t > grace))
+        });
+        self.dispatch(now, Event::List(news));
+    }
+
+    /// A timer of the ledger expired.
+    pub fn timer_expired(&mut self, now: Micros, timer: LedgerTimer) {
+        match timer {
+            LedgerTimer::Controller(token) => self.dispatch(now, Event::Timer(token)),
+            LedgerTimer::Attempt(call, attempt) => {
+                self.cancel_attempt(now, call, attempt, Ending::TimedOut);
             }
-            LedgerDue::Call(call) => {
+            LedgerTimer::Call(call) => {
                 let Some(entry) = self.calls.get(&call) else { return };
                 match entry.stage {
-                    Stage::Standing { .. } => return,
-                    Stage::Out { attempt, .. } => self.stop_attempt(now, call, attempt, Ending::TimedOut),
+                    Stage::Established { .. } => return,
+                    Stage::SettingUp { attempt, .. } => {
+                        self.cancel_attempt(now, call, attempt, Ending::TimedOut)
+                    }
                     Stage::Deciding => {}
                 }
-                // Guards against a module that holds a call past its caller's patience.
-                self.fail(now, call, AnswerReason::ClientDeadline);
+                // Needed in case the decision module holds a call past its client deadline.
+                self.fail_call(now, call, AnswerReason::ClientDeadline);
             }
         }
     }
 
-    /// Fails a call that is still open, whatever the module would do with it.
-    pub fn fail(&mut self, now: Micros, call: CallId, reason: AnswerReason) {
-        if self.finish(call, Answer::Failed, reason) {
-            self.drive(now, Event::CallerGone(call));
+    /// Fails a call that has no final answer yet, whatever the decision module plans for it.
+    pub fn fail_call(&mut self, now: Micros, call: CallId, reason: AnswerReason) {
+        if self.finish_call(call, Answer::Failed, reason) {
+            self.dispatch(now, Event::CallerGone(call));
         }
     }
 
-    /// From now on new calls are refused at once, whatever front they come in by.
-    pub fn close(&mut self, pause: Micros) {
-        self.closed = Some(pause);
+    /// Refuses all new calls from now on, whichever front end they come from.
+    pub fn refuse_new_calls(&mut self, retry_after: Micros) {
+        self.closed_retry_after = Some(retry_after);
     }
 
-    /// Fails all calls that are still open.
-    pub fn fail_open(&mut self, now: Micros) {
-        let stands = |e: &Entry| matches!(e.stage, Stage::Standing { .. });
-        let open: Vec<CallId> = self.calls.iter().filter(|(_, e)| !stands(e)).map(|(&c, _)| c).collect();
-        open.into_iter().for_each(|call| self.fail(now, call, AnswerReason::Shutdown));
+    /// Fails all calls that have no final answer yet.
+    pub fn fail_open_calls(&mut self, now: Micros) {
+        let established = |e: &CallEntry| matches!(e.stage, Stage::Established { .. });
+        let open: Vec<CallId> = self.calls.iter().filter(|(_, e)| !established(e)).map(|(&c, _)| c).collect();
+        open.into_iter().for_each(|call| self.fail_call(now, call, AnswerReason::Shutdown));
     }
 
-    /// What is to be done, in order.
+    /// Takes the pending outputs, in the order in which they must be carried out.
     pub fn take_outputs(&mut self) -> Vec<Output> {
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outputs)
     }
 
-    // ---- What may be asked ----
+    // ---- Queries ----
 
-    /// The call as it was offered, while it is open or stands.
-    pub fn offer_of(&self, call: CallId) -> Option<&Offer> {
-        self.calls.get(&call).map(|e| &e.offer)
+    /// The call as it was offered, until it ends.
+    pub fn offered_call(&self, call: CallId) -> Option<&OfferedCall> {
+        self.calls.get(&call).map(|e| &e.offered)
     }
 
-    /// Calls that are owed an answer.
+    /// Number of calls without a final answer.
     pub fn open_calls(&self) -> usize {
-        self.open
+        self.open_calls
     }
 
-    /// Calls that stand.
-    pub fn standing_calls(&self) -> usize {
-        self.calls.len() - self.open
+    /// Number of established calls.
+    pub fn established_calls(&self) -> usize {
+        self.calls.len() - self.open_calls
     }
 
-    /// Counts since the start.
-    pub fn tally(&self) -> &Tally {
-        &self.tally
+    /// Counters since the start.
+    pub fn counts(&self) -> &LedgerCounts {
+        &self.counts
     }
 
-    /// What operators took out of service, and the list and groups that it lies over.
-    pub fn withdrawals(&self) -> &Withdrawals {
-        &self.withdrawals
+    /// What operators took out of service, and the exchange list and trunk groups that this applies to.
+    pub fn administrative_state(&self) -> &AdministrativeState {
+        &self.administrative_state
     }
 
-    /// Set-ups that are out and calls that stand, by first leg and destination.
-    pub fn loads(&self) -> BTreeMap<(ExchangeNo, ExchangeNo), (u32, u32)> {
+    /// Number of set-ups in progress and of established calls, by the exchange that they were sent
+    /// to and by destination.
+    pub fn call_loads(&self) -> BTreeMap<(ExchangeNo, ExchangeNo), (u32, u32)> {
         let mut loads: BTreeMap<_, (u32, u32)> = BTreeMap::new();
         for e in self.calls.values() {
-            let Some(leg) = e.leg else { continue };
-            let at = (leg, e.offer.ask.destination);
+            let Some(exchange) = e.exchange else { continue };
+            let at = (exchange, e.offered.new_call.destination);
             match e.stage {
-                Stage::Out { .. } => loads.entry(at).or_default().0 += 1,
-                Stage::Standing { .. } => loads.entry(at).or_default().1 += 1,
+                Stage::SettingUp { .. } => loads.entry(at).or_default().0 += 1,
+                Stage::Established { .. } => loads.entry(at).or_default().1 += 1,
                 Stage::Deciding => {}
             }
         }
         loads
     }
 
-    /// The calls held, oldest first.
-    pub fn views(&self) -> impl Iterator<Item = CallView> + '_ {
+    /// All current calls, oldest first.
+    pub fn call_views(&self) -> impl Iterator<Item = CallView> + '_ {
         self.calls.iter().map(|(&call, e)| {
-            let (doing, leg, since) = match e.stage {
-                Stage::Deciding => ("waits", None, e.taken),
-                Stage::Out { since, .. } => ("set-up out", e.leg, since),
-                Stage::Standing { since, .. } => ("stands", e.leg, since),
+            let (state, exchange, since) = match e.stage {
+                Stage::Deciding => ("waits", None, e.offered_at),
+                Stage::SettingUp { since, .. } => ("set-up out", e.exchange, since),
+                Stage::Established { since, .. } => ("stands", e.exchange, since),
             };
-            let (front, destination) = (e.offer.front, e.offer.ask.destination);
-            CallView { call, front, destination, doing, leg, since }
+            let (frontend, destination) = (e.offered.frontend, e.offered.new_call.destination);
+            CallView { call, frontend, destination, state, exchange, since }
         })
     }
 
-    // ---- Within ----
+    // ---- Internals ----
 
-    fn note_states(&mut self, now: Micros, entries: &[ListEntry]) {
+    fn update_availability(&mut self, now: Micros, entries: &[ListEntry]) {
         for e in entries {
-            self.offices.entry(e.office).or_default().note(now, e.state);
+            self.offices.entry(e.office).or_default().update(now, e.state);
         }
     }
 
-    fn drive(&mut self, now: Micros, event: Event) {
+    fn dispatch(&mut self, now: Micros, event: Event) {
         let mut actions = Vec::new();
         self.controller.handle(now, event, &mut actions);
         for action in actions {
             match action {
-                Action::SetUp { call, office, timeout } => self.start(now, call, office, timeout),
+                Action::SetUp { call, office, timeout } => self.send_set_up(now, call, office, timeout),
                 Action::SetTimer { after, token } => {
-                    self.out.push(Output::Wake(now + after, LedgerDue::Module(token)));
+                    self.outputs.push(Output::SetTimer(now + after, LedgerTimer::Controller(token)));
                 }
                 Action::Refuse { call, pause } => {
-                    self.finish(call, Answer::Refused { pause }, AnswerReason::Decided);
+                    self.finish_call(call, Answer::Refused { retry_after: pause }, AnswerReason::Decided);
                 }
                 Action::Fail(call) => {
-                    self.finish(call, Answer::Failed, AnswerReason::Decided);
+                    self.finish_call(call, Answer::Failed, AnswerReason::Decided);
                 }
                 Action::CallOff { call, attempt } => {
-                    self.stop_attempt(now, call, attempt, Ending::CalledOff);
+                    self.cancel_attempt(now, call, attempt, Ending::CalledOff);
                 }
-                Action::Probe(office) => self.out.push(Output::Probe(office)),
-                Action::Tell { to, body } => self.out.push(Output::Tell { to, body }),
-                Action::FetchList | Action::Subscribe => self.out.push(Output::FetchList),
-                Action::Log(line) => self.out.push(Output::Log(line)),
+                Action::Probe(office) => self.outputs.push(Output::Probe(office)),
+                Action::Tell { to, body } => self.outputs.push(Output::SendToPeer { to, body }),
+                Action::FetchList | Action::Subscribe => self.outputs.push(Output::FetchList),
+                Action::Log(line) => self.outputs.push(Output::Log(line)),
             }
         }
     }
 
-    /// Sends a set-up, unless a rule forbids it: then the module learns that it was not sent.
-    fn start(&mut self, now: Micros, call: CallId, office: OfficeId, timeout: Option<Micros>) {
+    /// Sends a set-up unless a rule forbids it. One blocked by the drain grace or the quiet period is reported
+    /// to the decision module as not sent.
+    fn send_set_up(&mut self, now: Micros, call: CallId, office: OfficeId, timeout: Option<Micros>) {
         let Some(entry) = self.calls.get_mut(&call) else {
-            *self.tally.held_back.entry(HeldBack::SecondAttempt).or_default() += 1;
+            *self.counts.blocked.entry(BlockReason::SecondAttempt).or_default() += 1;
             return;
         };
         let attempt = AttemptNo(entry.attempts);
         entry.attempts = entry.attempts.saturating_add(1);
-        let shut = self.withdrawals.shut_since(office);
-        let drained = |told: &Told| {
-            told.drains.into_iter().chain(shut).min().is_some_and(|t| now - t > self.drain_grace)
+        let group_out_since = self.administrative_state.group_out_since(office);
+        let drained = |availability: &Availability| {
+            availability
+                .draining_since
+                .into_iter()
+                .chain(group_out_since)
+                .min()
+                .is_some_and(|t| now - t > self.drain_grace)
         };
-        let held = if entry.stage != Stage::Deciding {
-            Some(HeldBack::SecondAttempt)
+        let block_reason = if entry.stage != Stage::Deciding {
+            Some(BlockReason::SecondAttempt)
         } else if self.offices.get(&office).is_none_or(drained) {
-            Some(HeldBack::Drained)
+            Some(BlockReason::Drained)
         } else if now < entry.quiet_until {
-            Some(HeldBack::Quiet)
+            Some(BlockReason::Quiet)
         } else {
             None
         };
-        if let Some(why) = held {
-            *self.tally.held_back.entry(why).or_default() += 1;
-            if why != HeldBack::SecondAttempt {
+        if let Some(reason) = block_reason {
+            *self.counts.blocked.entry(reason).or_default() += 1;
+            if reason != BlockReason::SecondAttempt {
                 let (ending, cause) = (Ending::NotSent, Cause::None);
                 let report = LoadReport::default();
-                let o = Outcome { call, attempt, office, ending, cause, took: 0, over: false, report };
-                self.drive(now, Event::Ended(o));
+                let outcome = Outcome { call, attempt, office, ending, cause, took: 0, over: false, report };
+                self.dispatch(now, Event::Ended(outcome));
             }
             return;
         }
-        let last = entry.deadline - ATTEMPT_EARLY;
-        let until = timeout.map_or(last, |t| last.min(now + t.max(0)));
-        entry.stage = Stage::Out { attempt, office, since: now };
-        entry.leg = self.withdrawals.exchange_of(office);
-        self.tally.attempts += 1;
-        self.out.push(Output::SetUp { call, attempt, office, wait: (until - now).max(0) });
-        self.out.push(Output::Wake(until, LedgerDue::Attempt(call, attempt)));
+        let latest = entry.deadline - ATTEMPT_MARGIN;
+        let expires_at = timeout.map_or(latest, |t| latest.min(now + t.max(0)));
+        entry.stage = Stage::SettingUp { attempt, office, since: now };
+        entry.exchange = self.administrative_state.exchange_of(office);
+        self.counts.attempts += 1;
+        self.outputs.push(Output::SetUp { call, attempt, office, timeout: (expires_at - now).max(0) });
+        self.outputs.push(Output::SetTimer(expires_at, LedgerTimer::Attempt(call, attempt)));
     }
 
-    /// Gives a set-up up from this side.
-    fn stop_attempt(&mut self, now: Micros, call: CallId, attempt: AttemptNo, ending: Ending) {
+    /// Ends an attempt in progress from this side.
+    fn cancel_attempt(&mut self, now: Micros, call: CallId, attempt: AttemptNo, ending: Ending) {
         let Some(entry) = self.calls.get(&call) else { return };
-        let Stage::Out { attempt: out, office, .. } = entry.stage else { return };
-        if out == attempt {
-            self.out.push(Output::Clear { call, attempt, office });
-            self.ended(now, call, attempt, (ending, Cause::None), LoadReport::default());
+        let Stage::SettingUp { attempt: current, office, .. } = entry.stage else { return };
+        if current == attempt {
+            self.outputs.push(Output::Clear { call, attempt, office });
+            self.attempt_ended(now, call, attempt, (ending, Cause::None), LoadReport::default());
         }
     }
 
-    /// The one place where an unanswered call gets its final answer, other than standing.
-    fn finish(&mut self, call: CallId, answer: Answer, reason: AnswerReason) -> bool {
+    /// Gives an open call its final answer, other than established; the only place that does so. Returns
+    /// false if the call has been answered already.
+    fn finish_call(&mut self, call: CallId, answer: Answer, reason: AnswerReason) -> bool {
         let Some(entry) = self.calls.get(&call) else { return false };
         match entry.stage {
-            Stage::Standing { .. } => return false,
-            Stage::Out { attempt, office, .. } => self.out.push(Output::Clear { call, attempt, office }),
+            Stage::Established { .. } => return false,
+            Stage::SettingUp { attempt, office, .. } => {
+                self.outputs.push(Output::Clear { call, attempt, office })
+            }
             Stage::Deciding => {}
         }
         match answer {
-            Answer::Refused { .. } => self.tally.refused += 1,
-            _ => self.tally.failed += 1,
+            Answer::Refused { .. } => self.counts.refused += 1,
+            _ => self.counts.failed += 1,
         }
-        self.out.push(entry.answer(call, answer, reason));
+        self.outputs.push(entry.answer(call, answer, reason));
         self.calls.remove(&call);
-        self.open -= 1;
+        self.open_calls -= 1;
         true
     }
 }
 
-/// The name of an ending, for counters.
+/// The name of an ending in the counters `attempts.*`.
 pub fn ending_name(ending: Ending) -> &'static str {
     match ending {
         Ending::Completed => "completed",
--- a/tests/call_agent.rs
+++ b/tests/call_agent.rs
@@ -7,9 +7,9 @@
 use walnuthatch::protocol::mgcp::agent::{Agent, AgentConfig, AgentDue, AgentOutput, AnsweredBy, Gateway};
 use walnuthatch::protocol::mgcp::message::{parse, Packet, Verb};
 use walnuthatch::protocol::mgcp::transactions::SENDS;
-use walnuthatch::routing::deadlines::Deadlines;
 use walnuthatch::routing::interface::*;
-use walnuthatch::routing::ledger::{Answer, Description, FrontId};
+use walnuthatch::routing::ledger::{Answer, FrontendId, SessionDescription};
+use walnuthatch::routing::timer_queue::TimerQueue;
 
 const MS: Micros = 1_000;
 
@@ -40,7 +40,7 @@
 struct Model {
     agent: Agent,
     now: Micros,
-    due: Deadlines<AgentDue>,
+    due: TimerQueue<AgentDue>,
     gateway: SocketAddr,
     office: OfficeId,
     next_call: u32,
@@ -160,7 +160,7 @@
                 let call = CallId(self.next_call);
                 self.next_call += 1;
                 self.legs.insert(call, Call::Open);
-                let text = Description("v=0\r\n".into());
+                let text = SessionDescription("v=0\r\n".into());
                 self.agent.set_up(now, (call, AttemptNo(0)), self.office, Some(&text));
             }
             Step::Clear(i) => {
@@ -171,8 +171,11 @@
             }
             Step::Answer(i, stands) => {
                 if let Some(call) = nth(&self.calls, i, Some(Call::Open)) {
-                    let answer =
-                        if stands { Answer::Stands(None) } else { Answer::Refused { pause: 2_000 * MS } };
+                    let answer = if stands {
+                        Answer::Established(None)
+                    } else {
+                        Answer::Refused { retry_after: 2_000 * MS }
+                    };
                     if stands {
                         self.calls.insert(call, Call::Standing);
                     } else {
@@ -188,9 +191,9 @@
                 }
             }
             Step::Pass(span) => {
-                while let Some(at) = self.due.first().filter(|&at| at <= now + span) {
+                while let Some(at) = self.due.next_expiry().filter(|&at| at <= now + span) {
                     self.now = self.now.max(at);
-                    while let Some(due) = self.due.take_due(self.now) {
+                    while let Some(due) = self.due.pop_expired(self.now) {
                         self.agent.due(self.now, due);
                         self.settle();
                     }
@@ -240,13 +243,13 @@
             class: 0,
             patience: 3_000 * MS,
         };
-        let mut agent = Agent::new(FrontId(1), config, 5);
+        let mut agent = Agent::new(FrontendId(1), config, 5);
         let office = agent.entries()[0].office;
         agent.start(0);
         let mut m = Model {
             agent,
             now: 0,
-            due: Deadlines::default(),
+            due: TimerQueue::default(),
             gateway,
             office,
             next_call: 0,
--- a/tests/models.rs
+++ b/tests/models.rs
@@ -8,9 +8,9 @@
 use walnuthatch::protocol::membership::Place;
 use walnuthatch::protocol::upstream::{Closing, UpstreamConnections, UpstreamOutput, UpstreamTimer};
 use walnuthatch::protocol::ConnId;
-use walnuthatch::routing::deadlines::Deadlines;
 use walnuthatch::routing::interface::*;
-use walnuthatch::routing::ledger::{Answer, FrontId, Ledger, LedgerDue, Offer, Output};
+use walnuthatch::routing::ledger::{Answer, FrontendId, Ledger, LedgerTimer, OfferedCall, Output};
+use walnuthatch::routing::timer_queue::TimerQueue;
 
 const MS: Micros = 1_000;
 
@@ -91,7 +91,7 @@
 struct LinkModel {
     links: UpstreamConnections,
     now: Micros,
-    due: Deadlines<UpstreamTimer>,
+    due: TimerQueue<UpstreamTimer>,
     /// The one connection there may be, and whether it is up.
     conn: Option<(ConnId, bool)>,
     /// Since when a message has been half there.
@@ -244,9 +244,9 @@
 
     fn pass(&mut self, span: Micros) {
         let end = self.now + span;
-        while let Some(at) = self.due.first().filter(|&at| at <= end) {
+        while let Some(at) = self.due.next_expiry().filter(|&at| at <= end) {
             self.now = self.now.max(at);
-            while let Some(due) = self.due.take_due(self.now) {
+            while let Some(due) = self.due.pop_expired(self.now) {
                 self.links.due(self.now, due);
                 self.settle();
             }
@@ -477,7 +477,7 @@
 struct CallerModel {
     callers: ClientConnections,
     now: Micros,
-    due: Deadlines<ClientTimer>,
+    due: TimerQueue<ClientTimer>,
     conns: BTreeMap<ConnId, CallerConn>,
     next: u64,
     /// Each call held: its name, its connection, whether it stands.
@@ -489,7 +489,7 @@
 
 impl CallerModel {
     fn new(most: usize) -> Self {
-        let callers = ClientConnections::new(-100_000 * MS, FrontId(0), vec!["a".to_owned()], most);
+        let callers = ClientConnections::new(-100_000 * MS, FrontendId(0), vec!["a".to_owned()], most);
         let (due, conns, calls, owed) = Default::default();
         CallerModel { callers, now: 0, due, conns, next: 0, calls, owed, most }
     }
@@ -614,8 +614,11 @@
                 let Some(&id) = open.get(i % open.len().max(1)) else { return };
                 let (sid, conn, _) = self.calls[&id];
                 let pause = 2_000 * MS;
-                let answer =
-                    if stands { self::Answer::Stands(None) } else { self::Answer::Refused { pause } };
+                let answer = if stands {
+                    self::Answer::Established(None)
+                } else {
+                    self::Answer::Refused { retry_after: pause }
+                };
                 self.callers.answer(self.now, id, answer);
                 let want = if stands { Kind::Ready } else { Kind::Close };
                 let outputs = self.callers.take_outputs();
@@ -682,9 +685,9 @@
                 let end = self.now + span;
                 let sent = |m: &Self| m.owed.iter().map(|(&s, o)| (s, o.1.len())).collect::<BTreeMap<_, _>>();
                 let (before, there) = (sent(self), self.conns.keys().copied().collect::<Vec<_>>());
-                while let Some(at) = self.due.first().filter(|&at| at <= end) {
+                while let Some(at) = self.due.next_expiry().filter(|&at| at <= end) {
                     self.now = self.now.max(at);
-                    while let Some(due) = self.due.take_due(self.now) {
+                    while let Some(due) = self.due.pop_expired(self.now) {
                         self.callers.due(self.now, due);
                         self.settle();
                     }
@@ -742,7 +745,7 @@
 }
 
 fn front_with_connection() -> (ClientConnections, ConnId) {
-    let mut callers = ClientConnections::new(0, FrontId(0), vec!["a".to_owned()], 6);
+    let mut callers = ClientConnections::new(0, FrontendId(0), vec!["a".to_owned()], 6);
     callers.opened(0, ConnId(0));
     (callers, ConnId(0))
 }
@@ -767,7 +770,7 @@
 
 #[test]
 fn a_connection_beyond_the_limit_has_its_first_set_up_answered() {
-    let mut callers = ClientConnections::new(0, FrontId(0), vec!["a".to_owned()], 1);
+    let mut callers = ClientConnections::new(0, FrontendId(0), vec!["a".to_owned()], 1);
     callers.opened(0, ConnId(0));
     assert!(matches!(set_up(&mut callers, 0, ConnId(0), 6), Ask::Offer(..)));
     callers.taken(ConnId(0), Sid(6), None, CallId(1));
@@ -800,7 +803,7 @@
     let (mut callers, conn) = front_with_connection();
     assert!(matches!(set_up(&mut callers, 0, conn, 7), Ask::Offer(..)));
     callers.taken(conn, Sid(7), None, CallId(1));
-    callers.answer(10 * MS, CallId(1), Answer::Stands(None));
+    callers.answer(10 * MS, CallId(1), Answer::Established(None));
     callers.end_all(20 * MS);
     assert_eq!(callers.message(20 * MS, conn, Message::close(Sid(7), 16)), Ask::Left(CallId(1)));
 }
@@ -811,7 +814,7 @@
     assert!(matches!(set_up(&mut callers, 0, conn, 7), Ask::Offer(..)));
     callers.taken(conn, Sid(7), None, CallId(1));
     callers.drain(10 * MS);
-    callers.answer(20 * MS, CallId(1), Answer::Stands(None));
+    callers.answer(20 * MS, CallId(1), Answer::Established(None));
     callers.release(500 * MS, CallId(1), false);
     let ends = |o: &ClientOutput| matches!(o, ClientOutput::Ending(..));
     assert!(!callers.take_outputs().iter().any(ends), "its end has not been heard");
@@ -859,7 +862,7 @@
 struct Book {
     ledger: Ledger,
     now: Micros,
-    due: Deadlines<LedgerDue>,
+    due: TimerQueue<LedgerTimer>,
     calls: BTreeMap<CallId, Held>,
     drained: BTreeMap<u16, Micros>,
 }
@@ -868,7 +871,7 @@
     fn settle(&mut self) {
         for output in self.ledger.take_outputs() {
             match output {
-                Output::SetUp { call, attempt, office, wait } => {
+                Output::SetUp { call, attempt, office, timeout: wait } => {
                     let held = self.calls.get_mut(&call).expect("a call that is owed an answer");
                     assert!(held.out.is_none() && !held.stands, "one attempt out");
                     assert!(self.now >= held.quiet, "the quiet period");
@@ -886,7 +889,7 @@
                 Output::Answer { call, answer, .. } => {
                     let held = self.calls.get_mut(&call).expect("one final answer");
                     assert!(!held.stands && self.now <= held.deadline);
-                    if matches!(answer, Answer::Stands(_)) {
+                    if matches!(answer, Answer::Established(_)) {
                         (held.stands, held.out) = (true, None);
                     } else {
                         assert!(held.out.is_none(), "no attempt is left out");
@@ -896,7 +899,7 @@
                 Output::Release { call, .. } => {
                     assert!(self.calls.remove(&call).expect("released once").stands);
                 }
-                Output::Wake(at, due) => self.due.add(at, due),
+                Output::SetTimer(at, due) => self.due.add(at, due),
                 _ => {}
             }
         }
@@ -912,7 +915,9 @@
         match step {
             Step::Offer(to, patience) => {
                 let ask = new_call(to, patience);
-                let call = self.ledger.offer(now, Offer { front: FrontId(0), ask, description: None });
+                let call = self
+                    .ledger
+                    .offer(now, OfferedCall { frontend: FrontendId(0), new_call: ask, description: None });
                 let (deadline, out, stands, quiet) = (now + patience, None, false, 0);
                 self.calls.insert(call, Held { deadline, out, stands, quiet });
             }
@@ -925,8 +930,8 @@
             Step::Answered(i) => {
                 if let Some(call) = self.nth(i, |h| h.out.is_some()) {
                     let attempt = self.calls[&call].out.unwrap();
-                    assert!(self.ledger.answered(now, call, attempt, None));
-                    assert!(!self.ledger.answered(now, call, attempt, None), "not twice");
+                    assert!(self.ledger.attempt_answered(now, call, attempt, None));
+                    assert!(!self.ledger.attempt_answered(now, call, attempt, None), "not twice");
                 }
             }
             Step::Ended(i, ending, cause) => {
@@ -935,7 +940,7 @@
                     let attempt = held.out.take().unwrap_or(AttemptNo(0));
                     let unclear = matches!(ending, Ending::Reset | Ending::TimedOut);
                     held.quiet = if unclear { now + 500 * MS } else { held.quiet };
-                    self.ledger.ended(now, call, attempt, (ending, cause), LoadReport::default());
+                    self.ledger.attempt_ended(now, call, attempt, (ending, cause), LoadReport::default());
                 }
             }
             Step::List(n, state) => {
@@ -943,13 +948,13 @@
                     ListState::Ready => drop(self.drained.remove(&n)),
                     _ => drop(self.drained.entry(n).or_insert(now)),
                 }
-                self.ledger.list(now, ListNews::Changes([entry(n, state)].into()));
+                self.ledger.list_update(now, ListNews::Changes([entry(n, state)].into()));
             }
             Step::Pass(span) => {
-                while let Some(at) = self.due.first().filter(|&at| at <= now + span) {
+                while let Some(at) = self.due.next_expiry().filter(|&at| at <= now + span) {
                     self.now = self.now.max(at);
-                    while let Some(due) = self.due.take_due(self.now) {
-                        self.ledger.due(self.now, due);
+                    while let Some(due) = self.due.pop_expired(self.now) {
+                        self.ledger.timer_expired(self.now, due);
                         self.settle();
                     }
                 }
@@ -988,12 +993,12 @@
     };
     let ledger = Ledger::new(settings, 7);
     let (calls, drained) = (BTreeMap::new(), BTreeMap::new());
-    let mut book = Book { ledger, now: 1_000_000 * MS, due: Deadlines::default(), calls, drained };
+    let mut book = Book { ledger, now: 1_000_000 * MS, due: TimerQueue::default(), calls, drained };
     let all: Vec<ListEntry> = (0..5).map(|n| entry(n, ListState::Ready)).collect();
-    book.ledger.list(book.now, ListNews::Cached(all.into()));
+    book.ledger.list_update(book.now, ListNews::Cached(all.into()));
     for n in 1..5 {
         let report = LoadReport { free: Some(20.0), size: Some(20.0), ..LoadReport::default() };
-        book.ledger.group(book.now, office(n), report);
+        book.ledger.group_report(book.now, office(n), report);
     }
     book.settle();
     book
@@ -1004,7 +1009,7 @@
     let mut book = book();
     let settled = |book: &mut Book, span| {
         book.step(Step::Pass(span));
-        (book.ledger.tally().stood, book.ledger.tally().failed + book.ledger.tally().refused)
+        (book.ledger.counts().established, book.ledger.counts().failed + book.ledger.counts().refused)
     };
     [Step::Offer(1, 80 * MS), Step::Offer(2, 80 * MS)].into_iter().for_each(|s| book.step(s));
     assert_eq!(settled(&mut book, 65 * MS), (0, 0));
@@ -1015,9 +1020,9 @@
 #[test]
 fn a_request_that_comes_again_is_not_attempted_before_its_quiet_period() {
     let mut callers =
-        ClientConnections::new(0, FrontId(0), vec!["a".to_owned()], 6).with_quiet_period(505 * MS);
+        ClientConnections::new(0, FrontendId(0), vec!["a".to_owned()], 6).with_quiet_period(505 * MS);
     let not_before = |ask: Ask| match ask {
-        Ask::Offer(_, _, offer) => offer.ask.not_before,
+        Ask::Offer(_, _, offer) => offer.new_call.not_before,
         other => panic!("{other:?}"),
     };
     callers.opened(0, ConnId(0));
@@ -1031,16 +1036,17 @@
     let mut book = book();
     let start = book.now;
     let ask = NewCall { not_before: start + 400 * MS, ..new_call(1, 3_000 * MS) };
-    let call = book.ledger.offer(start, Offer { front: FrontId(0), ask, description: None });
+    let call =
+        book.ledger.offer(start, OfferedCall { frontend: FrontendId(0), new_call: ask, description: None });
     book.calls.insert(
         call,
         Held { deadline: start + 3_000 * MS, out: None, stands: false, quiet: start + 400 * MS },
     );
     book.settle();
     book.step(Step::Pass(390 * MS));
-    assert_eq!(book.ledger.tally().attempts, 0);
+    assert_eq!(book.ledger.counts().attempts, 0);
     book.step(Step::Pass(60 * MS));
-    assert_eq!((book.ledger.tally().attempts, book.ledger.tally().held_back.len()), (1, 0));
+    assert_eq!((book.ledger.counts().attempts, book.ledger.counts().blocked.len()), (1, 0));
 }
 
 #[test]
@@ -1069,6 +1075,6 @@
         steps.into_iter().for_each(|s| book.step(s));
         book.step(Step::Pass(6_000 * MS));
         assert_eq!(book.ledger.open_calls(), 0);
-        assert_eq!(book.ledger.standing_calls(), book.calls.len());
+        assert_eq!(book.ledger.established_calls(), book.calls.len());
     });
 }
