--- a/examples/gossip_tables.rs
+++ b/examples/gossip_tables.rs
@@ -169,12 +169,12 @@
     ledger: Ledger,
     deadlines: Deadlines<LedgerDue>,
     /// Set-ups whose answers are under way, and calls that stand.
-    out: BTreeMap<CallId, (AttemptNo, OfficeId, usize)>,
+    out: BTreeMap<CallId, (AttemptNo, ExchangeId, usize)>,
     sent_to_hung: Vec<Micros>,
 }
 
-fn office(i: usize) -> OfficeId {
-    OfficeId { addr: [10, 0, 0, i as u8], port: 5060 }
+fn office(i: usize) -> ExchangeId {
+    ExchangeId { addr: [10, 0, 0, i as u8], port: 5060 }
 }
 
 fn site(i: usize) -> Site {
--- a/src/program/views.rs
+++ b/src/program/views.rs
@@ -6,7 +6,7 @@
 use super::switchboard::GATEWAYS;
 use crate::protocol::mgcp::agent::Agent;
 use crate::protocol::upstream::UpstreamConnections;
-use crate::routing::interface::{ExchangeNo, ListState, Micros, OfficeId};
+use crate::routing::interface::{ExchangeNo, ListState, Micros, ExchangeId};
 use crate::routing::ledger::{CallView, Ledger};
 use std::collections::{BTreeMap, BTreeSet};
 use walnuthatch_control::views::{Call, Exchange, Status};
@@ -93,8 +93,8 @@
     /// by whoever has them.
     pub fn exchanges(&self) -> Vec<Exchange> {
         let loads = self.loads();
-        let figures: BTreeMap<OfficeId, _> = self.ledger.withdrawals().figures().collect();
-        let of = |office: &OfficeId, exchange: ExchangeNo, name: &str, address: String, state, connected| {
+        let figures: BTreeMap<ExchangeId, _> = self.ledger.withdrawals().figures().collect();
+        let of = |office: &ExchangeId, exchange: ExchangeNo, name: &str, address: String, state, connected| {
             let known = figures.get(office);
             let Load { out, standing } = loads.load(Target::Group(target::Exchange(exchange.0)));
             Exchange {
--- a/src/protocol/membership.rs
+++ b/src/protocol/membership.rs
@@ -2,7 +2,7 @@
 //! exchanges in it.
 
 use crate::planted::{planted, Planted};
-use crate::routing::interface::{ExchangeNo, ListEntry, ListNews, ListState, OfficeId};
+use crate::routing::interface::{ExchangeNo, ListEntry, ListNews, ListState, ExchangeId};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -80,7 +80,7 @@
 /// gone, so that the address can't be the name.
 #[derive(Debug, Default)]
 pub struct Roster {
-    names: BTreeMap<String, OfficeId>,
+    names: BTreeMap<String, ExchangeId>,
     next: u32,
     zones: Vec<String>,
     begun: bool,
@@ -92,12 +92,12 @@
         Roster { zones, ..Roster::default() }
     }
 
-    fn office(&mut self, member: &str) -> OfficeId {
+    fn office(&mut self, member: &str) -> ExchangeId {
         if let Some(&office) = self.names.get(member) {
             return office;
         }
         self.next += 1;
-        let office = OfficeId { addr: self.next.to_be_bytes(), port: 0 };
+        let office = ExchangeId { addr: self.next.to_be_bytes(), port: 0 };
         self.names.insert(member.to_owned(), office);
         office
     }
--- a/src/protocol/mgcp/agent.rs
+++ b/src/protocol/mgcp/agent.rs
@@ -11,7 +11,7 @@
 use super::message::{self, events, Command, Endpoint, Packet, Params, Response, Verb};
 use super::transactions::{command, Commands, History, Repeat};
 use crate::routing::interface::{
-    AttemptNo, CallId, Cause, Ending, ExchangeNo, ListEntry, ListState, LoadReport, Micros, NewCall, OfficeId,
+    AttemptNo, CallId, Cause, Ending, ExchangeNo, ListEntry, ListState, LoadReport, Micros, NewCall, ExchangeId,
 };
 use crate::routing::ledger::{Answer, Description, FrontId, Offer};
 use std::collections::BTreeMap;
@@ -97,7 +97,7 @@
     /// An attempt ended, or a call that stood is over.
     Ended(CallId, AttemptNo, (Ending, Cause)),
     /// Free endpoints of a gateway, and how many there are.
-    Group(OfficeId, LoadReport),
+    Group(ExchangeId, LoadReport),
     /// A gateway drains or serves again.
     List(ListEntry),
 }
@@ -264,7 +264,7 @@
     }
 
     /// Whether this office is a gateway of the agent's.
-    pub fn has(&self, office: OfficeId) -> bool {
+    pub fn has(&self, office: ExchangeId) -> bool {
         self.gateway_of(office).is_some()
     }
 
@@ -294,11 +294,11 @@
         named.map(|(i, (g, s))| (g.name.as_str(), s.0, self.free(i), g.endpoints.len()))
     }
 
-    fn office(g: usize) -> OfficeId {
-        OfficeId { addr: (g as u32).to_be_bytes(), port: GATEWAY_MARK }
+    fn office(g: usize) -> ExchangeId {
+        ExchangeId { addr: (g as u32).to_be_bytes(), port: GATEWAY_MARK }
     }
 
-    fn gateway_of(&self, office: OfficeId) -> Option<usize> {
+    fn gateway_of(&self, office: ExchangeId) -> Option<usize> {
         let g = u32::from_be_bytes(office.addr) as usize;
         (office.port == GATEWAY_MARK && g < self.config.gateways.len()).then_some(g)
     }
@@ -714,7 +714,7 @@
         &mut self,
         now: Micros,
         (call, attempt): (CallId, AttemptNo),
-        office: OfficeId,
+        office: ExchangeId,
         description: Option<&Description>,
     ) {
         let Some(g) = self.gateway_of(office) else { return };
--- a/src/protocol/simulator.rs
+++ b/src/protocol/simulator.rs
@@ -130,9 +130,9 @@
         self.rest = tail;
         Ok(head)
     }
-    fn office(&mut self) -> Result<OfficeId, WireError> {
+    fn office(&mut self) -> Result<ExchangeId, WireError> {
         let a = self.take(4)?;
-        Ok(OfficeId { addr: [a[0], a[1], a[2], a[3]], port: self.u16()? })
+        Ok(ExchangeId { addr: [a[0], a[1], a[2], a[3]], port: self.u16()? })
     }
     fn report(&mut self, names: &[ReportField]) -> Result<LoadReport, WireError> {
         let n = self.u8()?;
@@ -378,7 +378,7 @@
         self.body.put_slice(&text.as_bytes()[..end]);
     }
 
-    fn office(&mut self, office: OfficeId) {
+    fn office(&mut self, office: ExchangeId) {
         self.body.put_slice(&office.addr);
         self.body.put_u16(office.port);
     }
--- a/src/protocol/upstream/calls.rs
+++ b/src/protocol/upstream/calls.rs
@@ -8,7 +8,7 @@
         &mut self,
         now: Micros,
         (call, attempt): (CallId, AttemptNo),
-        office: OfficeId,
+        office: ExchangeId,
         message: Message,
     ) {
         let Some(sid) = message.sid else { return };
@@ -54,7 +54,7 @@
     }
 
     /// Releases a call at its exchange, now or on the next connection.
-    pub(super) fn release_at(&mut self, now: Micros, office: OfficeId, sid: Sid) {
+    pub(super) fn release_at(&mut self, now: Micros, office: ExchangeId, sid: Sid) {
         let Some(link) = self.links.get_mut(&office) else { return };
         if let ConnectionState::Up(conn) = link.connection {
             let message = Message::close(sid, cause::NORMAL);
@@ -92,7 +92,7 @@
 
     pub(super) fn end_legs(
         &mut self,
-        office: OfficeId,
+        office: ExchangeId,
         how: Ending,
         which: impl Fn(&Attempt) -> bool,
     ) -> usize {
@@ -103,11 +103,11 @@
         calls.len()
     }
 
-    pub(super) fn fail_waiting(&mut self, office: OfficeId) {
+    pub(super) fn fail_waiting(&mut self, office: ExchangeId) {
         self.end_legs(office, Ending::Unreachable, |l| l.stage == Stage::Waiting);
     }
 
-    pub(super) fn end_sent(&mut self, now: Micros, office: OfficeId, how: Ending) {
+    pub(super) fn end_sent(&mut self, now: Micros, office: ExchangeId, how: Ending) {
         let sent = |l: &Attempt| l.office == office && matches!(l.stage, Stage::Sent(_));
         let mut sids: Vec<Sid> = self.legs.iter().filter(|(_, l)| sent(l)).map(|(&s, _)| s).collect();
         sids.sort_unstable();
@@ -118,7 +118,7 @@
         }
     }
 
-    pub(super) fn cut_standing(&mut self, office: OfficeId, which: impl Fn(&Attempt) -> bool) {
+    pub(super) fn cut_standing(&mut self, office: ExchangeId, which: impl Fn(&Attempt) -> bool) {
         let standing = |l: &Attempt| matches!(l.stage, Stage::Standing(_));
         let cut = self.end_legs(office, Ending::Reset, |l| standing(l) && which(l));
         self.counts.found_cut += cut as u64;
--- a/src/protocol/upstream/connections.rs
+++ b/src/protocol/upstream/connections.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl UpstreamConnections {
-    pub(super) fn connect(&mut self, now: Micros, office: OfficeId) {
+    pub(super) fn connect(&mut self, now: Micros, office: ExchangeId) {
         let Some(link) = self.links.get_mut(&office) else { return };
         if link.connection != ConnectionState::Down {
             return;
--- a/src/protocol/upstream/leases.rs
+++ b/src/protocol/upstream/leases.rs
@@ -4,7 +4,7 @@
 
 impl UpstreamConnections {
     /// The generations of the calls that stand at an exchange.
-    pub(super) fn generations(&self, office: OfficeId) -> impl Iterator<Item = Generation> + '_ {
+    pub(super) fn generations(&self, office: ExchangeId) -> impl Iterator<Item = Generation> + '_ {
         self.legs.values().filter(move |l| l.office == office).filter_map(|l| match l.stage {
             Stage::Standing(generation) => Some(generation),
             Stage::Waiting | Stage::Sent(_) => None,
@@ -12,7 +12,7 @@
     }
 
     /// Has the leases of the calls at an exchange looked at when the first of them is over.
-    pub(super) fn watch_leases(&mut self, office: OfficeId) {
+    pub(super) fn watch_leases(&mut self, office: ExchangeId) {
         let Some(link) = self.links.get(&office) else { return };
         let Some(due) = self.generations(office).map(|g| link.leases.expires(g)).min() else { return };
         if link.lease_due.is_some_and(|at| at <= due) {
@@ -26,7 +26,7 @@
 
     /// Guards callers against an exchange that is gone without a word: the calls whose lease is over are cut, towards
     /// their callers now, and there as soon as it can be reached.
-    pub(super) fn look_at_leases(&mut self, now: Micros, office: OfficeId, meant: Micros) {
+    pub(super) fn look_at_leases(&mut self, now: Micros, office: ExchangeId, meant: Micros) {
         let Some(link) = self.links.get_mut(&office).filter(|l| l.lease_due == Some(meant)) else { return };
         link.lease_due = None;
         if planted(Planted::NoReleaseForVanished) {
--- a/src/protocol/upstream/list.rs
+++ b/src/protocol/upstream/list.rs
@@ -11,7 +11,7 @@
             self.entry(now, e, place);
         }
         if complete {
-            let missing: Vec<OfficeId> =
+            let missing: Vec<ExchangeId> =
                 self.links.keys().copied().filter(|o| !entries.iter().any(|e| e.office == *o)).collect();
             missing.into_iter().for_each(|o| self.gone(now, o));
         }
@@ -64,7 +64,7 @@
 
     /// An office takes nothing new: a set-up that waits for a connection, or behind others on one that is slow,
     /// could leave after the grace.
-    pub fn shed(&mut self, office: OfficeId) {
+    pub fn shed(&mut self, office: ExchangeId) {
         self.fail_waiting(office);
         let sent = |l: &Attempt| match l.stage {
             Stage::Sent(conn) if l.office == office => Some((l.call, l.attempt, conn)),
@@ -83,7 +83,7 @@
         }
     }
 
-    pub(super) fn gone(&mut self, now: Micros, office: OfficeId) {
+    pub(super) fn gone(&mut self, now: Micros, office: ExchangeId) {
         let Some(link) = self.links.get_mut(&office) else { return };
         if link.state != ListState::Gone {
             link.state = ListState::Gone;
@@ -93,7 +93,7 @@
     }
 
     /// The one place where a link is given back.
-    pub(super) fn drop_link(&mut self, now: Micros, office: OfficeId) {
+    pub(super) fn drop_link(&mut self, now: Micros, office: ExchangeId) {
         self.fail_waiting(office);
         self.end_sent(now, office, Ending::Reset);
         self.cut_standing(office, |_| true);
--- a/src/protocol/upstream/messages.rs
+++ b/src/protocol/upstream/messages.rs
@@ -4,7 +4,7 @@
 
 impl UpstreamConnections {
     /// Asks an exchange for a report.
-    pub fn probe(&mut self, now: Micros, office: OfficeId) {
+    pub fn probe(&mut self, now: Micros, office: ExchangeId) {
         let Some(ConnectionState::Up(conn)) = self.links.get(&office).map(|l| l.connection) else {
             return self.out.push(UpstreamOutput::ProbeFailed(office));
         };
@@ -84,7 +84,7 @@
         }
     }
 
-    pub(super) fn group(&mut self, office: OfficeId, load: LoadReport) {
+    pub(super) fn group(&mut self, office: ExchangeId, load: LoadReport) {
         if load != LoadReport::default() {
             self.out.push(UpstreamOutput::Group(office, load));
         }
--- a/src/protocol/upstream/mod.rs
+++ b/src/protocol/upstream/mod.rs
@@ -16,7 +16,7 @@
 use super::ConnId;
 use crate::planted::{planted, Planted};
 use crate::routing::interface::{
-    AttemptNo, CallId, Cause, Ending, ExchangeNo, ListEntry, ListState, LoadReport, Micros, OfficeId,
+    AttemptNo, CallId, Cause, Ending, ExchangeNo, ListEntry, ListState, LoadReport, Micros, ExchangeId,
 };
 use crate::routing::ledger::Description;
 use lease::{Generation, Leases};
@@ -80,11 +80,11 @@
     /// A connection ought to be up by now.
     Connect(ConnId),
     /// Try to connect again.
-    Retry(OfficeId),
+    Retry(ExchangeId),
     /// A set-up has waited long enough for a connection.
     Waiting(CallId, AttemptNo),
     /// A removed exchange has had its time.
-    Gone(OfficeId),
+    Gone(ExchangeId),
     /// A probe has had its time.
     Probe(Sid),
     /// What began on this connection at that time ought to be whole.
@@ -92,7 +92,7 @@
     /// Look whether a connection is silent; when that was meant to be.
     Look(ConnId, Micros),
     /// The lease of a call that stands may be over; when that was meant to be.
-    Lease(OfficeId, Micros),
+    Lease(ExchangeId, Micros),
 }
 
 /// Why this side ends a connection, for the log.
@@ -153,9 +153,9 @@
     /// An attempt ended, or a call that stood is over.
     Ended(CallId, AttemptNo, (Ending, Cause), LoadReport),
     /// Figures of an exchange.
-    Group(OfficeId, LoadReport),
+    Group(ExchangeId, LoadReport),
     /// A probe failed.
-    ProbeFailed(OfficeId),
+    ProbeFailed(ExchangeId),
     /// A call of this program's earlier life is over.
     Earlier(Sid, u16),
     /// The connection to this member of the list was given up, and why: for the log.
@@ -201,7 +201,7 @@
 struct Attempt {
     call: CallId,
     attempt: AttemptNo,
-    office: OfficeId,
+    office: ExchangeId,
     stage: Stage,
     began: Micros,
     /// The set-up, while it waits.
@@ -251,11 +251,11 @@
 /// All links.
 #[derive(Debug)]
 pub struct UpstreamConnections {
-    links: BTreeMap<OfficeId, Upstream>,
-    conns: HashMap<ConnId, OfficeId>,
+    links: BTreeMap<ExchangeId, Upstream>,
+    conns: HashMap<ConnId, ExchangeId>,
     legs: HashMap<Sid, Attempt>,
     sids: HashMap<CallId, Sid>,
-    probes: HashMap<Sid, OfficeId>,
+    probes: HashMap<Sid, ExchangeId>,
     connect_timeout: Micros,
     /// The exchange that this controller runs in: nothing is ever sent there.
     own: Option<ExchangeNo>,
@@ -301,12 +301,12 @@
     }
 
     /// Whether this office is reached by these links.
-    pub fn has(&self, office: OfficeId) -> bool {
+    pub fn has(&self, office: ExchangeId) -> bool {
         self.links.contains_key(&office)
     }
 
     /// The links, for the console: office, place, state, whether connected.
-    pub fn views(&self) -> impl Iterator<Item = (OfficeId, &Place, ListState, bool)> + '_ {
+    pub fn views(&self) -> impl Iterator<Item = (ExchangeId, &Place, ListState, bool)> + '_ {
         self.links
             .iter()
             .map(|(&o, l)| (o, &l.place, l.state, matches!(l.connection, ConnectionState::Up(_))))
--- a/src/routing/control/membership.rs
+++ b/src/routing/control/membership.rs
@@ -19,7 +19,7 @@
             self.on_entry(now, e);
         }
         if complete {
-            let named: BTreeSet<OfficeId> = entries.iter().map(|e| e.office).collect();
+            let named: BTreeSet<ExchangeId> = entries.iter().map(|e| e.office).collect();
             for o in &mut self.offices {
                 if !named.contains(&o.id) {
                     o.state = ListState::Gone;
--- a/src/routing/control/mod.rs
+++ b/src/routing/control/mod.rs
@@ -77,7 +77,7 @@
     /// Calls held, in the order of `held_key`.
     held: BTreeSet<(i64, Micros, CallId)>,
     offices: Vec<Office>,
-    by_id: BTreeMap<OfficeId, usize>,
+    by_id: BTreeMap<ExchangeId, usize>,
     by_exchange: BTreeMap<ExchangeNo, usize>,
     seed: u64,
     /// Next tandem in turn.
--- a/src/routing/control/office.rs
+++ b/src/routing/control/office.rs
@@ -16,7 +16,7 @@
 /// What this exchange knows of another. Moments start at 0, the beginning of the clock.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Office {
-    pub(super) id: OfficeId,
+    pub(super) id: ExchangeId,
     pub(super) exchange: ExchangeNo,
     pub(super) state: ListState,
     /// Start of the processor, while that matters.
--- a/src/routing/control/outcome.rs
+++ b/src/routing/control/outcome.rs
@@ -15,7 +15,7 @@
 const NUMBERS_CAP: usize = 64;
 
 impl Controller {
-    pub(super) fn on_stands(&mut self, now: Micros, id: CallId, office: OfficeId, took: Micros) {
+    pub(super) fn on_stands(&mut self, now: Micros, id: CallId, office: ExchangeId, took: Micros) {
         let (target, widest) = (TARGET * self.mean_aim, self.widest(now));
         let took = if now == self.woke { (took - self.stood_still).max(0) } else { took };
         let quick = took as f64 <= PHI * FULL_WAIT * self.shortest_aim as f64;
--- a/src/routing/interface.rs
+++ b/src/routing/interface.rs
@@ -20,7 +20,7 @@
 
 /// The machine that serves an exchange: a replacement has the same exchange number, another office.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Default)]
-pub struct OfficeId {
+pub struct ExchangeId {
     /// Address, first byte first.
     pub addr: [u8; 4],
     /// Port.
@@ -195,7 +195,7 @@
     /// Its state.
     pub state: ListState,
     /// The office.
-    pub office: OfficeId,
+    pub office: ExchangeId,
     /// When it last started; `None`: long ago.
     pub last_start: Option<Micros>,
 }
@@ -305,7 +305,7 @@
     /// The attempt.
     pub attempt: AttemptNo,
     /// Where it went.
-    pub office: OfficeId,
+    pub office: ExchangeId,
     /// How it ended.
     pub ending: Ending,
     /// Why.
@@ -332,7 +332,7 @@
         /// The attempt.
         attempt: AttemptNo,
         /// Where it went.
-        office: OfficeId,
+        office: ExchangeId,
         /// How long the set-up took.
         took: Micros,
     },
@@ -341,12 +341,12 @@
     /// A probe ended well, or (unasked) the group toward the office changed.
     Group {
         /// The office.
-        office: OfficeId,
+        office: ExchangeId,
         /// Its figures.
         report: LoadReport,
     },
     /// A probe failed.
-    ProbeFailed(OfficeId),
+    ProbeFailed(ExchangeId),
     /// The caller left, or the answer was overdue.
     CallerGone(CallId),
     /// A message from a peer.
@@ -372,7 +372,7 @@
         /// The call.
         call: CallId,
         /// Where to.
-        office: OfficeId,
+        office: ExchangeId,
         /// Time-out of the attempt; `None`: until the caller gives up.
         timeout: Option<Micros>,
     },
@@ -400,7 +400,7 @@
         attempt: AttemptNo,
     },
     /// Check an office.
-    Probe(OfficeId),
+    Probe(ExchangeId),
     /// Send bytes to one peer, or to all.
     Tell {
         /// To whom; `None`: to all.
--- a/src/routing/ledger.rs
+++ b/src/routing/ledger.rs
@@ -85,7 +85,7 @@
         /// The attempt.
         attempt: AttemptNo,
         /// Where to.
-        office: OfficeId,
+        office: ExchangeId,
         /// How long it will be waited for.
         wait: Micros,
     },
@@ -96,7 +96,7 @@
         /// The attempt.
         attempt: AttemptNo,
         /// Where it went.
-        office: OfficeId,
+        office: ExchangeId,
     },
     /// Give the caller its final answer.
     Answer {
@@ -136,7 +136,7 @@
         cut: bool,
     },
     /// Check an office.
-    Probe(OfficeId),
+    Probe(ExchangeId),
     /// Send bytes to one peer, or to all.
     Tell {
         /// To whom; `None`: to all.
@@ -202,9 +202,9 @@
     /// With the module: nothing is out.
     Deciding,
     /// A set-up is out.
-    Out { attempt: AttemptNo, office: OfficeId, since: Micros },
+    Out { attempt: AttemptNo, office: ExchangeId, since: Micros },
     /// It stands.
-    Standing { attempt: AttemptNo, office: OfficeId, since: Micros },
+    Standing { attempt: AttemptNo, office: ExchangeId, since: Micros },
 }
 
 #[derive(Debug)]
@@ -271,7 +271,7 @@
     drain_grace: Micros,
     calls: BTreeMap<CallId, Entry>,
     /// The offices on the list; nothing is sent to one that is not here.
-    offices: BTreeMap<OfficeId, Told>,
+    offices: BTreeMap<ExchangeId, Told>,
     /// What operators took out of service.
     withdrawals: Withdrawals,
     next: u32,
@@ -412,7 +412,7 @@
     }
 
     /// Figures of an office or of the group toward it.
-    pub fn group(&mut self, now: Micros, office: OfficeId, report: LoadReport) {
+    pub fn group(&mut self, now: Micros, office: ExchangeId, report: LoadReport) {
         let report = self.withdrawals.report(now, office, report);
         self.drive(now, Event::Group { office, report });
     }
@@ -463,7 +463,7 @@
     }
 
     /// A probe got no good answer.
-    pub fn probe_failed(&mut self, now: Micros, office: OfficeId) {
+    pub fn probe_failed(&mut self, now: Micros, office: ExchangeId) {
         self.drive(now, Event::ProbeFailed(office));
     }
 
@@ -627,7 +627,7 @@
     }
 
     /// Sends a set-up, unless a rule forbids it: then the module learns that it was not sent.
-    fn start(&mut self, now: Micros, call: CallId, office: OfficeId, timeout: Option<Micros>) {
+    fn start(&mut self, now: Micros, call: CallId, office: ExchangeId, timeout: Option<Micros>) {
         let Some(entry) = self.calls.get_mut(&call) else {
             *self.tally.held_back.entry(HeldBack::SecondAttempt).or_default() += 1;
             return;
--- a/src/routing/withdrawals.rs
+++ b/src/routing/withdrawals.rs
@@ -5,7 +5,7 @@
 //! has for a cold processor, and a group's circuits come back little by little, so that nothing gets its full share
 //! at once. While nothing was ever withdrawn, all passes through unchanged.
 
-use super::interface::{ExchangeNo, ListEntry, ListNews, ListState, LoadReport, Micros, OfficeId, Withdrawn};
+use super::interface::{ExchangeNo, ListEntry, ListNews, ListState, LoadReport, Micros, ExchangeId, Withdrawn};
 use std::collections::BTreeMap;
 
 /// What follows for the module when something is withdrawn or comes back.
@@ -14,7 +14,7 @@
     /// Offices whose state on the list is another now.
     pub entries: Vec<ListEntry>,
     /// Figures of groups as they count now.
-    pub groups: Vec<(OfficeId, LoadReport)>,
+    pub groups: Vec<(ExchangeId, LoadReport)>,
 }
 
 /// The list and the groups as they were told, and what is out of service.
@@ -22,9 +22,9 @@
 pub struct Withdrawals {
     /// Time in which something that came back is taken up again (µs).
     warm: Micros,
-    listed: BTreeMap<OfficeId, ListEntry>,
+    listed: BTreeMap<ExchangeId, ListEntry>,
     /// Free circuits and size of the group toward each office, and when they were told.
-    figures: BTreeMap<OfficeId, (f64, f64, Micros)>,
+    figures: BTreeMap<ExchangeId, (f64, f64, Micros)>,
     withdrawn: Withdrawn,
     /// Groups that are withdrawn, and since when.
     shut: BTreeMap<ExchangeNo, Micros>,
@@ -91,7 +91,7 @@
     }
 
     /// Takes the figures of a group and gives them as they count.
-    pub fn report(&mut self, now: Micros, office: OfficeId, mut report: LoadReport) -> LoadReport {
+    pub fn report(&mut self, now: Micros, office: ExchangeId, mut report: LoadReport) -> LoadReport {
         if let (Some(free), Some(size)) = (report.free, report.size) {
             self.figures.insert(office, (free, size, now));
             report.free = Some(self.free(now, office, (free, size)));
@@ -99,7 +99,7 @@
         report
     }
 
-    fn free(&self, now: Micros, office: OfficeId, (free, size): (f64, f64)) -> f64 {
+    fn free(&self, now: Micros, office: ExchangeId, (free, size): (f64, f64)) -> f64 {
         let Some(exchange) = self.listed.get(&office).map(|e| e.exchange) else { return free };
         if self.withdrawn.groups.contains(&exchange) {
             return 0.0;
@@ -138,7 +138,7 @@
             old.exchanges.contains(&e.exchange) != self.withdrawn.exchanges.contains(&e.exchange)
         };
         let entries = self.listed.values().filter(exchange).map(|e| self.effective(e)).collect();
-        let changed = |office: &OfficeId| {
+        let changed = |office: &ExchangeId| {
             self.listed.get(office).is_some_and(|e| {
                 old.groups.contains(&e.exchange) != self.withdrawn.groups.contains(&e.exchange)
             })
@@ -148,7 +148,7 @@
         Changes { entries, groups }
     }
 
-    fn group(&self, now: Micros, office: OfficeId, f: (f64, f64, Micros)) -> LoadReport {
+    fn group(&self, now: Micros, office: ExchangeId, f: (f64, f64, Micros)) -> LoadReport {
         LoadReport {
             free: Some(self.free(now, office, (f.0, f.1))),
             size: Some(f.1),
@@ -158,11 +158,11 @@
 
     /// Groups that come back little by little: their figures as they count now. To be told on about every tenth of
     /// the time that they take.
-    pub fn reopening(&mut self, now: Micros) -> Vec<(OfficeId, LoadReport)> {
+    pub fn reopening(&mut self, now: Micros) -> Vec<(ExchangeId, LoadReport)> {
         if self.reopened.is_empty() {
             return Vec::new();
         }
-        let of = |(&office, &f): (&OfficeId, &(f64, f64, Micros))| {
+        let of = |(&office, &f): (&ExchangeId, &(f64, f64, Micros))| {
             let exchange = self.listed.get(&office)?.exchange;
             self.reopened.contains_key(&exchange).then(|| (office, self.group(now, office, f)))
         };
@@ -173,7 +173,7 @@
     }
 
     /// Since when the group toward an office is withdrawn.
-    pub fn shut_since(&self, office: OfficeId) -> Option<Micros> {
+    pub fn shut_since(&self, office: ExchangeId) -> Option<Micros> {
         self.shut.get(&self.listed.get(&office)?.exchange).copied()
     }
 
@@ -183,7 +183,7 @@
     }
 
     /// The exchange that an office serves, while it is on the list.
-    pub fn exchange_of(&self, office: OfficeId) -> Option<ExchangeNo> {
+    pub fn exchange_of(&self, office: ExchangeId) -> Option<ExchangeNo> {
         self.listed.get(&office).map(|e| e.exchange)
     }
 
@@ -193,7 +193,7 @@
     }
 
     /// Free circuits and size of each group as they were told, and when.
-    pub fn figures(&self) -> impl Iterator<Item = (OfficeId, (f64, f64, Micros))> + '_ {
+    pub fn figures(&self) -> impl Iterator<Item = (ExchangeId, (f64, f64, Micros))> + '_ {
         self.figures.iter().map(|(&office, &f)| (office, f))
     }
 }
@@ -205,7 +205,7 @@
     const WARM: Micros = 15_000_000;
 
     fn entry(n: u16, state: ListState) -> ListEntry {
-        let office = OfficeId { addr: [0, 0, 0, n as u8], port: 0 };
+        let office = ExchangeId { addr: [0, 0, 0, n as u8], port: 0 };
         ListEntry { exchange: ExchangeNo(n), zone: 0, state, office, last_start: None }
     }
 
@@ -240,7 +240,7 @@
             assert_eq!(told[0].state, ListState::Draining);
         }
         // A replacement under a new name serves the same exchange: it is withdrawn as well.
-        let new = ListEntry { office: OfficeId { addr: [9; 4], port: 0 }, ..entry(1, ListState::Ready) };
+        let new = ListEntry { office: ExchangeId { addr: [9; 4], port: 0 }, ..entry(1, ListState::Ready) };
         let ListNews::Changes(told) = w.list(ListNews::Changes([new].into())) else { panic!() };
         assert_eq!(told[0].state, ListState::Draining);
         // The operator's ends first.
@@ -248,7 +248,7 @@
         let back = w.set(20, out(&[], &[])).entries;
         let state = |office| back.iter().find(|e| e.office == office).unwrap();
         assert_eq!(state(entry(1, ListState::Ready).office).state, ListState::Draining);
-        let ready = state(OfficeId { addr: [9; 4], port: 0 });
+        let ready = state(ExchangeId { addr: [9; 4], port: 0 });
         assert_eq!(
             (ready.state, ready.last_start),
             (ListState::Ready, Some(20)),
--- a/tests/call_agent.rs
+++ b/tests/call_agent.rs
@@ -42,7 +42,7 @@
     now: Micros,
     due: Deadlines<AgentDue>,
     gateway: SocketAddr,
-    office: OfficeId,
+    office: ExchangeId,
     next_call: u32,
     /// Calls of endpoints.
     calls: BTreeMap<CallId, Call>,
--- a/tests/models.rs
+++ b/tests/models.rs
@@ -24,8 +24,8 @@
     run.unwrap_or_else(|e| panic!("{e}"));
 }
 
-fn office(n: u16) -> OfficeId {
-    OfficeId { addr: [10, 0, 0, n as u8], port: 0 }
+fn office(n: u16) -> ExchangeId {
+    ExchangeId { addr: [10, 0, 0, n as u8], port: 0 }
 }
 
 fn entry(n: u16, state: ListState) -> ListEntry {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -39,8 +39,8 @@
     }
 }
 
-fn office(n: u16) -> OfficeId {
-    OfficeId { addr: [10, 0, 0, n as u8], port: 5060 }
+fn office(n: u16) -> ExchangeId {
+    ExchangeId { addr: [10, 0, 0, n as u8], port: 5060 }
 }
 
 fn entry(n: u16) -> ListEntry {
@@ -132,7 +132,7 @@
     }
 }
 
-fn sent(actions: &[Action]) -> Vec<OfficeId> {
+fn sent(actions: &[Action]) -> Vec<ExchangeId> {
     let to = |a: &Action| match a {
         Action::SetUp { office, .. } => Some(*office),
         _ => None,
@@ -156,7 +156,7 @@
 fn blocked_calls_take_the_tandems_in_turn() {
     let mut b = Bed::new();
     b.tell(group(1, 0.0));
-    let mut met: Vec<OfficeId> = (1..4).flat_map(|id| sent(&b.call(id, 1))).collect();
+    let mut met: Vec<ExchangeId> = (1..4).flat_map(|id| sent(&b.call(id, 1))).collect();
     met.sort_unstable();
     assert_eq!(met, [office(2), office(3), office(4)]);
 }
@@ -290,7 +290,7 @@
     let n = u16::from(first.addr[3]);
     let next = sent(&b.tell(ended(1, 0, n, Ending::Full, Cause::TurnedBack)));
     assert!(next.len() == 1 && next[0] != first);
-    let later: Vec<OfficeId> = (2..6).flat_map(|id| sent(&b.call(id, 1))).collect();
+    let later: Vec<ExchangeId> = (2..6).flat_map(|id| sent(&b.call(id, 1))).collect();
     assert!(!later.contains(&first));
 }
 
@@ -425,9 +425,9 @@
     let mut c = Controller::new(s.clone(), 3);
     let mut now = 50 * S;
     // Per call: deadline, attempt out (number, office), attempts so far, not before.
-    type Held = (Micros, Option<(u8, OfficeId)>, u8, Micros);
+    type Held = (Micros, Option<(u8, ExchangeId)>, u8, Micros);
     let mut open: BTreeMap<CallId, Held> = BTreeMap::new();
-    let mut told: BTreeMap<OfficeId, Micros> = BTreeMap::new();
+    let mut told: BTreeMap<ExchangeId, Micros> = BTreeMap::new();
     let mut next = 0;
     let mut events = vec![Event::List(ListNews::Cached((0..5).map(entry).collect()))];
     events.extend((1..5).map(|n| group(n, 9.0)));
@@ -794,7 +794,7 @@
     let mut b = Bed::new();
     let mut size_after = |rounds: u32| {
         for k in 0..rounds {
-            let fresh = OfficeId { addr: [10, 1, (k >> 8) as u8, k as u8], port: 1 + (k >> 16) as u16 };
+            let fresh = ExchangeId { addr: [10, 1, (k >> 8) as u8, k as u8], port: 1 + (k >> 16) as u16 };
             let come = ListEntry { office: fresh, ..entry(4) };
             b.tell(Event::List(ListNews::Changes([come.clone()].into())));
             b.tell(Event::Call(NewCall { number: Some(k.into()), ..call(10_000 + k, 1 + (k % 4) as u16) }));
@@ -1060,14 +1060,14 @@
     for n in 2..4u8 {
         b.tell(Event::Peer { from: PeerNo(9), body: vec![1, 0, n, 0] });
     }
-    let over: Vec<OfficeId> = (0..3).flat_map(|id| sent(&b.call(id, 1))).collect();
+    let over: Vec<ExchangeId> = (0..3).flat_map(|id| sent(&b.call(id, 1))).collect();
     assert!(over.contains(&office(2)) && over.contains(&office(3)), "{over:?}");
     // Two that speak for one exchange are both not heard from then on.
     let mut b = Bed::new();
     b.tell(group(1, 0.0));
     b.tell(Event::Peer { from: PeerNo(2), body: vec![1, 0, 2, 0b1_1111] });
     b.tell(Event::Peer { from: PeerNo(7), body: vec![1, 0, 2, 0] });
-    let over: Vec<OfficeId> = (0..3).flat_map(|id| sent(&b.call(id, 1))).collect();
+    let over: Vec<ExchangeId> = (0..3).flat_map(|id| sent(&b.call(id, 1))).collect();
     assert!(over.contains(&office(2)), "{over:?}");
 }
 
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -59,7 +59,7 @@
         exchange: ExchangeNo(1),
         zone: 0,
         state: ListState::Ready,
-        office: OfficeId::default(),
+        office: ExchangeId::default(),
         last_start: None,
     };
     ledger.list(0, ListNews::Cached([entry].into()));
--- a/tests/simulator.rs
+++ b/tests/simulator.rs
@@ -88,7 +88,7 @@
 #[test]
 fn actions_are_written_as_the_page_shows_them() {
     let mut r = Reply::default();
-    let office = OfficeId { addr: [10, 18, 74, 7], port: 9003 };
+    let office = ExchangeId { addr: [10, 18, 74, 7], port: 9003 };
     let call = CallId(0x5d3a_91c4);
     r.action(3, &Action::SetUp { call, office, timeout: Some(80_000) });
     r.action(3, &Action::SetTimer { after: 500_000, token: 77 });
--- a/tests/withdrawals.rs
+++ b/tests/withdrawals.rs
@@ -7,8 +7,8 @@
 const T0: Micros = 100_000_000;
 const MS: Micros = 1000;
 
-fn office(n: u8) -> OfficeId {
-    OfficeId { addr: [10, 0, 0, n], port: 5060 }
+fn office(n: u8) -> ExchangeId {
+    ExchangeId { addr: [10, 0, 0, n], port: 5060 }
 }
 
 fn circuits(free: f64) -> LoadReport {
@@ -71,7 +71,7 @@
     (call, l.take_outputs())
 }
 
-fn sent(outputs: &[Output]) -> Option<OfficeId> {
+fn sent(outputs: &[Output]) -> Option<ExchangeId> {
     outputs.iter().find_map(|o| match o {
         Output::SetUp { office, .. } => Some(*office),
         _ => None,
