--- a/examples/gossip_tables.rs
+++ b/examples/gossip_tables.rs
@@ -189,7 +189,7 @@
     };
     let settings = Settings {
         classes: vec![class],
-        own: Some(ExchangeNo(i as u16)),
+        own: Some(ExchangeNumber(i as u16)),
         release: 500_000,
         drain_grace: 250_000,
         may_call_off: true,
@@ -204,7 +204,7 @@
     };
     let mut ledger = Ledger::new(settings, i as u64 + 1);
     let entry = |j: usize| ListEntry {
-        exchange: ExchangeNo(j as u16),
+        exchange: ExchangeNumber(j as u16),
         zone: 0,
         state: ListState::Ready,
         office: office(j),
@@ -332,7 +332,7 @@
         self.offered[usize::from(to != HUNG)] += 1;
         let ask = NewCall {
             call: CallId(0),
-            destination: ExchangeNo(to as u16),
+            destination: ExchangeNumber(to as u16),
             transit: false,
             redialled: false,
             cut_before: false,
@@ -353,7 +353,7 @@
             lab.run_until(now);
             for (_, i, said) in std::mem::take(&mut lab.said) {
                 if let (NodeOutput::Suspected(all), true) = (said, i < SITES) {
-                    let all: BTreeSet<ExchangeNo> = all.into_iter().map(|e| ExchangeNo(e.0)).collect();
+                    let all: BTreeSet<ExchangeNumber> = all.into_iter().map(|e| ExchangeNumber(e.0)).collect();
                     self.sites[i].ledger.suspect(now, all);
                     self.follow(i);
                 }
--- a/src/program/appliance.rs
+++ b/src/program/appliance.rs
@@ -9,7 +9,7 @@
 use super::gossip::Gossip;
 use super::log::Log;
 use super::views::{Loads, Scene, CALLS};
-use crate::routing::interface::{Cause, Ending, ExchangeNo, Micros, Withdrawn};
+use crate::routing::interface::{Cause, Ending, ExchangeNumber, Micros, Withdrawn};
 use crate::routing::ledger::{Answer, Last, Ledger, Output as LedgerOutput};
 use crate::transport::ControlNews;
 use async_channel::Sender;
@@ -62,7 +62,7 @@
     exchanges: Exchanges,
     alarms: Alarms,
     marks: Marks,
-    links: BTreeSet<(ExchangeNo, ExchangeNo)>,
+    links: BTreeSet<(ExchangeNumber, ExchangeNumber)>,
     sessions: Sessions,
     /// One message at a time may be on its way to each program.
     queues: HashMap<Client, Sender<Vec<u8>>>,
@@ -87,8 +87,8 @@
     }
 }
 
-fn exchanges(of: &BTreeSet<Exchange>) -> BTreeSet<ExchangeNo> {
-    of.iter().map(|e| ExchangeNo(e.0)).collect()
+fn exchanges(of: &BTreeSet<Exchange>) -> BTreeSet<ExchangeNumber> {
+    of.iter().map(|e| ExchangeNumber(e.0)).collect()
 }
 
 fn millis(span: Micros) -> f64 {
@@ -104,7 +104,7 @@
     pub fn new(
         now: Now,
         config: &ApplianceConfig,
-        own: Option<ExchangeNo>,
+        own: Option<ExchangeNumber>,
         drain_grace: Micros,
         saved: Option<Saved>,
         log: Option<Rc<Log>>,
@@ -227,7 +227,7 @@
     }
 
     /// Why a call was refused, as far as its last attempt, or the lack of one, tells.
-    fn refusal(&self, destination: ExchangeNo, last: Option<Last>) -> Fate {
+    fn refusal(&self, destination: ExchangeNumber, last: Option<Last>) -> Fate {
         let w = self.book.withdrawn();
         match last.and_then(|l| l.how) {
             _ if w.all || w.exchanges.contains(&Exchange(destination.0)) => Fate::Drained,
--- a/src/program/appliance_file.rs
+++ b/src/program/appliance_file.rs
@@ -6,7 +6,7 @@
 
 use super::config::MgcpConfig;
 use super::toml_check::{self, Checker, Fault};
-use crate::routing::interface::{ExchangeNo, Micros};
+use crate::routing::interface::{ExchangeNumber, Micros};
 use ipnet::IpNet;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -312,11 +312,11 @@
     /// When alarms are raised.
     pub alarms: AlarmMarks,
     /// Trunk groups between other exchanges; empty: not known.
-    pub links: BTreeSet<(ExchangeNo, ExchangeNo)>,
+    pub links: BTreeSet<(ExchangeNumber, ExchangeNumber)>,
     /// The whole list of exchanges, as a coordinator would tell it.
     pub list: Option<String>,
     /// Prefixes of numbers, and whose they are.
-    pub prefixes: Vec<(String, ExchangeNo)>,
+    pub prefixes: Vec<(String, ExchangeNumber)>,
     /// All that a platform would tell, if the file has a site.
     pub platform: Option<Value>,
 }
@@ -385,8 +385,8 @@
         if g.from == g.to {
             c.add(format!("group.{i}.to"), format!("found {}, the same exchange at both ends", g.to));
         }
-        links.insert((ExchangeNo(g.from), ExchangeNo(g.to)));
-        links.insert((ExchangeNo(g.to), ExchangeNo(g.from)));
+        links.insert((ExchangeNumber(g.from), ExchangeNumber(g.to)));
+        links.insert((ExchangeNumber(g.to), ExchangeNumber(g.from)));
     }
     let windows = windows(c, &f.window);
     let usual = Policy::default();
@@ -435,8 +435,8 @@
     c: &mut Checker<'_>,
     f: &ApplianceFile,
     nets: &[IpNet],
-) -> (Option<String>, Vec<(String, ExchangeNo)>) {
-    let (mut members, mut prefixes) = (Vec::new(), Vec::<(String, ExchangeNo)>::new());
+) -> (Option<String>, Vec<(String, ExchangeNumber)>) {
+    let (mut members, mut prefixes) = (Vec::new(), Vec::<(String, ExchangeNumber)>::new());
     for (i, e) in f.exchange.iter().enumerate() {
         let key = |name: &str| format!("exchange.{i}.{name}");
         let before = &f.exchange[..i];
@@ -455,7 +455,7 @@
         }
         for p in &e.prefixes {
             overlap(c, &key("prefixes"), p, &prefixes);
-            prefixes.push((p.clone(), ExchangeNo(e.exchange)));
+            prefixes.push((p.clone(), ExchangeNumber(e.exchange)));
         }
         members.push(json!({"id": e.name, "host_port": e.address, "cell": e.exchange, "phase": "up"}));
     }
@@ -464,7 +464,7 @@
 }
 
 /// A number must be one exchange's: no prefix may be the beginning of another.
-fn overlap(c: &mut Checker<'_>, key: &str, prefix: &str, others: &[(String, ExchangeNo)]) {
+fn overlap(c: &mut Checker<'_>, key: &str, prefix: &str, others: &[(String, ExchangeNumber)]) {
     if prefix.is_empty() || !prefix.bytes().all(|b| b.is_ascii_digit()) {
         c.add(key, format!("found {prefix:?}, expected digits"));
     } else if let Some(o) = others.iter().find(|o| o.0.starts_with(prefix) || prefix.starts_with(&o.0)) {
@@ -614,9 +614,9 @@
             a.windows[0].when,
             When::Weekly { days: [true, false, false, true, false, false, false], from: 7200 * SECOND }
         );
-        assert!(a.links.contains(&(ExchangeNo(5), ExchangeNo(4))) && a.list.unwrap().contains("yoff"));
+        assert!(a.links.contains(&(ExchangeNumber(5), ExchangeNumber(4))) && a.list.unwrap().contains("yoff"));
         let config = super::super::config::parse(&a.platform.unwrap()).unwrap();
-        assert_eq!((config.settings.own, config.settings.drain_grace), (Some(ExchangeNo(0)), 250_000));
+        assert_eq!((config.settings.own, config.settings.drain_grace), (Some(ExchangeNumber(0)), 250_000));
         assert!(read("f", "").unwrap().is_none());
         assert!(read("f", "enabled = false\n[control]\nsocket = 7\n").unwrap().is_none());
     }
--- a/src/program/config.rs
+++ b/src/program/config.rs
@@ -5,7 +5,7 @@
 use super::toml_check::Fault;
 use crate::protocol::mgcp::agent::{AgentConfig, AnsweredBy, Gateway};
 use crate::protocol::{simulator, text_settings};
-use crate::routing::interface::{ExchangeNo, Micros, Settings};
+use crate::routing::interface::{ExchangeNumber, Micros, Settings};
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -286,7 +286,7 @@
         if name.is_empty() || name.contains('@') || gateways.iter().any(|o| o.name == name) {
             return Err(bad(&key("name"), "empty, with an @, or there twice"));
         }
-        let exchange = ExchangeNo(g.exchange);
+        let exchange = ExchangeNumber(g.exchange);
         if Some(exchange) == config.settings.own || gateways.iter().any(|o| o.exchange == exchange) {
             return Err(bad(&key("exchange"), "the own exchange, or there twice"));
         }
@@ -308,7 +308,7 @@
     if gateways.is_empty() {
         return Err(ConfigError::Missing("mgcp.gateway".to_owned()));
     }
-    let routes = file.route.into_iter().map(|r| (r.prefix, ExchangeNo(r.exchange))).collect();
+    let routes = file.route.into_iter().map(|r| (r.prefix, ExchangeNumber(r.exchange))).collect();
     let patience = Micros::from(patience) * 1000;
     let agent = AgentConfig { gateways, routes, digits, class, patience };
     Ok(Some(MgcpConfig { listen, agent }))
--- a/src/program/gossip.rs
+++ b/src/program/gossip.rs
@@ -2,7 +2,7 @@
 //! goes to the decision module as an event of its interface.
 
 use super::gossip_file::GossipConfig;
-use crate::routing::interface::{CallId, Cause, Ending, ExchangeNo, Micros, PeerNo};
+use crate::routing::interface::{CallId, Cause, Ending, ExchangeNumber, Micros, PeerNo};
 use crate::routing::ledger::{Answer, Ledger, Output as LedgerOutput};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -22,7 +22,7 @@
     /// Send a datagram.
     Datagram(SocketAddr, Vec<u8>),
     /// These exchanges are suspected, and no others.
-    Suspect(BTreeSet<ExchangeNo>),
+    Suspect(BTreeSet<ExchangeNumber>),
     /// A message of a peer, bound to who sent it.
     Peer(PeerNo, Vec<u8>),
     /// Something happened.
@@ -45,7 +45,7 @@
     todo: Vec<Output>,
 }
 
-fn exchange(e: ExchangeNo) -> Exchange {
+fn exchange(e: ExchangeNumber) -> Exchange {
     Exchange(e.0)
 }
 
@@ -133,7 +133,7 @@
             let offices: Vec<_> = ledger.withdrawals().offices().collect();
             let linked = offices.iter().filter(|(_, g)| g.is_some_and(|g| g.1 >= 1.0));
             self.node.set_links(&linked.map(|(e, _)| exchange(e.exchange)).collect());
-            let known: BTreeSet<ExchangeNo> = offices.iter().map(|(e, _)| e.exchange).collect();
+            let known: BTreeSet<ExchangeNumber> = offices.iter().map(|(e, _)| e.exchange).collect();
             self.node.set_exchanges(known.len());
             self.node.set_pressed((ledger.pressed(now) * 200.0).clamp(0.0, 255.0) as u8);
         }
@@ -157,7 +157,7 @@
             match output {
                 node::Output::Send(to, bytes) => self.todo.push(Output::Datagram(to, bytes)),
                 node::Output::Suspected(all) => {
-                    let all = all.into_iter().map(|e| ExchangeNo(e.0)).collect();
+                    let all = all.into_iter().map(|e| ExchangeNumber(e.0)).collect();
                     self.todo.push(Output::Suspect(all));
                 }
                 node::Output::Links { member, own, from, bits } => self.link(member, own, from, bits),
--- a/src/program/switchboard/exports.rs
+++ b/src/program/switchboard/exports.rs
@@ -3,7 +3,7 @@
 use super::{Due, Switchboard, Task, SPANS};
 use crate::program::telemetry::ExportCounts;
 use crate::protocol::otlp::{CallSpan, Snapshot};
-use crate::routing::interface::{CallId, ExchangeNo, Micros};
+use crate::routing::interface::{CallId, ExchangeNumber, Micros};
 use crate::routing::ledger::Answer;
 use std::rc::Rc;
 
@@ -18,7 +18,7 @@
         call: CallId,
         answer: &Answer,
         (from, to): (Micros, Micros),
-        destination: ExchangeNo,
+        destination: ExchangeNumber,
     ) {
         if !self.config.telemetry.as_ref().is_some_and(|t| t.spans) {
             return;
--- a/src/program/views.rs
+++ b/src/program/views.rs
@@ -6,7 +6,7 @@
 use super::switchboard::GATEWAYS;
 use crate::protocol::mgcp::agent::Agent;
 use crate::protocol::upstream::UpstreamConnections;
-use crate::routing::interface::{ExchangeNo, ListState, Micros, ExchangeId};
+use crate::routing::interface::{ExchangeNumber, ListState, Micros, ExchangeId};
 use crate::routing::ledger::{CallView, Ledger};
 use std::collections::{BTreeMap, BTreeSet};
 use walnuthatch_control::views::{Call, Exchange, Status};
@@ -94,7 +94,7 @@
     pub fn exchanges(&self) -> Vec<Exchange> {
         let loads = self.loads();
         let figures: BTreeMap<ExchangeId, _> = self.ledger.withdrawals().figures().collect();
-        let of = |office: &ExchangeId, exchange: ExchangeNo, name: &str, address: String, state, connected| {
+        let of = |office: &ExchangeId, exchange: ExchangeNumber, name: &str, address: String, state, connected| {
             let known = figures.get(office);
             let Load { out, standing } = loads.load(Target::Group(target::Exchange(exchange.0)));
             Exchange {
@@ -164,19 +164,19 @@
 /// The site as drains see it.
 pub struct Loads<'a> {
     scene: &'a Scene<'a>,
-    loads: BTreeMap<(ExchangeNo, ExchangeNo), (u32, u32)>,
-    links: Option<&'a BTreeSet<(ExchangeNo, ExchangeNo)>>,
+    loads: BTreeMap<(ExchangeNumber, ExchangeNumber), (u32, u32)>,
+    links: Option<&'a BTreeSet<(ExchangeNumber, ExchangeNumber)>>,
     health: Health,
 }
 
 impl<'a> Loads<'a> {
     /// With what is known of the groups between other exchanges, and how calls fare.
-    pub fn with(self, links: &'a BTreeSet<(ExchangeNo, ExchangeNo)>, health: Health) -> Self {
+    pub fn with(self, links: &'a BTreeSet<(ExchangeNumber, ExchangeNumber)>, health: Health) -> Self {
         Loads { links: Some(links), health, ..self }
     }
 
     /// Calls that stand, by first leg and destination.
-    pub fn standing(&self) -> impl Iterator<Item = (ExchangeNo, ExchangeNo, u32)> + '_ {
+    pub fn standing(&self) -> impl Iterator<Item = (ExchangeNumber, ExchangeNumber, u32)> + '_ {
         self.loads.iter().filter(|l| l.1 .1 > 0).map(|(&(leg, to), l)| (leg, to, l.1))
     }
 }
@@ -190,7 +190,7 @@
                 standing: of(self.scene.ledger.standing_calls()),
             };
         }
-        let at = |leg: ExchangeNo, to: ExchangeNo| match target {
+        let at = |leg: ExchangeNumber, to: ExchangeNumber| match target {
             // A call over a tandem is at its destination too.
             Target::Exchange(e) => leg.0 == e.0 || to.0 == e.0,
             Target::Group(e) => leg.0 == e.0,
@@ -202,7 +202,7 @@
 
     fn neighbours(&self) -> Vec<Neighbour> {
         let own = self.scene.config.settings.own;
-        let mut all: BTreeMap<ExchangeNo, Neighbour> = BTreeMap::new();
+        let mut all: BTreeMap<ExchangeNumber, Neighbour> = BTreeMap::new();
         for (e, group) in self.scene.ledger.withdrawals().offices().filter(|o| Some(o.0.exchange) != own) {
             let ready = e.state == ListState::Ready;
             let n = Neighbour { exchange: target::Exchange(e.exchange.0), ready, group };
@@ -220,6 +220,6 @@
 
     fn linked(&self, tandem: target::Exchange, to: target::Exchange) -> Option<bool> {
         let links = self.links.filter(|l| !l.is_empty())?;
-        Some(links.contains(&(ExchangeNo(tandem.0), ExchangeNo(to.0))))
+        Some(links.contains(&(ExchangeNumber(tandem.0), ExchangeNumber(to.0))))
     }
 }
--- a/src/protocol/client/messages.rs
+++ b/src/protocol/client/messages.rs
@@ -98,7 +98,7 @@
         let key = message.field("key").filter(|k| !k.is_empty());
         let ask = NewCall {
             call: CallId(0),
-            destination: ExchangeNo(figures.get("dest").copied().and_then(exchange)?),
+            destination: ExchangeNumber(figures.get("dest").copied().and_then(exchange)?),
             transit: flag("transit"),
             redialled: message.field("retry").is_some_and(|r| r != "0"),
             cut_before: flag("again"),
@@ -106,7 +106,7 @@
             width: width as u32,
             patience,
             class,
-            via: via.map(ExchangeNo),
+            via: via.map(ExchangeNumber),
             not_before,
         };
         Some(Offer { front: self.front, ask, description: message.text.clone() })
--- a/src/protocol/client/mod.rs
+++ b/src/protocol/client/mod.rs
@@ -13,7 +13,7 @@
 use super::json_lines::{cause, figures, EarlierLife, Kind, Message, Sid};
 use super::ConnId;
 use crate::planted::{planted, Planted};
-use crate::routing::interface::{CallId, ExchangeNo, Micros, NewCall};
+use crate::routing::interface::{CallId, ExchangeNumber, Micros, NewCall};
 use crate::routing::ledger::{Answer, FrontId, Offer};
 use given_up::GivenUp;
 use serde_json::Value;
--- a/src/protocol/membership.rs
+++ b/src/protocol/membership.rs
@@ -2,7 +2,7 @@
 //! exchanges in it.
 
 use crate::planted::{planted, Planted};
-use crate::routing::interface::{ExchangeNo, ListEntry, ListNews, ListState, ExchangeId};
+use crate::routing::interface::{ExchangeNumber, ListEntry, ListNews, ListState, ExchangeId};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -124,7 +124,7 @@
                 ListState::Gone => self.names.remove(&m.id),
                 _ => Some(self.office(&m.id)),
             };
-            let (exchange, Some(office)) = (ExchangeNo(m.cell), office) else { continue };
+            let (exchange, Some(office)) = (ExchangeNumber(m.cell), office) else { continue };
             entries.push(ListEntry { exchange, zone, state, office, last_start });
             places.push(Place { member: m.id, address });
         }
--- a/src/protocol/mgcp/agent.rs
+++ b/src/protocol/mgcp/agent.rs
@@ -11,7 +11,7 @@
 use super::message::{self, events, Command, Endpoint, Packet, Params, Response, Verb};
 use super::transactions::{command, Commands, History, Repeat};
 use crate::routing::interface::{
-    AttemptNo, CallId, Cause, Ending, ExchangeNo, ListEntry, ListState, LoadReport, Micros, NewCall, ExchangeId,
+    AttemptNo, CallId, Cause, Ending, ExchangeNumber, ListEntry, ListState, LoadReport, Micros, NewCall, ExchangeId,
 };
 use crate::routing::ledger::{Answer, Description, FrontId, Offer};
 use std::collections::BTreeMap;
@@ -44,7 +44,7 @@
     /// Its address.
     pub address: SocketAddr,
     /// The exchange that it counts as.
-    pub exchange: ExchangeNo,
+    pub exchange: ExchangeNumber,
     /// Numbers that begin with this are its; none if empty.
     pub prefix: String,
     /// Its endpoints' local names, in small letters.
@@ -59,7 +59,7 @@
     /// The gateways.
     pub gateways: Vec<Gateway>,
     /// Further numbers: prefix and exchange.
-    pub routes: Vec<(String, ExchangeNo)>,
+    pub routes: Vec<(String, ExchangeNumber)>,
     /// Digits of a number; dialling is over when they are complete.
     pub digits: usize,
     /// The class of calls from endpoints.
@@ -145,7 +145,7 @@
     Dialling(String),
     /// The caller's connection is being made.
     Preparing {
-        to: ExchangeNo,
+        to: ExchangeNumber,
         number: String,
         until: Micros,
     },
--- a/src/protocol/simulator.rs
+++ b/src/protocol/simulator.rs
@@ -291,7 +291,7 @@
     let mut entries = Vec::with_capacity(n);
     for chunk in bytes.chunks_exact(ENTRY) {
         let mut e = Fields { code: f.code, rest: chunk };
-        let exchange = ExchangeNo(e.u16()?);
+        let exchange = ExchangeNumber(e.u16()?);
         let zone = e.u8()?;
         let state = match e.u8()? {
             0 => ListState::Ready,
@@ -339,8 +339,8 @@
     })
 }
 
-fn exchange(v: f64) -> Option<ExchangeNo> {
-    (0.0..=65535.0).contains(&v).then_some(ExchangeNo(v as u16))
+fn exchange(v: f64) -> Option<ExchangeNumber> {
+    (0.0..=65535.0).contains(&v).then_some(ExchangeNumber(v as u16))
 }
 
 /// Milliseconds to microseconds; what is no number becomes 0, what is too large the largest value.
@@ -569,7 +569,7 @@
 }
 
 /// The pools of class `i`: written as a list of lists, or as one list for all classes.
-fn pools(t: &Text<'_>, flat: &[&str], i: usize) -> Vec<ExchangeNo> {
+fn pools(t: &Text<'_>, flat: &[&str], i: usize) -> Vec<ExchangeNumber> {
     let own = t.0.get(format!("extra.allowedPools.{i}").as_str());
     let words: Vec<&str> = own.map_or_else(|| flat.to_vec(), |v| v.split(',').collect());
     words.into_iter().filter_map(number).filter_map(exchange).collect()
--- a/src/protocol/upstream/mod.rs
+++ b/src/protocol/upstream/mod.rs
@@ -16,7 +16,7 @@
 use super::ConnId;
 use crate::planted::{planted, Planted};
 use crate::routing::interface::{
-    AttemptNo, CallId, Cause, Ending, ExchangeNo, ListEntry, ListState, LoadReport, Micros, ExchangeId,
+    AttemptNo, CallId, Cause, Ending, ExchangeNumber, ListEntry, ListState, LoadReport, Micros, ExchangeId,
 };
 use crate::routing::ledger::Description;
 use lease::{Generation, Leases};
@@ -258,7 +258,7 @@
     probes: HashMap<Sid, ExchangeId>,
     connect_timeout: Micros,
     /// The exchange that this controller runs in: nothing is ever sent there.
-    own: Option<ExchangeNo>,
+    own: Option<ExchangeNumber>,
     earlier: EarlierLife,
     next_conn: u64,
     next_probe: u64,
@@ -268,7 +268,7 @@
 
 impl UpstreamConnections {
     /// No links yet. A connection that is not up after `connect_timeout` was not made.
-    pub fn new(now: Micros, connect_timeout: Micros, own: Option<ExchangeNo>) -> Self {
+    pub fn new(now: Micros, connect_timeout: Micros, own: Option<ExchangeNumber>) -> Self {
         UpstreamConnections {
             links: BTreeMap::new(),
             conns: HashMap::new(),
--- a/src/routing/control/mod.rs
+++ b/src/routing/control/mod.rs
@@ -78,7 +78,7 @@
     held: BTreeSet<(i64, Micros, CallId)>,
     offices: Vec<Office>,
     by_id: BTreeMap<ExchangeId, usize>,
-    by_exchange: BTreeMap<ExchangeNo, usize>,
+    by_exchange: BTreeMap<ExchangeNumber, usize>,
     seed: u64,
     /// Next tandem in turn.
     rotor: usize,
@@ -87,7 +87,7 @@
     /// Share of the set-ups out long that were lost rather than slow, smoothed.
     lost: f64,
     /// Ways to each destination, by tandem.
-    ways: BTreeMap<(ExchangeNo, usize), Way>,
+    ways: BTreeMap<(ExchangeNumber, usize), Way>,
     numbers: BTreeMap<u64, Micros>,
     /// Own set-ups of the last while.
     sent: VecDeque<Micros>,
@@ -117,9 +117,9 @@
     /// What operators took out of service.
     withdrawn: Withdrawn,
     /// What others' evidence speaks against.
-    suspected: BTreeSet<ExchangeNo>,
+    suspected: BTreeSet<ExchangeNumber>,
     /// The exchange that each peer speaks for.
-    voices: BTreeMap<PeerNo, ExchangeNo>,
+    voices: BTreeMap<PeerNo, ExchangeNumber>,
 }
 
 impl Controller {
--- a/src/routing/control/office.rs
+++ b/src/routing/control/office.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Office {
     pub(super) id: ExchangeId,
-    pub(super) exchange: ExchangeNo,
+    pub(super) exchange: ExchangeNumber,
     pub(super) state: ListState,
     /// Start of the processor, while that matters.
     pub(super) started: Option<Micros>,
@@ -73,7 +73,7 @@
     }
 
     /// Whether it may have a group with that exchange.
-    pub(super) fn leads_to(&self, to: ExchangeNo) -> bool {
+    pub(super) fn leads_to(&self, to: ExchangeNumber) -> bool {
         self.links.get(usize::from(to.0 / 8)).is_none_or(|bits| bits & (1 << (to.0 % 8)) != 0)
     }
 
--- a/src/routing/control/outcome.rs
+++ b/src/routing/control/outcome.rs
@@ -70,7 +70,7 @@
             (Ending::Full, Cause::TurnedBack) => {
                 // One turned back for its destination's faults tells nothing of the way.
                 let faults =
-                    |d: &ExchangeNo| self.by_exchange.get(d).map_or(0.0, |&f| self.offices[f].faults);
+                    |d: &ExchangeNumber| self.by_exchange.get(d).map_or(0.0, |&f| self.offices[f].faults);
                 if let Some(d) = destination.filter(|d| faults(d) < FAULTS_LEAST) {
                     self.note_turn(now, d, i, false);
                 }
--- a/src/routing/control/peers.rs
+++ b/src/routing/control/peers.rs
@@ -28,7 +28,7 @@
 
     pub(super) fn on_peer(&mut self, from: PeerNo, body: &[u8]) {
         if let [TELL_GROUPS, high, low, links @ ..] = body {
-            let named = ExchangeNo(u16::from_be_bytes([*high, *low]));
+            let named = ExchangeNumber(u16::from_be_bytes([*high, *low]));
             // Danger: one peer could speak for another's exchange.
             let bound = *self.voices.entry(from).or_insert(named) == named
                 && !self.voices.iter().any(|(p, e)| *p != from && *e == named);
--- a/src/routing/control/route.rs
+++ b/src/routing/control/route.rs
@@ -119,7 +119,7 @@
     }
 
     /// Whether the class may go to that pool (always, between exchanges).
-    pub(super) fn skilled(&self, ask: &NewCall, exchange: ExchangeNo) -> bool {
+    pub(super) fn skilled(&self, ask: &NewCall, exchange: ExchangeNumber) -> bool {
         let pools = self.settings.classes.get(ask.class).map_or(&[][..], |c| &c.pools);
         self.settings.shape == Shape::Mesh || pools.is_empty() || pools.contains(&exchange)
     }
--- a/src/routing/control/tandem.rs
+++ b/src/routing/control/tandem.rs
@@ -18,7 +18,7 @@
 
 impl Controller {
     /// Notes how a call to there over that tandem went, as far as the tandem's own groups decided it.
-    pub(super) fn note_turn(&mut self, now: Micros, to: ExchangeNo, tandem: usize, stood: bool) {
+    pub(super) fn note_turn(&mut self, now: Micros, to: ExchangeNumber, tandem: usize, stood: bool) {
         if self.ways.get(&(to, tandem)).is_none_or(|w| now - w.open >= WAY_OPEN) {
             self.luck += LUCK_SMOOTH * (f64::from(u8::from(stood)) - self.luck);
         }
@@ -30,7 +30,7 @@
     }
 
     /// Notes that the way over that tandem is open.
-    pub(super) fn note_open(&mut self, now: Micros, to: ExchangeNo, tandem: usize) {
+    pub(super) fn note_open(&mut self, now: Micros, to: ExchangeNumber, tandem: usize) {
         self.ways.entry((to, tandem)).or_insert(Way { back: 0, open: now }).open = now;
     }
 }
--- a/src/routing/interface.rs
+++ b/src/routing/interface.rs
@@ -16,7 +16,7 @@
 
 /// The number of an exchange (or of a pool of agents), by which calls name their destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Default)]
-pub struct ExchangeNo(pub u16);
+pub struct ExchangeNumber(pub u16);
 
 /// The machine that serves an exchange: a replacement has the same exchange number, another office.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Default)]
@@ -77,7 +77,7 @@
     /// Mean length of a call; 0 if not told.
     pub hold: Micros,
     /// Pools that the class may go to; empty means all (pools only).
-    pub pools: Vec<ExchangeNo>,
+    pub pools: Vec<ExchangeNumber>,
 }
 
 /// What a call server is told at start.
@@ -88,7 +88,7 @@
     /// Layout of the network.
     pub shape: Shape,
     /// The exchange this controller runs in.
-    pub own: Option<ExchangeNo>,
+    pub own: Option<ExchangeNumber>,
     /// Zone of this call server.
     pub zone: u8,
     /// Call servers in the tier, this one included.
@@ -189,7 +189,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListEntry {
     /// The exchange that it serves.
-    pub exchange: ExchangeNo,
+    pub exchange: ExchangeNumber,
     /// Its zone.
     pub zone: u8,
     /// Its state.
@@ -219,7 +219,7 @@
     /// Its id.
     pub call: CallId,
     /// Where it goes.
-    pub destination: ExchangeNo,
+    pub destination: ExchangeNumber,
     /// It was passed on by another call server.
     pub transit: bool,
     /// The caller tried before.
@@ -235,7 +235,7 @@
     /// Its class.
     pub class: usize,
     /// Advised tandem; for a call in transit, where it comes from.
-    pub via: Option<ExchangeNo>,
+    pub via: Option<ExchangeNumber>,
     /// No attempt before this time: an earlier one, of the same request, may have run.
     pub not_before: Micros,
 }
@@ -245,16 +245,16 @@
 #[derive(Clone, Debug, PartialEq, Eq, Default)]
 pub struct Withdrawn {
     /// Exchanges that no call is for.
-    pub exchanges: BTreeSet<ExchangeNo>,
+    pub exchanges: BTreeSet<ExchangeNumber>,
     /// Groups that take no new calls, by the exchange at the far end.
-    pub groups: BTreeSet<ExchangeNo>,
+    pub groups: BTreeSet<ExchangeNumber>,
     /// This controller takes no new calls.
     pub all: bool,
 }
 
 impl Withdrawn {
     /// Whether an exchange, or the group toward it, is out of service.
-    pub fn holds(&self, exchange: ExchangeNo) -> bool {
+    pub fn holds(&self, exchange: ExchangeNumber) -> bool {
         self.exchanges.contains(&exchange) || self.groups.contains(&exchange)
     }
 }
@@ -359,7 +359,7 @@
     /// Operators took this out of service, and nothing else.
     Withdrawn(Withdrawn),
     /// These exchanges are suspected of taking set-ups and answering none, and no others.
-    Suspected(BTreeSet<ExchangeNo>),
+    Suspected(BTreeSet<ExchangeNumber>),
     /// A timer is due.
     Timer(u64),
 }
--- a/src/routing/ledger.rs
+++ b/src/routing/ledger.rs
@@ -111,7 +111,7 @@
         /// When the call was taken.
         taken: Micros,
         /// Where it goes.
-        destination: ExchangeNo,
+        destination: ExchangeNumber,
         /// The last set-up, if one was sent.
         last: Option<Last>,
     },
@@ -120,7 +120,7 @@
         /// The call.
         call: CallId,
         /// The exchange that it went to, if it was on the list.
-        leg: Option<ExchangeNo>,
+        leg: Option<ExchangeNumber>,
         /// How.
         ending: Ending,
         /// Why.
@@ -156,7 +156,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Last {
     /// The exchange that it went to, if it was on the list.
-    pub leg: Option<ExchangeNo>,
+    pub leg: Option<ExchangeNumber>,
     /// How long it was out.
     pub took: Micros,
     /// How it ended; `None`: the call stands.
@@ -216,7 +216,7 @@
     attempts: u8,
     quiet_until: Micros,
     /// The exchange that the last set-up went to.
-    leg: Option<ExchangeNo>,
+    leg: Option<ExchangeNumber>,
     last: Option<Last>,
 }
 
@@ -253,11 +253,11 @@
     /// Its front.
     pub front: FrontId,
     /// Where it goes.
-    pub destination: ExchangeNo,
+    pub destination: ExchangeNumber,
     /// What it is doing.
     pub doing: &'static str,
     /// The exchange that its set-up went to, while one is out or stands.
-    pub leg: Option<ExchangeNo>,
+    pub leg: Option<ExchangeNumber>,
     /// Since when.
     pub since: Micros,
 }
@@ -431,7 +431,7 @@
     }
 
     /// These exchanges are suspected of taking set-ups and answering none, and no others.
-    pub fn suspect(&mut self, now: Micros, suspected: BTreeSet<ExchangeNo>) {
+    pub fn suspect(&mut self, now: Micros, suspected: BTreeSet<ExchangeNumber>) {
         self.drive(now, Event::Suspected(suspected));
     }
 
@@ -448,7 +448,7 @@
     }
 
     /// Releases the calls that stand and that `which` picks by their first leg and destination, towards both sides.
-    pub fn cut(&mut self, now: Micros, which: impl Fn(Option<ExchangeNo>, ExchangeNo) -> bool) {
+    pub fn cut(&mut self, now: Micros, which: impl Fn(Option<ExchangeNumber>, ExchangeNumber) -> bool) {
         let of = |(&call, e): (&CallId, &Entry)| match e.stage {
             Stage::Standing { attempt, office, .. } if which(e.leg, e.offer.ask.destination) => {
                 Some((call, attempt, office))
@@ -565,7 +565,7 @@
     }
 
     /// Set-ups that are out and calls that stand, by first leg and destination.
-    pub fn loads(&self) -> BTreeMap<(ExchangeNo, ExchangeNo), (u32, u32)> {
+    pub fn loads(&self) -> BTreeMap<(ExchangeNumber, ExchangeNumber), (u32, u32)> {
         let mut loads: BTreeMap<_, (u32, u32)> = BTreeMap::new();
         for e in self.calls.values() {
             let Some(leg) = e.leg else { continue };
--- a/src/routing/withdrawals.rs
+++ b/src/routing/withdrawals.rs
@@ -5,7 +5,7 @@
 //! has for a cold processor, and a group's circuits come back little by little, so that nothing gets its full share
 //! at once. While nothing was ever withdrawn, all passes through unchanged.
 
-use super::interface::{ExchangeNo, ListEntry, ListNews, ListState, LoadReport, Micros, ExchangeId, Withdrawn};
+use super::interface::{ExchangeNumber, ListEntry, ListNews, ListState, LoadReport, Micros, ExchangeId, Withdrawn};
 use std::collections::BTreeMap;
 
 /// What follows for the module when something is withdrawn or comes back.
@@ -27,11 +27,11 @@
     figures: BTreeMap<ExchangeId, (f64, f64, Micros)>,
     withdrawn: Withdrawn,
     /// Groups that are withdrawn, and since when.
-    shut: BTreeMap<ExchangeNo, Micros>,
+    shut: BTreeMap<ExchangeNumber, Micros>,
     /// Exchanges that came back, and when.
-    returned: BTreeMap<ExchangeNo, Micros>,
+    returned: BTreeMap<ExchangeNumber, Micros>,
     /// Groups that came back, and when.
-    reopened: BTreeMap<ExchangeNo, Micros>,
+    reopened: BTreeMap<ExchangeNumber, Micros>,
 }
 
 impl Withdrawals {
@@ -183,7 +183,7 @@
     }
 
     /// The exchange that an office serves, while it is on the list.
-    pub fn exchange_of(&self, office: ExchangeId) -> Option<ExchangeNo> {
+    pub fn exchange_of(&self, office: ExchangeId) -> Option<ExchangeNumber> {
         self.listed.get(&office).map(|e| e.exchange)
     }
 
@@ -206,11 +206,11 @@
 
     fn entry(n: u16, state: ListState) -> ListEntry {
         let office = ExchangeId { addr: [0, 0, 0, n as u8], port: 0 };
-        ListEntry { exchange: ExchangeNo(n), zone: 0, state, office, last_start: None }
+        ListEntry { exchange: ExchangeNumber(n), zone: 0, state, office, last_start: None }
     }
 
     fn out(exchanges: &[u16], groups: &[u16]) -> Withdrawn {
-        let set = |l: &[u16]| l.iter().map(|&n| ExchangeNo(n)).collect();
+        let set = |l: &[u16]| l.iter().map(|&n| ExchangeNumber(n)).collect();
         Withdrawn { exchanges: set(exchanges), groups: set(groups), all: false }
     }
 
--- a/tests/call_agent.rs
+++ b/tests/call_agent.rs
@@ -228,7 +228,7 @@
         let cab = Gateway {
             name: "cab".to_owned(),
             address: gateway,
-            exchange: ExchangeNo(7),
+            exchange: ExchangeNumber(7),
             prefix: "7".to_owned(),
             endpoints: (1..=3).map(|n| format!("lamp/{n}")).collect(),
             answered_by: AnsweredBy::OffHook,
--- a/tests/models.rs
+++ b/tests/models.rs
@@ -29,7 +29,7 @@
 }
 
 fn entry(n: u16, state: ListState) -> ListEntry {
-    ListEntry { exchange: ExchangeNo(n), zone: 0, state, office: office(n), last_start: None }
+    ListEntry { exchange: ExchangeNumber(n), zone: 0, state, office: office(n), last_start: None }
 }
 
 // ---- Lines ----
@@ -266,7 +266,7 @@
 
 impl LinkModel {
     fn new() -> LinkModel {
-        let links = UpstreamConnections::new(0, 500 * MS, Some(ExchangeNo(0)));
+        let links = UpstreamConnections::new(0, 500 * MS, Some(ExchangeNumber(0)));
         let (due, conn, half, legs) = Default::default();
         let mut m = LinkModel {
             links,
@@ -843,7 +843,7 @@
 fn new_call(to: u16, patience: Micros) -> NewCall {
     NewCall {
         call: CallId(0),
-        destination: ExchangeNo(to),
+        destination: ExchangeNumber(to),
         transit: false,
         redialled: false,
         cut_before: false,
@@ -975,7 +975,7 @@
     };
     let settings = Settings {
         classes: vec![class],
-        own: Some(ExchangeNo(0)),
+        own: Some(ExchangeNumber(0)),
         release: 500 * MS,
         may_call_off: true,
         try_limit: 4,
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -21,7 +21,7 @@
     };
     Settings {
         classes: vec![class(1_200 * MS, 1.0), class(1_200 * MS, 3.0)],
-        own: Some(ExchangeNo(0)),
+        own: Some(ExchangeNumber(0)),
         siblings: 5,
         release: 300 * MS,
         may_call_off: true,
@@ -45,7 +45,7 @@
 
 fn entry(n: u16) -> ListEntry {
     ListEntry {
-        exchange: ExchangeNo(n),
+        exchange: ExchangeNumber(n),
         zone: 0,
         state: ListState::Ready,
         office: office(n),
@@ -61,7 +61,7 @@
 fn call(id: u32, to: u16) -> NewCall {
     NewCall {
         call: CallId(id),
-        destination: ExchangeNo(to),
+        destination: ExchangeNumber(to),
         transit: false,
         redialled: false,
         cut_before: false,
@@ -196,7 +196,7 @@
 #[test]
 fn transit_goes_to_its_destination_only_or_back() {
     let mut b = Bed::new();
-    let transit = |id| NewCall { transit: true, via: Some(ExchangeNo(3)), ..call(id, 1) };
+    let transit = |id| NewCall { transit: true, via: Some(ExchangeNumber(3)), ..call(id, 1) };
     assert_eq!(sent(&b.tell(Event::Call(transit(1)))), [office(1)]);
     b.tell(group(1, 1.0));
     let back = b.tell(Event::Call(transit(2)));
@@ -312,7 +312,7 @@
     let back = ended(500, 0, u16::from(first.addr[3]), Ending::Full, Cause::TurnedBack);
     assert!(sent(&b.tell(back)).is_empty(), "no blind further try");
     // The centre names a tandem with another call: that way is known to be open.
-    b.tell(Event::Call(NewCall { via: Some(ExchangeNo(39)), ..call(501, 38) }));
+    b.tell(Event::Call(NewCall { via: Some(ExchangeNumber(39)), ..call(501, 38) }));
     assert!(sent(&b.pass(100 * MS)).contains(&office(39)));
 }
 
@@ -393,7 +393,7 @@
 fn pools_take_calls_of_second_choice_only_where_the_class_is_skilled() {
     let mut s = settings();
     (s.shape, s.own) = (Shape::Pools, None);
-    s.classes[0].pools = vec![ExchangeNo(1), ExchangeNo(3)];
+    s.classes[0].pools = vec![ExchangeNumber(1), ExchangeNumber(3)];
     let mut b = Bed::with(s);
     b.tell(group(1, 0.0));
     assert_eq!(sent(&b.call(1, 1)), [office(3)]);
@@ -1073,7 +1073,7 @@
 
 #[test]
 fn a_suspected_exchange_gets_one_set_up_at_a_time_and_is_a_tandem_only_where_none_else_serves() {
-    let suspect = |of: &[u16]| Event::Suspected(of.iter().map(|n| ExchangeNo(*n)).collect());
+    let suspect = |of: &[u16]| Event::Suspected(of.iter().map(|n| ExchangeNumber(*n)).collect());
     let mut b = Bed::new();
     b.tell(suspect(&[1]));
     assert_eq!(sent(&b.call(1, 1)), [office(1)], "only an answer shows whether it hangs");
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -11,7 +11,7 @@
 fn offer(patience: Micros) -> Offer {
     let ask = NewCall {
         call: CallId(0),
-        destination: ExchangeNo(1),
+        destination: ExchangeNumber(1),
         transit: false,
         redialled: false,
         cut_before: false,
@@ -56,7 +56,7 @@
 fn a_closed_ledger_refuses_each_new_call_at_once_and_keeps_the_open_ones() {
     let mut ledger = Ledger::new(Settings::default(), 7);
     let entry = ListEntry {
-        exchange: ExchangeNo(1),
+        exchange: ExchangeNumber(1),
         zone: 0,
         state: ListState::Ready,
         office: ExchangeId::default(),
--- a/tests/simulator.rs
+++ b/tests/simulator.rs
@@ -27,9 +27,9 @@
 fn a_call_keeps_its_marks_width_and_patience() {
     let records = read(&hex(KNOCK), &[]);
     let Ok(Record::Event(Event::Call(c))) = &records[0] else { panic!("{records:?}") };
-    assert_eq!((c.call, c.destination, c.width, c.class), (CallId(77), ExchangeNo(3), 2, 1));
+    assert_eq!((c.call, c.destination, c.width, c.class), (CallId(77), ExchangeNumber(3), 2, 1));
     assert_eq!((c.transit, c.redialled, c.cut_before), (true, false, false));
-    assert_eq!((c.number, c.patience, c.via), (Some(17), 1_000_000, Some(ExchangeNo(5))));
+    assert_eq!((c.number, c.patience, c.via), (Some(17), 1_000_000, Some(ExchangeNumber(5))));
 }
 
 #[test]
@@ -38,7 +38,7 @@
     let Ok(Record::Event(Event::List(ListNews::Complete(l)))) = &records[0] else { panic!("{records:?}") };
     assert_eq!(
         (l[0].exchange, l[0].state, l[0].last_start),
-        (ExchangeNo(7), ListState::Gone, Some(2_000_000))
+        (ExchangeNumber(7), ListState::Gone, Some(2_000_000))
     );
 }
 
@@ -108,7 +108,7 @@
     let s = wire::settings(text).unwrap();
     assert_eq!((s.classes[0].aim, s.shape, s.own), (1_200_000, Shape::Pools, None));
     assert_eq!(s.report_fields[2..], [ReportField::WaitMs, ReportField::Unknown]);
-    assert_eq!(s.classes[0].pools, [ExchangeNo(2), ExchangeNo(4)]);
+    assert_eq!(s.classes[0].pools, [ExchangeNumber(2), ExchangeNumber(4)]);
     assert_eq!(wire::settings("tick=soon").unwrap_err().key, "tick");
     assert_eq!(wire::settings("classes.count=1").unwrap_err().key, "classes.0.giveUp");
 }
--- a/tests/withdrawals.rs
+++ b/tests/withdrawals.rs
@@ -28,7 +28,7 @@
     };
     let settings = Settings {
         classes: vec![class],
-        own: Some(ExchangeNo(0)),
+        own: Some(ExchangeNumber(0)),
         release: 500_000,
         drain_grace: 250_000,
         cold: 15_000_000,
@@ -41,7 +41,7 @@
     };
     let mut l = Ledger::new(settings, 7);
     let entry = |n| ListEntry {
-        exchange: ExchangeNo(n),
+        exchange: ExchangeNumber(n),
         zone: 0,
         state: ListState::Ready,
         office: office(n as u8),
@@ -56,7 +56,7 @@
 fn offer(l: &mut Ledger, now: Micros, to: u16) -> (CallId, Vec<Output>) {
     let ask = NewCall {
         call: CallId(0),
-        destination: ExchangeNo(to),
+        destination: ExchangeNumber(to),
         transit: false,
         redialled: false,
         cut_before: false,
@@ -87,7 +87,7 @@
 }
 
 fn out(exchanges: &[u16], groups: &[u16], all: bool) -> Withdrawn {
-    let set = |l: &[u16]| l.iter().map(|&n| ExchangeNo(n)).collect();
+    let set = |l: &[u16]| l.iter().map(|&n| ExchangeNumber(n)).collect();
     Withdrawn { exchanges: set(exchanges), groups: set(groups), all }
 }
 
@@ -158,8 +158,8 @@
     for to in 1..=3 {
         assert!(refused(&offer(&mut l, T0 + 3 * MS, to).1).is_some());
     }
-    assert_eq!((l.standing_calls(), l.loads()[&(ExchangeNo(1), ExchangeNo(1))]), (1, (0, 1)));
-    l.cut(T0 + 4 * MS, |leg, _| leg == Some(ExchangeNo(1)));
+    assert_eq!((l.standing_calls(), l.loads()[&(ExchangeNumber(1), ExchangeNumber(1))]), (1, (0, 1)));
+    l.cut(T0 + 4 * MS, |leg, _| leg == Some(ExchangeNumber(1)));
     let outputs = l.take_outputs();
     assert!(outputs.iter().any(|o| matches!(o, Output::Release { cut: true, .. })), "{outputs:?}");
     assert!(outputs.iter().any(|o| matches!(o, Output::Clear { .. })));
