--- a/examples/gossip_tables.rs
+++ b/examples/gossip_tables.rs
@@ -169,7 +169,7 @@
     ledger: Ledger,
     deadlines: Deadlines<LedgerDue>,
     /// Set-ups whose answers are under way, and calls that stand.
-    out: BTreeMap<CallId, (AttemptNo, ExchangeId, usize)>,
+    out: BTreeMap<CallId, (AttemptNumber, ExchangeId, usize)>,
     sent_to_hung: Vec<Micros>,
 }
 
@@ -219,8 +219,8 @@
 }
 
 enum Due {
-    Answer(usize, CallId, AttemptNo),
-    End(usize, CallId, AttemptNo),
+    Answer(usize, CallId, AttemptNumber),
+    End(usize, CallId, AttemptNumber),
 }
 
 struct Model {
--- a/src/protocol/mgcp/agent.rs
+++ b/src/protocol/mgcp/agent.rs
@@ -11,7 +11,7 @@
 use super::message::{self, events, Command, Endpoint, Packet, Params, Response, Verb};
 use super::transactions::{command, Commands, History, Repeat};
 use crate::routing::interface::{
-    AttemptNo, CallId, Cause, Ending, ExchangeNumber, ListEntry, ListState, LoadReport, Micros, NewCall, ExchangeId,
+    AttemptNumber, CallId, Cause, Ending, ExchangeNumber, ListEntry, ListState, LoadReport, Micros, NewCall, ExchangeId,
 };
 use crate::routing::ledger::{Answer, Description, FrontId, Offer};
 use std::collections::BTreeMap;
@@ -93,9 +93,9 @@
     /// The caller left.
     Left(CallId),
     /// A set-up was answered.
-    Answered(CallId, AttemptNo, Option<Description>),
+    Answered(CallId, AttemptNumber, Option<Description>),
     /// An attempt ended, or a call that stood is over.
-    Ended(CallId, AttemptNo, (Ending, Cause)),
+    Ended(CallId, AttemptNumber, (Ending, Cause)),
     /// Free endpoints of a gateway, and how many there are.
     Group(ExchangeId, LoadReport),
     /// A gateway drains or serves again.
@@ -158,7 +158,7 @@
     /// A set-up of the core.
     Called {
         call: CallId,
-        attempt: AttemptNo,
+        attempt: AttemptNumber,
         stage: Stage,
     },
     /// DLCX is out.
@@ -713,7 +713,7 @@
     pub fn set_up(
         &mut self,
         now: Micros,
-        (call, attempt): (CallId, AttemptNo),
+        (call, attempt): (CallId, AttemptNumber),
         office: ExchangeId,
         description: Option<&Description>,
     ) {
@@ -739,7 +739,7 @@
     }
 
     /// Gives a set-up up, or releases a call that stands.
-    pub fn clear(&mut self, now: Micros, call: CallId, attempt: AttemptNo) {
+    pub fn clear(&mut self, now: Micros, call: CallId, attempt: AttemptNumber) {
         let Some(&p) = self.legs.get(&call) else { return };
         let Role::Called { attempt: mine, .. } = &self.ports[p].role else { return };
         if *mine != attempt {
--- a/src/protocol/simulator.rs
+++ b/src/protocol/simulator.rs
@@ -230,7 +230,7 @@
             1060 => Event::CallerGone(CallId(f.u32()?)),
             1090 => Event::Stands {
                 call: CallId(f.u32()?),
-                attempt: AttemptNo(f.u8()?),
+                attempt: AttemptNumber(f.u8()?),
                 office: f.office()?,
                 took: f.time()?,
             },
@@ -249,7 +249,7 @@
 
 fn outcome(f: &mut Fields<'_>, names: &[ReportField]) -> Result<Outcome, WireError> {
     let call = CallId(f.u32()?);
-    let attempt = AttemptNo(f.u8()?);
+    let attempt = AttemptNumber(f.u8()?);
     let office = f.office()?;
     let ending = match f.u8()? {
         0 => Ending::Completed,
--- a/src/protocol/upstream/calls.rs
+++ b/src/protocol/upstream/calls.rs
@@ -7,7 +7,7 @@
     pub fn set_up(
         &mut self,
         now: Micros,
-        (call, attempt): (CallId, AttemptNo),
+        (call, attempt): (CallId, AttemptNumber),
         office: ExchangeId,
         message: Message,
     ) {
@@ -35,7 +35,7 @@
     }
 
     /// Gives a set-up up, or releases a call that stands.
-    pub fn clear(&mut self, now: Micros, call: CallId, attempt: AttemptNo) {
+    pub fn clear(&mut self, now: Micros, call: CallId, attempt: AttemptNumber) {
         if self.leg_of(call).is_none_or(|l| l.attempt != attempt) {
             return;
         }
--- a/src/protocol/upstream/list.rs
+++ b/src/protocol/upstream/list.rs
@@ -77,7 +77,7 @@
     }
 
     /// A set-up has not left, and never will.
-    pub fn unsent(&mut self, call: CallId, attempt: AttemptNo) {
+    pub fn unsent(&mut self, call: CallId, attempt: AttemptNumber) {
         if self.leg_of(call).is_some_and(|l| l.attempt == attempt && matches!(l.stage, Stage::Sent(_))) {
             self.end_leg(call, (Ending::Unreachable, Cause::None), LoadReport::default());
         }
--- a/src/protocol/upstream/mod.rs
+++ b/src/protocol/upstream/mod.rs
@@ -16,7 +16,7 @@
 use super::ConnId;
 use crate::planted::{planted, Planted};
 use crate::routing::interface::{
-    AttemptNo, CallId, Cause, Ending, ExchangeNumber, ListEntry, ListState, LoadReport, Micros, ExchangeId,
+    AttemptNumber, CallId, Cause, Ending, ExchangeNumber, ListEntry, ListState, LoadReport, Micros, ExchangeId,
 };
 use crate::routing::ledger::Description;
 use lease::{Generation, Leases};
@@ -82,7 +82,7 @@
     /// Try to connect again.
     Retry(ExchangeId),
     /// A set-up has waited long enough for a connection.
-    Waiting(CallId, AttemptNo),
+    Waiting(CallId, AttemptNumber),
     /// A removed exchange has had its time.
     Gone(ExchangeId),
     /// A probe has had its time.
@@ -142,16 +142,16 @@
         /// The call.
         call: CallId,
         /// The attempt.
-        attempt: AttemptNo,
+        attempt: AttemptNumber,
     },
     /// End a connection.
     HangUp(ConnId, HangUpReason),
     /// Come back then.
     Wake(Micros, UpstreamTimer),
     /// A set-up was answered.
-    Answered(CallId, AttemptNo, Option<Description>),
+    Answered(CallId, AttemptNumber, Option<Description>),
     /// An attempt ended, or a call that stood is over.
-    Ended(CallId, AttemptNo, (Ending, Cause), LoadReport),
+    Ended(CallId, AttemptNumber, (Ending, Cause), LoadReport),
     /// Figures of an exchange.
     Group(ExchangeId, LoadReport),
     /// A probe failed.
@@ -200,7 +200,7 @@
 #[derive(Debug)]
 struct Attempt {
     call: CallId,
-    attempt: AttemptNo,
+    attempt: AttemptNumber,
     office: ExchangeId,
     stage: Stage,
     began: Micros,
--- a/src/routing/control/retry.rs
+++ b/src/routing/control/retry.rs
@@ -69,7 +69,7 @@
             let lost = |s: &&(Micros, CallId)| now - s.0 > patience && newest - s.0 > patience / 2;
             for call in o.out.iter().take_while(lost).filter_map(|s| self.calls.get(&s.1)) {
                 if !call.ask.transit && !self.guarded(call) {
-                    let attempt = AttemptNo((call.tries - 1) as u8);
+                    let attempt = AttemptNumber((call.tries - 1) as u8);
                     out.push(Action::CallOff { call: call.ask.call, attempt });
                 }
             }
--- a/src/routing/interface.rs
+++ b/src/routing/interface.rs
@@ -12,7 +12,7 @@
 
 /// The running number of a set-up attempt of one call, from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct AttemptNo(pub u8);
+pub struct AttemptNumber(pub u8);
 
 /// The number of an exchange (or of a pool of agents), by which calls name their destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Default)]
@@ -303,7 +303,7 @@
     /// The call.
     pub call: CallId,
     /// The attempt.
-    pub attempt: AttemptNo,
+    pub attempt: AttemptNumber,
     /// Where it went.
     pub office: ExchangeId,
     /// How it ended.
@@ -330,7 +330,7 @@
         /// The call.
         call: CallId,
         /// The attempt.
-        attempt: AttemptNo,
+        attempt: AttemptNumber,
         /// Where it went.
         office: ExchangeId,
         /// How long the set-up took.
@@ -397,7 +397,7 @@
         /// The call.
         call: CallId,
         /// The attempt.
-        attempt: AttemptNo,
+        attempt: AttemptNumber,
     },
     /// Check an office.
     Probe(ExchangeId),
--- a/src/routing/ledger.rs
+++ b/src/routing/ledger.rs
@@ -70,7 +70,7 @@
     /// A timer that the module asked for.
     Module(u64),
     /// The time of an attempt is up.
-    Attempt(CallId, AttemptNo),
+    Attempt(CallId, AttemptNumber),
     /// The caller is about to give up.
     Call(CallId),
 }
@@ -83,7 +83,7 @@
         /// The call.
         call: CallId,
         /// The attempt.
-        attempt: AttemptNo,
+        attempt: AttemptNumber,
         /// Where to.
         office: ExchangeId,
         /// How long it will be waited for.
@@ -94,7 +94,7 @@
         /// The call.
         call: CallId,
         /// The attempt.
-        attempt: AttemptNo,
+        attempt: AttemptNumber,
         /// Where it went.
         office: ExchangeId,
     },
@@ -202,9 +202,9 @@
     /// With the module: nothing is out.
     Deciding,
     /// A set-up is out.
-    Out { attempt: AttemptNo, office: ExchangeId, since: Micros },
+    Out { attempt: AttemptNumber, office: ExchangeId, since: Micros },
     /// It stands.
-    Standing { attempt: AttemptNo, office: ExchangeId, since: Micros },
+    Standing { attempt: AttemptNumber, office: ExchangeId, since: Micros },
 }
 
 #[derive(Debug)]
@@ -355,7 +355,7 @@
         &mut self,
         now: Micros,
         call: CallId,
-        attempt: AttemptNo,
+        attempt: AttemptNumber,
         text: Option<Description>,
     ) -> bool {
         let Some(entry) = self.calls.get_mut(&call) else { return false };
@@ -379,7 +379,7 @@
         &mut self,
         now: Micros,
         call: CallId,
-        attempt: AttemptNo,
+        attempt: AttemptNumber,
         how: (Ending, Cause),
         report: LoadReport,
     ) {
@@ -632,7 +632,7 @@
             *self.tally.held_back.entry(HeldBack::SecondAttempt).or_default() += 1;
             return;
         };
-        let attempt = AttemptNo(entry.attempts);
+        let attempt = AttemptNumber(entry.attempts);
         entry.attempts = entry.attempts.saturating_add(1);
         let shut = self.withdrawals.shut_since(office);
         let drained = |told: &Told| {
@@ -667,7 +667,7 @@
     }
 
     /// Gives a set-up up from this side.
-    fn stop_attempt(&mut self, now: Micros, call: CallId, attempt: AttemptNo, ending: Ending) {
+    fn stop_attempt(&mut self, now: Micros, call: CallId, attempt: AttemptNumber, ending: Ending) {
         let Some(entry) = self.calls.get(&call) else { return };
         let Stage::Out { attempt: out, office, .. } = entry.stage else { return };
         if out == attempt {
--- a/tests/call_agent.rs
+++ b/tests/call_agent.rs
@@ -161,12 +161,12 @@
                 self.next_call += 1;
                 self.legs.insert(call, Call::Open);
                 let text = Description("v=0\r\n".into());
-                self.agent.set_up(now, (call, AttemptNo(0)), self.office, Some(&text));
+                self.agent.set_up(now, (call, AttemptNumber(0)), self.office, Some(&text));
             }
             Step::Clear(i) => {
                 if let Some(call) = nth(&self.legs, i, None) {
                     self.legs.remove(&call);
-                    self.agent.clear(now, call, AttemptNo(0));
+                    self.agent.clear(now, call, AttemptNumber(0));
                 }
             }
             Step::Answer(i, stands) => {
--- a/tests/models.rs
+++ b/tests/models.rs
@@ -180,14 +180,14 @@
                 let n = self.legs.len();
                 self.legs.push(Leg::Waiting);
                 let message = Message::new(Kind::Open, Some(Sid(n as u64)));
-                self.links.set_up(self.now, (CallId(n as u32), AttemptNo(0)), office(1), message);
+                self.links.set_up(self.now, (CallId(n as u32), AttemptNumber(0)), office(1), message);
             }
             LinkStep::Clear(i) => {
                 if let Some(i) = pick(i, self.legs.len()) {
                     if !matches!(self.legs[i], Leg::Over) {
                         self.legs[i] = Leg::Cleared;
                     }
-                    self.links.clear(self.now, CallId(i as u32), AttemptNo(0));
+                    self.links.clear(self.now, CallId(i as u32), AttemptNumber(0));
                 }
             }
             LinkStep::Up => {
@@ -834,7 +834,7 @@
 #[derive(Debug)]
 struct Held {
     deadline: Micros,
-    out: Option<AttemptNo>,
+    out: Option<AttemptNumber>,
     stands: bool,
     quiet: Micros,
 }
@@ -932,7 +932,7 @@
             Step::Ended(i, ending, cause) => {
                 if let Some(call) = self.nth(i, |h| h.out.is_some() || h.stands) {
                     let held = self.calls.get_mut(&call).unwrap();
-                    let attempt = held.out.take().unwrap_or(AttemptNo(0));
+                    let attempt = held.out.take().unwrap_or(AttemptNumber(0));
                     let unclear = matches!(ending, Ending::Reset | Ending::TimedOut);
                     held.quiet = if unclear { now + 500 * MS } else { held.quiet };
                     self.ledger.ended(now, call, attempt, (ending, cause), LoadReport::default());
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -77,7 +77,7 @@
 fn outcome(id: u32, attempt: u8, at: u16, ending: Ending, cause: Cause) -> Outcome {
     Outcome {
         call: CallId(id),
-        attempt: AttemptNo(attempt),
+        attempt: AttemptNumber(attempt),
         office: office(at),
         ending,
         cause,
@@ -266,7 +266,7 @@
         for a in done {
             if let Action::SetUp { call, office: o, .. } = a {
                 got += usize::from(o == office(1));
-                b.tell(Event::Stands { call, attempt: AttemptNo(0), office: o, took: 20 * MS });
+                b.tell(Event::Stands { call, attempt: AttemptNumber(0), office: o, took: 20 * MS });
             }
         }
     }
@@ -372,7 +372,7 @@
         b.call(id, 1);
         b.pass(900 * MS);
         let office = office(1);
-        b.tell(Event::Stands { call: CallId(id), attempt: AttemptNo(0), office, took: 900 * MS });
+        b.tell(Event::Stands { call: CallId(id), attempt: AttemptNumber(0), office, took: 900 * MS });
     }
     let out: usize = (100..110).map(|id| sent(&b.call(id, 1)).len()).sum();
     assert!(out <= 2, "{out} set-ups into a slow office");
@@ -513,7 +513,7 @@
                     6 => (Ending::TimedOut, Cause::None),
                     _ => {
                         open.remove(&id);
-                        let attempt = AttemptNo(attempt);
+                        let attempt = AttemptNumber(attempt);
                         events.push(Event::Stands { call: id, attempt, office: at, took: 80 * MS });
                         continue;
                     }
@@ -592,7 +592,7 @@
         // The offices answer others meanwhile, so none of them is silent.
         b.now += 150 * MS;
         let (call, office) = (CallId(id), office(1));
-        b.tell(Event::Stands { call, attempt: AttemptNo(0), office, took: 50 * MS });
+        b.tell(Event::Stands { call, attempt: AttemptNumber(0), office, took: 50 * MS });
     }
     assert_eq!(sent(&b.call(9, 2)), [office(2)]);
 }
@@ -603,8 +603,8 @@
     b.call(1, 1);
     assert!(b.pass(600 * MS).is_empty());
     let (call, office) = (CallId(99), office(1));
-    b.tell(Event::Stands { call, attempt: AttemptNo(0), office, took: 50 * MS });
-    let off = Action::CallOff { call: CallId(1), attempt: AttemptNo(0) };
+    b.tell(Event::Stands { call, attempt: AttemptNumber(0), office, took: 50 * MS });
+    let off = Action::CallOff { call: CallId(1), attempt: AttemptNumber(0) };
     assert_eq!(b.tell(Event::Timer(0)), [off]);
     assert!(sent(&b.tell(ended(1, 0, 1, Ending::CalledOff, Cause::None))).is_empty());
     assert!(sent(&b.pass(300 * MS)).is_empty());
@@ -631,7 +631,7 @@
         id += 1;
         let done = b.call(id, to);
         for &o in &sent(&done) {
-            let (call, attempt) = (CallId(id), AttemptNo(0));
+            let (call, attempt) = (CallId(id), AttemptNumber(0));
             b.tell(Event::Stands { call, attempt, office: o, took: 20 * MS });
         }
         sent(&done).len()
@@ -666,7 +666,7 @@
 }
 
 fn stands(id: u32, at: u16, took: Micros) -> Event {
-    Event::Stands { call: CallId(id), attempt: AttemptNo(0), office: office(at), took }
+    Event::Stands { call: CallId(id), attempt: AttemptNumber(0), office: office(at), took }
 }
 
 #[test]
@@ -729,7 +729,7 @@
         b.pass(500 * MS);
         b.call(52, 3);
         b.tell(stands(52, 3, 20 * MS));
-        b.pass(100 * MS).contains(&Action::CallOff { call: CallId(51), attempt: AttemptNo(0) })
+        b.pass(100 * MS).contains(&Action::CallOff { call: CallId(51), attempt: AttemptNumber(0) })
     };
     assert!(!called_off(0), "it may be slow");
     assert!(called_off(10));
@@ -1079,7 +1079,7 @@
     assert_eq!(sent(&b.call(1, 1)), [office(1)], "only an answer shows whether it hangs");
     assert!(sent(&b.call(2, 1)).is_empty());
     // The answer makes room for the next one, and with the suspicion's end all go.
-    b.tell(Event::Stands { call: CallId(1), attempt: AttemptNo(0), office: office(1), took: 10 * MS });
+    b.tell(Event::Stands { call: CallId(1), attempt: AttemptNumber(0), office: office(1), took: 10 * MS });
     assert_eq!(sent(&b.pass(40 * MS)).len(), 1);
     b.tell(suspect(&[]));
     assert_eq!((sent(&b.call(3, 1)).len(), sent(&b.call(4, 1)).len()), (1, 1));
--- a/tests/withdrawals.rs
+++ b/tests/withdrawals.rs
@@ -152,7 +152,7 @@
     let mut l = ledger();
     let (call, outputs) = offer(&mut l, T0, 1);
     assert_eq!(sent(&outputs), Some(office(1)));
-    l.answered(T0 + MS, call, AttemptNo(0), None);
+    l.answered(T0 + MS, call, AttemptNumber(0), None);
     l.withdraw(T0 + 2 * MS, out(&[], &[], true));
     l.take_outputs();
     for to in 1..=3 {
