--- a/src/program/gossip.rs
+++ b/src/program/gossip.rs
@@ -2,7 +2,7 @@
 //! goes to the decision module as an event of its interface.
 
 use super::gossip_file::GossipConfig;
-use crate::routing::interface::{CallId, Cause, Ending, ExchangeNumber, Micros, PeerNo};
+use crate::routing::interface::{CallId, Cause, Ending, ExchangeNumber, Micros, PeerNumber};
 use crate::routing::ledger::{Answer, Ledger, Output as LedgerOutput};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -24,7 +24,7 @@
     /// These exchanges are suspected, and no others.
     Suspect(BTreeSet<ExchangeNumber>),
     /// A message of a peer, bound to who sent it.
-    Peer(PeerNo, Vec<u8>),
+    Peer(PeerNumber, Vec<u8>),
     /// Something happened.
     Tell(&'static str, String),
     /// Come back then.
@@ -37,7 +37,7 @@
     node: Node,
     /// Direct set-ups that are out, and where they went.
     out: BTreeMap<CallId, Exchange>,
-    numbers: BTreeMap<MemberId, PeerNo>,
+    numbers: BTreeMap<MemberId, PeerNumber>,
     /// The groups of each member's exchange, by blocks of 64.
     links: BTreeMap<(MemberId, u16), u64>,
     tick: Micros,
@@ -180,7 +180,7 @@
         if from.0 >= 1984 || !from.0.is_multiple_of(64) {
             return;
         }
-        let number = PeerNo(NUMBERS + self.numbers.len() as u32);
+        let number = PeerNumber(NUMBERS + self.numbers.len() as u32);
         let number = *self.numbers.entry(member).or_insert(number);
         self.links.insert((member, from.0 / 64), bits);
         let mut body = vec![TELL_GROUPS];
--- a/src/program/switchboard.rs
+++ b/src/program/switchboard.rs
@@ -16,7 +16,7 @@
 use crate::protocol::upstream::{UpstreamConnections, UpstreamOutput, UpstreamTimer};
 use crate::protocol::ConnId;
 use crate::routing::deadlines::Deadlines;
-use crate::routing::interface::{CallId, ListEntry, ListNews, LoadReport, Micros, PeerNo};
+use crate::routing::interface::{CallId, ListEntry, ListNews, LoadReport, Micros, PeerNumber};
 use crate::routing::ledger::{AnswerReason, FrontId, Ledger, LedgerDue, Output};
 use crate::transport::outbox::Outbox;
 use crate::transport::saver::Saving;
@@ -189,7 +189,7 @@
             Inbound::Peer { from, body } => {
                 if let Some(at) = self.config.peers.iter().position(|p| *p == from) {
                     self.counts.peers_in += 1;
-                    self.ledger.peer(now, PeerNo(at as u32), body);
+                    self.ledger.peer(now, PeerNumber(at as u32), body);
                 }
             }
             Inbound::Gateway { from, body } => {
@@ -639,7 +639,7 @@
         }
     }
 
-    fn tell_peers(&mut self, to: Option<PeerNo>, body: Vec<u8>) {
+    fn tell_peers(&mut self, to: Option<PeerNumber>, body: Vec<u8>) {
         let address = match to {
             Some(peer) => self.config.peers.get(peer.0 as usize).copied(),
             None => self.config.peers_all,
--- a/src/protocol/simulator.rs
+++ b/src/protocol/simulator.rs
@@ -235,7 +235,7 @@
                 took: f.time()?,
             },
             1050 => {
-                let from = PeerNo(f.u32()?);
+                let from = PeerNumber(f.u32()?);
                 let n = usize::from(f.u16()?);
                 Event::Peer { from, body: f.take(n)?.to_vec() }
             }
@@ -530,7 +530,7 @@
         own: exchange(own),
         zone: t.count("zone")?.min(255) as u8,
         siblings: t.count("siblings")?.max(1),
-        rank: PeerNo(t.count("rank")?),
+        rank: PeerNumber(t.count("rank")?),
         membership: t.read("membershipMode", Membership::Pushed, |v| match v {
             "pushed" => Some(Membership::Pushed),
             "on_request" => Some(Membership::OnRequest),
--- a/src/routing/control/mod.rs
+++ b/src/routing/control/mod.rs
@@ -119,7 +119,7 @@
     /// What others' evidence speaks against.
     suspected: BTreeSet<ExchangeNumber>,
     /// The exchange that each peer speaks for.
-    voices: BTreeMap<PeerNo, ExchangeNumber>,
+    voices: BTreeMap<PeerNumber, ExchangeNumber>,
 }
 
 impl Controller {
--- a/src/routing/control/peers.rs
+++ b/src/routing/control/peers.rs
@@ -26,7 +26,7 @@
         }
     }
 
-    pub(super) fn on_peer(&mut self, from: PeerNo, body: &[u8]) {
+    pub(super) fn on_peer(&mut self, from: PeerNumber, body: &[u8]) {
         if let [TELL_GROUPS, high, low, links @ ..] = body {
             let named = ExchangeNumber(u16::from_be_bytes([*high, *low]));
             // Danger: one peer could speak for another's exchange.
--- a/src/routing/interface.rs
+++ b/src/routing/interface.rs
@@ -29,7 +29,7 @@
 
 /// The number of a call server among its peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Default)]
-pub struct PeerNo(pub u32);
+pub struct PeerNumber(pub u32);
 
 /// How the network is laid out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
@@ -94,7 +94,7 @@
     /// Call servers in the tier, this one included.
     pub siblings: u32,
     /// Number of this call server among them.
-    pub rank: PeerNo,
+    pub rank: PeerNumber,
     /// How the list comes.
     pub membership: Membership,
     /// Names of the load figures, in the order in which they come.
@@ -352,7 +352,7 @@
     /// A message from a peer.
     Peer {
         /// Who sent it.
-        from: PeerNo,
+        from: PeerNumber,
         /// What it says.
         body: Vec<u8>,
     },
@@ -404,7 +404,7 @@
     /// Send bytes to one peer, or to all.
     Tell {
         /// To whom; `None`: to all.
-        to: Option<PeerNo>,
+        to: Option<PeerNumber>,
         /// 256 bytes at most.
         body: Vec<u8>,
     },
--- a/src/routing/ledger.rs
+++ b/src/routing/ledger.rs
@@ -140,7 +140,7 @@
     /// Send bytes to one peer, or to all.
     Tell {
         /// To whom; `None`: to all.
-        to: Option<PeerNo>,
+        to: Option<PeerNumber>,
         /// The bytes.
         body: Vec<u8>,
     },
@@ -468,7 +468,7 @@
     }
 
     /// A message from a peer.
-    pub fn peer(&mut self, now: Micros, from: PeerNo, body: Vec<u8>) {
+    pub fn peer(&mut self, now: Micros, from: PeerNumber, body: Vec<u8>) {
         self.drive(now, Event::Peer { from, body });
     }
 
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -323,10 +323,10 @@
     for n in 2..4u16 {
         // Tells of groups with exchange 0 and 4 alone.
         let body = vec![1, 0, n as u8, 0b1_0001];
-        b.tell(Event::Peer { from: PeerNo(u32::from(n)), body });
+        b.tell(Event::Peer { from: PeerNumber(u32::from(n)), body });
     }
-    b.tell(Event::Peer { from: PeerNo(9), body: vec![1] });
-    b.tell(Event::Peer { from: PeerNo(9), body: vec![] });
+    b.tell(Event::Peer { from: PeerNumber(9), body: vec![1] });
+    b.tell(Event::Peer { from: PeerNumber(9), body: vec![] });
     for id in 0..3 {
         assert_eq!(sent(&b.call(id, 1)), [office(4)]);
     }
@@ -1056,17 +1056,17 @@
     // The direct group is full, and peer 9 says that tandems 2 and 3 lead nowhere.
     let mut b = Bed::new();
     b.tell(group(1, 0.0));
-    b.tell(Event::Peer { from: PeerNo(9), body: vec![1, 0, 9, 0] });
+    b.tell(Event::Peer { from: PeerNumber(9), body: vec![1, 0, 9, 0] });
     for n in 2..4u8 {
-        b.tell(Event::Peer { from: PeerNo(9), body: vec![1, 0, n, 0] });
+        b.tell(Event::Peer { from: PeerNumber(9), body: vec![1, 0, n, 0] });
     }
     let over: Vec<ExchangeId> = (0..3).flat_map(|id| sent(&b.call(id, 1))).collect();
     assert!(over.contains(&office(2)) && over.contains(&office(3)), "{over:?}");
     // Two that speak for one exchange are both not heard from then on.
     let mut b = Bed::new();
     b.tell(group(1, 0.0));
-    b.tell(Event::Peer { from: PeerNo(2), body: vec![1, 0, 2, 0b1_1111] });
-    b.tell(Event::Peer { from: PeerNo(7), body: vec![1, 0, 2, 0] });
+    b.tell(Event::Peer { from: PeerNumber(2), body: vec![1, 0, 2, 0b1_1111] });
+    b.tell(Event::Peer { from: PeerNumber(7), body: vec![1, 0, 2, 0] });
     let over: Vec<ExchangeId> = (0..3).flat_map(|id| sent(&b.call(id, 1))).collect();
     assert!(over.contains(&office(2)), "{over:?}");
 }
