--- a/examples/gossip_tables.rs
+++ b/examples/gossip_tables.rs
@@ -210,7 +210,7 @@
         office: office(j),
         last_start: None,
     };
-    ledger.list(0, ListNews::Cached((0..SITES).map(entry).collect()));
+    ledger.list(0, ListUpdate::Cached((0..SITES).map(entry).collect()));
     for j in (0..SITES).filter(|j| *j != i) {
         let report = LoadReport { free: Some(60.0), size: Some(60.0), ..LoadReport::default() };
         ledger.group(0, office(j), report);
--- a/src/program/switchboard.rs
+++ b/src/program/switchboard.rs
@@ -16,7 +16,7 @@
 use crate::protocol::upstream::{UpstreamConnections, UpstreamOutput, UpstreamTimer};
 use crate::protocol::ConnId;
 use crate::routing::deadlines::Deadlines;
-use crate::routing::interface::{CallId, ListEntry, ListNews, LoadReport, Micros, PeerNumber};
+use crate::routing::interface::{CallId, ListEntry, ListUpdate, LoadReport, Micros, PeerNumber};
 use crate::routing::ledger::{AnswerReason, FrontId, Ledger, LedgerDue, Output};
 use crate::transport::outbox::Outbox;
 use crate::transport::saver::Saving;
@@ -164,7 +164,7 @@
         }
         let gateways = board.gateway_entries();
         if !gateways.is_empty() {
-            board.ledger.list(now, ListNews::Cached(gateways.into()));
+            board.ledger.list(now, ListUpdate::Cached(gateways.into()));
         }
         if let Some(agent) = &mut board.agent {
             agent.start(now);
@@ -410,15 +410,15 @@
             }
         };
         let (entries, complete) = match &update.news {
-            ListNews::Failed => return,
-            ListNews::Changes(e) => (e.clone(), false),
-            ListNews::Complete(e) | ListNews::Cached(e) => (e.clone(), true),
+            ListUpdate::Failed => return,
+            ListUpdate::Changes(e) => (e.clone(), false),
+            ListUpdate::Complete(e) | ListUpdate::Cached(e) => (e.clone(), true),
         };
         // The coordinator knows nothing of gateways: a whole list of its own must not remove them.
         let whole = || entries.iter().cloned().chain(self.gateway_entries()).collect();
         let news = match update.news {
-            ListNews::Complete(_) => ListNews::Complete(whole()),
-            ListNews::Cached(_) => ListNews::Cached(whole()),
+            ListUpdate::Complete(_) => ListUpdate::Complete(whole()),
+            ListUpdate::Cached(_) => ListUpdate::Cached(whole()),
             other => other,
         };
         for (entry, place) in entries.iter().zip(&update.places) {
@@ -604,7 +604,7 @@
                 self.ledger.ended(now, call, attempt, how, LoadReport::default());
             }
             AgentOutput::Group(office, load) => self.ledger.group(now, office, load),
-            AgentOutput::List(entry) => self.ledger.list(now, ListNews::Changes([entry].into())),
+            AgentOutput::List(entry) => self.ledger.list(now, ListUpdate::Changes([entry].into())),
         }
     }
 
--- a/src/protocol/membership.rs
+++ b/src/protocol/membership.rs
@@ -2,7 +2,7 @@
 //! exchanges in it.
 
 use crate::planted::{planted, Planted};
-use crate::routing::interface::{ExchangeNumber, ListEntry, ListNews, ListState, ExchangeId};
+use crate::routing::interface::{ExchangeNumber, ListEntry, ListUpdate, ListState, ExchangeId};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -71,7 +71,7 @@
     /// The event's number, if it bears one.
     pub index: Option<u64>,
     /// For the core.
-    pub news: ListNews,
+    pub news: ListUpdate,
     /// Where the members are, in the order of the entries.
     pub places: Vec<Place>,
 }
@@ -134,9 +134,9 @@
             self.names.retain(|_, office| entries.iter().any(|e: &ListEntry| e.office == *office));
         }
         let news = match (complete, cached) {
-            (false, _) => ListNews::Changes(entries.into()),
-            (true, false) => ListNews::Complete(entries.into()),
-            (true, true) => ListNews::Cached(entries.into()),
+            (false, _) => ListUpdate::Changes(entries.into()),
+            (true, false) => ListUpdate::Complete(entries.into()),
+            (true, true) => ListUpdate::Cached(entries.into()),
         };
         Ok(Update { index: event.index, news, places })
     }
@@ -161,7 +161,7 @@
             let (old, new) = (format!("s-{n}"), format!("s-{}", n + 1));
             let text = event(false, &[(&new, "up"), (&old, "draining"), (&old, "removed")]);
             let update = roster.read(&text, false).unwrap();
-            let ListNews::Changes(entries) = update.news else { panic!("not a change") };
+            let ListUpdate::Changes(entries) = update.news else { panic!("not a change") };
             assert_eq!((entries.len(), entries[1].office), (3, entries[2].office));
             assert!(seen.insert(entries[0].office), "a new machine at an old address is another one");
             let again = roster.read(&event(false, &[(&old, "removed")]), false).unwrap();
--- a/src/protocol/simulator.rs
+++ b/src/protocol/simulator.rs
@@ -208,10 +208,10 @@
                 let _version = f.u32()?;
                 let held = || lists.0.get(&buffer).cloned().ok_or(WireError::NoSuchList(buffer));
                 Event::List(match kind {
-                    0 => ListNews::Changes(held()?),
-                    1 => ListNews::Complete(held()?),
-                    2 => ListNews::Cached(held()?),
-                    3 => ListNews::Failed,
+                    0 => ListUpdate::Changes(held()?),
+                    1 => ListUpdate::Complete(held()?),
+                    2 => ListUpdate::Cached(held()?),
+                    3 => ListUpdate::Failed,
                     _ => return f.bad("kind of list"),
                 })
             }
--- a/src/routing/control/membership.rs
+++ b/src/routing/control/membership.rs
@@ -6,14 +6,14 @@
 const LIST_RETRY: Micros = 1_000_000;
 
 impl Controller {
-    pub(super) fn on_list(&mut self, now: Micros, news: ListNews) {
+    pub(super) fn on_list(&mut self, now: Micros, news: ListUpdate) {
         let (entries, complete) = match news {
-            ListNews::Failed => {
+            ListUpdate::Failed => {
                 self.list_due = Some(now + LIST_RETRY);
                 return;
             }
-            ListNews::Changes(e) => (e, false),
-            ListNews::Complete(e) | ListNews::Cached(e) => (e, true),
+            ListUpdate::Changes(e) => (e, false),
+            ListUpdate::Complete(e) | ListUpdate::Cached(e) => (e, true),
         };
         for e in entries.iter() {
             self.on_entry(now, e);
--- a/src/routing/interface.rs
+++ b/src/routing/interface.rs
@@ -202,7 +202,7 @@
 
 /// What a list event carries.
 #[derive(Clone, Debug, PartialEq)]
-pub enum ListNews {
+pub enum ListUpdate {
     /// Only the entries that changed.
     Changes(Rc<[ListEntry]>),
     /// The complete list; an office missing from it is removed.
@@ -322,7 +322,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// News of the office list.
-    List(ListNews),
+    List(ListUpdate),
     /// A new call.
     Call(NewCall),
     /// A set-up went through: the call stands.
--- a/src/routing/ledger.rs
+++ b/src/routing/ledger.rs
@@ -422,7 +422,7 @@
         let changes = self.withdrawals.set(now, withdrawn.clone());
         if !changes.entries.is_empty() {
             self.note_states(now, &changes.entries);
-            self.drive(now, Event::List(ListNews::Changes(changes.entries.into())));
+            self.drive(now, Event::List(ListUpdate::Changes(changes.entries.into())));
         }
         for (office, report) in changes.groups {
             self.drive(now, Event::Group { office, report });
@@ -473,12 +473,12 @@
     }
 
     /// News of the list of offices.
-    pub fn list(&mut self, now: Micros, news: ListNews) {
+    pub fn list(&mut self, now: Micros, news: ListUpdate) {
         let news = self.withdrawals.list(news);
         match &news {
-            ListNews::Failed => {}
-            ListNews::Changes(entries) => self.note_states(now, entries),
-            ListNews::Complete(entries) | ListNews::Cached(entries) => {
+            ListUpdate::Failed => {}
+            ListUpdate::Changes(entries) => self.note_states(now, entries),
+            ListUpdate::Complete(entries) | ListUpdate::Cached(entries) => {
                 for (office, told) in &mut self.offices {
                     if !entries.iter().any(|e| e.office == *office) {
                         told.note(now, ListState::Gone);
--- a/src/routing/withdrawals.rs
+++ b/src/routing/withdrawals.rs
@@ -5,7 +5,7 @@
 //! has for a cold processor, and a group's circuits come back little by little, so that nothing gets its full share
 //! at once. While nothing was ever withdrawn, all passes through unchanged.
 
-use super::interface::{ExchangeNumber, ListEntry, ListNews, ListState, LoadReport, Micros, ExchangeId, Withdrawn};
+use super::interface::{ExchangeNumber, ListEntry, ListUpdate, ListState, LoadReport, Micros, ExchangeId, Withdrawn};
 use std::collections::BTreeMap;
 
 /// What follows for the module when something is withdrawn or comes back.
@@ -62,9 +62,9 @@
     }
 
     /// Takes news of the list and gives what the module is to hear.
-    pub fn list(&mut self, news: ListNews) -> ListNews {
-        let complete = matches!(news, ListNews::Complete(_) | ListNews::Cached(_));
-        let (ListNews::Changes(entries) | ListNews::Complete(entries) | ListNews::Cached(entries)) = &news
+    pub fn list(&mut self, news: ListUpdate) -> ListUpdate {
+        let complete = matches!(news, ListUpdate::Complete(_) | ListUpdate::Cached(_));
+        let (ListUpdate::Changes(entries) | ListUpdate::Complete(entries) | ListUpdate::Cached(entries)) = &news
         else {
             return news;
         };
@@ -84,9 +84,9 @@
         }
         let effective = entries.iter().map(|e| self.effective(e)).collect();
         match news {
-            ListNews::Changes(_) => ListNews::Changes(effective),
-            ListNews::Complete(_) => ListNews::Complete(effective),
-            _ => ListNews::Cached(effective),
+            ListUpdate::Changes(_) => ListUpdate::Changes(effective),
+            ListUpdate::Complete(_) => ListUpdate::Complete(effective),
+            _ => ListUpdate::Cached(effective),
         }
     }
 
@@ -221,7 +221,7 @@
     #[test]
     fn nothing_changes_while_nothing_was_withdrawn() {
         let mut w = Withdrawals::new(WARM);
-        let news = ListNews::Complete([entry(1, ListState::Ready), entry(2, ListState::Draining)].into());
+        let news = ListUpdate::Complete([entry(1, ListState::Ready), entry(2, ListState::Draining)].into());
         assert_eq!(w.list(news.clone()), news);
         assert_eq!(w.report(5, entry(1, ListState::Ready).office, figures(7.0)), figures(7.0));
         assert!(w.set(9, Withdrawn::default()).entries.is_empty() && w.reopening(9).is_empty());
@@ -230,21 +230,21 @@
     #[test]
     fn whichever_drain_ends_first_the_other_holds() {
         let mut w = Withdrawals::new(WARM);
-        w.list(ListNews::Complete([entry(1, ListState::Ready)].into()));
+        w.list(ListUpdate::Complete([entry(1, ListState::Ready)].into()));
         assert_eq!(w.set(10, out(&[1], &[])).entries[0].state, ListState::Draining);
         // The coordinator drains it too, and ends its drain first.
         for state in [ListState::Draining, ListState::Ready] {
-            let ListNews::Changes(told) = w.list(ListNews::Changes([entry(1, state)].into())) else {
+            let ListUpdate::Changes(told) = w.list(ListUpdate::Changes([entry(1, state)].into())) else {
                 panic!()
             };
             assert_eq!(told[0].state, ListState::Draining);
         }
         // A replacement under a new name serves the same exchange: it is withdrawn as well.
         let new = ListEntry { office: ExchangeId { addr: [9; 4], port: 0 }, ..entry(1, ListState::Ready) };
-        let ListNews::Changes(told) = w.list(ListNews::Changes([new].into())) else { panic!() };
+        let ListUpdate::Changes(told) = w.list(ListUpdate::Changes([new].into())) else { panic!() };
         assert_eq!(told[0].state, ListState::Draining);
         // The operator's ends first.
-        w.list(ListNews::Changes([entry(1, ListState::Draining)].into()));
+        w.list(ListUpdate::Changes([entry(1, ListState::Draining)].into()));
         let back = w.set(20, out(&[], &[])).entries;
         let state = |office| back.iter().find(|e| e.office == office).unwrap();
         assert_eq!(state(entry(1, ListState::Ready).office).state, ListState::Draining);
@@ -260,7 +260,7 @@
     fn a_group_is_shut_at_once_and_comes_back_little_by_little() {
         let mut w = Withdrawals::new(WARM);
         let office = entry(1, ListState::Ready).office;
-        w.list(ListNews::Complete([entry(1, ListState::Ready)].into()));
+        w.list(ListUpdate::Complete([entry(1, ListState::Ready)].into()));
         w.report(0, office, figures(18.0));
         assert_eq!(w.set(10, out(&[], &[1])).groups[0].1.free, Some(0.0));
         assert_eq!((w.report(11, office, figures(20.0)).free, w.shut_since(office)), (Some(0.0), Some(10)));
--- a/tests/models.rs
+++ b/tests/models.rs
@@ -943,7 +943,7 @@
                     ListState::Ready => drop(self.drained.remove(&n)),
                     _ => drop(self.drained.entry(n).or_insert(now)),
                 }
-                self.ledger.list(now, ListNews::Changes([entry(n, state)].into()));
+                self.ledger.list(now, ListUpdate::Changes([entry(n, state)].into()));
             }
             Step::Pass(span) => {
                 while let Some(at) = self.due.first().filter(|&at| at <= now + span) {
@@ -990,7 +990,7 @@
     let (calls, drained) = (BTreeMap::new(), BTreeMap::new());
     let mut book = Book { ledger, now: 1_000_000 * MS, due: Deadlines::default(), calls, drained };
     let all: Vec<ListEntry> = (0..5).map(|n| entry(n, ListState::Ready)).collect();
-    book.ledger.list(book.now, ListNews::Cached(all.into()));
+    book.ledger.list(book.now, ListUpdate::Cached(all.into()));
     for n in 1..5 {
         let report = LoadReport { free: Some(20.0), size: Some(20.0), ..LoadReport::default() };
         book.ledger.group(book.now, office(n), report);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -100,7 +100,7 @@
 impl Bed {
     fn with(settings: Settings) -> Bed {
         let mut bed = Bed { c: Controller::new(settings, 7), now: 100 * S };
-        bed.tell(Event::List(ListNews::Cached((0..5).map(entry).collect())));
+        bed.tell(Event::List(ListUpdate::Cached((0..5).map(entry).collect())));
         (1..5).for_each(|n| drop(bed.tell(group(n, 20.0))));
         bed
     }
@@ -242,9 +242,9 @@
 fn nothing_goes_to_an_office_that_drains_or_vanished_from_the_list() {
     let mut b = Bed::new();
     let draining = ListEntry { state: ListState::Draining, ..entry(1) };
-    b.tell(Event::List(ListNews::Changes([draining].into())));
+    b.tell(Event::List(ListUpdate::Changes([draining].into())));
     assert!(sent(&b.call(1, 1)).is_empty());
-    b.tell(Event::List(ListNews::Complete([entry(0), entry(3), entry(4)].into())));
+    b.tell(Event::List(ListUpdate::Complete([entry(0), entry(3), entry(4)].into())));
     assert!(sent(&b.call(2, 2)).is_empty());
     assert_eq!(sent(&b.call(3, 3)), [office(3)]);
 }
@@ -257,7 +257,7 @@
         b.now += 20 * MS;
         if id == 200 {
             let restarted = ListEntry { last_start: Some(b.now), ..entry(1) };
-            b.tell(Event::List(ListNews::Changes([restarted].into())));
+            b.tell(Event::List(ListUpdate::Changes([restarted].into())));
             got = 0;
         }
         let transit = id % 2 == 0;
@@ -276,7 +276,7 @@
 #[test]
 fn a_newly_listed_office_counts_as_cold() {
     let mut b = Bed::new();
-    b.tell(Event::List(ListNews::Changes([entry(9)].into())));
+    b.tell(Event::List(ListUpdate::Changes([entry(9)].into())));
     b.tell(group(9, 20.0));
     let out: usize = (0..10).map(|id| sent(&b.call(id, 9)).len()).sum();
     assert!(out <= 1);
@@ -404,7 +404,7 @@
 fn the_list_is_asked_for_again_after_a_failure() {
     let mut b = Bed::with(Settings { membership: Membership::OnRequest, ..settings() });
     assert!(b.pass(S).contains(&Action::Subscribe));
-    b.tell(Event::List(ListNews::Failed));
+    b.tell(Event::List(ListUpdate::Failed));
     assert!(b.pass(2 * S).contains(&Action::Subscribe));
 }
 
@@ -429,7 +429,7 @@
     let mut open: BTreeMap<CallId, Held> = BTreeMap::new();
     let mut told: BTreeMap<ExchangeId, Micros> = BTreeMap::new();
     let mut next = 0;
-    let mut events = vec![Event::List(ListNews::Cached((0..5).map(entry).collect()))];
+    let mut events = vec![Event::List(ListUpdate::Cached((0..5).map(entry).collect()))];
     events.extend((1..5).map(|n| group(n, 9.0)));
     let mut steps = steps.iter();
     loop {
@@ -495,7 +495,7 @@
                     ListState::Ready => drop(told.remove(&office(n))),
                     ListState::Draining | ListState::Gone => drop(told.entry(office(n)).or_insert(now)),
                 }
-                events.push(Event::List(ListNews::Changes([e].into())));
+                events.push(Event::List(ListUpdate::Changes([e].into())));
             }
             _ => {
                 let outs: Vec<_> = open.iter().filter(|(_, h)| h.1.is_some()).map(|(&id, _)| id).collect();
@@ -614,7 +614,7 @@
 /// A controller at exchange 0 of `n`, told of all groups.
 fn bed_of(n: u16, settings: Settings, seed: u64) -> Bed {
     let mut b = Bed { c: Controller::new(settings, seed), now: 100 * S };
-    b.tell(Event::List(ListNews::Cached((0..n).map(entry).collect())));
+    b.tell(Event::List(ListUpdate::Cached((0..n).map(entry).collect())));
     (1..n).for_each(|e| drop(b.tell(group(e, 20.0))));
     b
 }
@@ -644,7 +644,7 @@
     }
     let started = beds[0].now;
     let restarted = ListEntry { last_start: Some(started), ..entry(1) };
-    beds.iter_mut().for_each(|b| drop(b.tell(Event::List(ListNews::Changes([restarted.clone()].into())))));
+    beds.iter_mut().for_each(|b| drop(b.tell(Event::List(ListUpdate::Changes([restarted.clone()].into())))));
     // All have calls for it all the time.
     let mut reached = Vec::new();
     for tick in 0..100i64 {
@@ -796,11 +796,11 @@
         for k in 0..rounds {
             let fresh = ExchangeId { addr: [10, 1, (k >> 8) as u8, k as u8], port: 1 + (k >> 16) as u16 };
             let come = ListEntry { office: fresh, ..entry(4) };
-            b.tell(Event::List(ListNews::Changes([come.clone()].into())));
+            b.tell(Event::List(ListUpdate::Changes([come.clone()].into())));
             b.tell(Event::Call(NewCall { number: Some(k.into()), ..call(10_000 + k, 1 + (k % 4) as u16) }));
             b.tell(ended(10_000 + k, 0, 1, Ending::Fault, Cause::LinesBusy));
             b.tell(Event::CallerGone(CallId(10_000 + k)));
-            b.tell(Event::List(ListNews::Changes([ListEntry { state: ListState::Gone, ..come }].into())));
+            b.tell(Event::List(ListUpdate::Changes([ListEntry { state: ListState::Gone, ..come }].into())));
             b.now += 40 * MS;
             b.tell(Event::Timer(0));
         }
@@ -825,7 +825,7 @@
     let restarted = ListEntry { last_start: Some(b.now + 4 * S), ..entry(1) };
     for id in 0..70 {
         if id == 40 {
-            b.tell(Event::List(ListNews::Changes([restarted.clone()].into())));
+            b.tell(Event::List(ListUpdate::Changes([restarted.clone()].into())));
         }
         let to = 2 + (id % 3) as u16;
         b.tell(group(to, 20.0));
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -62,7 +62,7 @@
         office: ExchangeId::default(),
         last_start: None,
     };
-    ledger.list(0, ListNews::Cached([entry].into()));
+    ledger.list(0, ListUpdate::Cached([entry].into()));
     let first = ledger.offer(10 * MS, offer(3_000 * MS));
     ledger.close(2_000 * MS);
     ledger.take_outputs();
--- a/tests/simulator.rs
+++ b/tests/simulator.rs
@@ -35,7 +35,7 @@
 #[test]
 fn a_list_is_read_with_its_states_and_starts() {
     let records = read(&hex(LIST), &[]);
-    let Ok(Record::Event(Event::List(ListNews::Complete(l)))) = &records[0] else { panic!("{records:?}") };
+    let Ok(Record::Event(Event::List(ListUpdate::Complete(l)))) = &records[0] else { panic!("{records:?}") };
     assert_eq!(
         (l[0].exchange, l[0].state, l[0].last_start),
         (ExchangeNumber(7), ListState::Gone, Some(2_000_000))
@@ -47,7 +47,7 @@
     let second = LIST.replace("0007 01 02", "0009 01 00");
     let records = read(&hex(&format!("{LIST}{second}")), &[]);
     let number = |r: &Result<Record, WireError>| match r {
-        Ok(Record::Event(Event::List(ListNews::Complete(l)))) => l[0].exchange.0,
+        Ok(Record::Event(Event::List(ListUpdate::Complete(l)))) => l[0].exchange.0,
         other => panic!("{other:?}"),
     };
     assert_eq!(records.iter().map(number).collect::<Vec<_>>(), [7, 9]);
--- a/tests/withdrawals.rs
+++ b/tests/withdrawals.rs
@@ -47,7 +47,7 @@
         office: office(n as u8),
         last_start: None,
     };
-    l.list(T0, ListNews::Complete((1..=3).map(entry).collect()));
+    l.list(T0, ListUpdate::Complete((1..=3).map(entry).collect()));
     (1..=3).for_each(|n| l.group(T0, office(n), circuits(20.0)));
     l.take_outputs();
     l
