--- a/examples/gossip_tables.rs
+++ b/examples/gossip_tables.rs
@@ -353,7 +353,8 @@
             lab.run_until(now);
             for (_, i, said) in std::mem::take(&mut lab.said) {
                 if let (NodeOutput::Suspected(all), true) = (said, i < SITES) {
-                    let all: BTreeSet<ExchangeNumber> = all.into_iter().map(|e| ExchangeNumber(e.0)).collect();
+                    let all: BTreeSet<ExchangeNumber> =
+                        all.into_iter().map(|e| ExchangeNumber(e.0)).collect();
                     self.sites[i].ledger.suspect(now, all);
                     self.follow(i);
                 }
--- a/src/program/appliance_file.rs
+++ b/src/program/appliance_file.rs
@@ -614,7 +614,9 @@
             a.windows[0].when,
             When::Weekly { days: [true, false, false, true, false, false, false], from: 7200 * SECOND }
         );
-        assert!(a.links.contains(&(ExchangeNumber(5), ExchangeNumber(4))) && a.list.unwrap().contains("yoff"));
+        assert!(
+            a.links.contains(&(ExchangeNumber(5), ExchangeNumber(4))) && a.list.unwrap().contains("yoff")
+        );
         let config = super::super::config::parse(&a.platform.unwrap()).unwrap();
         assert_eq!((config.settings.own, config.settings.drain_grace), (Some(ExchangeNumber(0)), 250_000));
         assert!(read("f", "").unwrap().is_none());
--- a/src/program/views.rs
+++ b/src/program/views.rs
@@ -6,7 +6,7 @@
 use super::switchboard::GATEWAYS;
 use crate::protocol::mgcp::agent::Agent;
 use crate::protocol::upstream::UpstreamConnections;
-use crate::routing::interface::{ExchangeNumber, ListState, Micros, ExchangeId};
+use crate::routing::interface::{ExchangeId, ExchangeNumber, ListState, Micros};
 use crate::routing::ledger::{CallView, Ledger};
 use std::collections::{BTreeMap, BTreeSet};
 use walnuthatch_control::views::{Call, Exchange, Status};
@@ -94,23 +94,24 @@
     pub fn exchanges(&self) -> Vec<Exchange> {
         let loads = self.loads();
         let figures: BTreeMap<ExchangeId, _> = self.ledger.withdrawals().figures().collect();
-        let of = |office: &ExchangeId, exchange: ExchangeNumber, name: &str, address: String, state, connected| {
-            let known = figures.get(office);
-            let Load { out, standing } = loads.load(Target::Group(target::Exchange(exchange.0)));
-            Exchange {
-                exchange: exchange.0,
-                member: name.to_owned(),
-                address,
-                listed: listed(state).to_owned(),
-                connected,
-                free: known.map(|f| f.0),
-                size: known.map(|f| f.1),
-                out,
-                standing,
-                report_age_ms: known.map(|f| ms(self.now - f.2)),
-                ..Exchange::default()
-            }
-        };
+        let of =
+            |office: &ExchangeId, exchange: ExchangeNumber, name: &str, address: String, state, connected| {
+                let known = figures.get(office);
+                let Load { out, standing } = loads.load(Target::Group(target::Exchange(exchange.0)));
+                Exchange {
+                    exchange: exchange.0,
+                    member: name.to_owned(),
+                    address,
+                    listed: listed(state).to_owned(),
+                    connected,
+                    free: known.map(|f| f.0),
+                    size: known.map(|f| f.1),
+                    out,
+                    standing,
+                    report_age_ms: known.map(|f| ms(self.now - f.2)),
+                    ..Exchange::default()
+                }
+            };
         let list = self.ledger.withdrawals();
         let links = self.links.views().filter_map(|(office, place, state, up)| {
             let exchange = list.exchange_of(office)?;
--- a/src/protocol/membership.rs
+++ b/src/protocol/membership.rs
@@ -2,7 +2,7 @@
 //! exchanges in it.
 
 use crate::planted::{planted, Planted};
-use crate::routing::interface::{ExchangeNumber, ListEntry, ListUpdate, ListState, ExchangeId};
+use crate::routing::interface::{ExchangeId, ExchangeNumber, ListEntry, ListState, ListUpdate};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/src/protocol/mgcp/agent.rs
+++ b/src/protocol/mgcp/agent.rs
@@ -11,7 +11,8 @@
 use super::message::{self, events, Command, Endpoint, Packet, Params, Response, Verb};
 use super::transactions::{command, Commands, History, Repeat};
 use crate::routing::interface::{
-    AttemptNumber, CallId, Cause, Ending, ExchangeNumber, ListEntry, ListState, LoadReport, Micros, NewCall, ExchangeId,
+    AttemptNumber, CallId, Cause, Ending, ExchangeId, ExchangeNumber, ListEntry, ListState, LoadReport,
+    Micros, NewCall,
 };
 use crate::routing::ledger::{Answer, Description, FrontId, Offer};
 use std::collections::BTreeMap;
--- a/src/protocol/upstream/mod.rs
+++ b/src/protocol/upstream/mod.rs
@@ -16,7 +16,8 @@
 use super::ConnId;
 use crate::planted::{planted, Planted};
 use crate::routing::interface::{
-    AttemptNumber, CallId, Cause, Ending, ExchangeNumber, ListEntry, ListState, LoadReport, Micros, ExchangeId,
+    AttemptNumber, CallId, Cause, Ending, ExchangeId, ExchangeNumber, ListEntry, ListState, LoadReport,
+    Micros,
 };
 use crate::routing::ledger::Description;
 use lease::{Generation, Leases};
--- a/src/routing/withdrawals.rs
+++ b/src/routing/withdrawals.rs
@@ -5,7 +5,9 @@
 //! has for a cold processor, and a group's circuits come back little by little, so that nothing gets its full share
 //! at once. While nothing was ever withdrawn, all passes through unchanged.
 
-use super::interface::{ExchangeNumber, ListEntry, ListUpdate, ListState, LoadReport, Micros, ExchangeId, Withdrawn};
+use super::interface::{
+    ExchangeId, ExchangeNumber, ListEntry, ListState, ListUpdate, LoadReport, Micros, Withdrawn,
+};
 use std::collections::BTreeMap;
 
 /// What follows for the module when something is withdrawn or comes back.
@@ -64,7 +66,8 @@
     /// Takes news of the list and gives what the module is to hear.
     pub fn list(&mut self, news: ListUpdate) -> ListUpdate {
         let complete = matches!(news, ListUpdate::Complete(_) | ListUpdate::Cached(_));
-        let (ListUpdate::Changes(entries) | ListUpdate::Complete(entries) | ListUpdate::Cached(entries)) = &news
+        let (ListUpdate::Changes(entries) | ListUpdate::Complete(entries) | ListUpdate::Cached(entries)) =
+            &news
         else {
             return news;
         };
