--- a/src/program/appliance.rs
+++ b/src/program/appliance.rs
@@ -9,7 +9,7 @@
 use super::gossip::Gossip;
 use super::log::Log;
 use super::views::{Loads, Scene, CALLS};
-use crate::routing::interface::{Cause, Ending, ExchangeNumber, Micros, Withdrawn};
+use crate::routing::interface::{Cause, Ending, ExchangeNumber, Micros, OutOfService};
 use crate::routing::ledger::{Answer, Last, Ledger, Output as LedgerOutput};
 use crate::transport::ControlNews;
 use async_channel::Sender;
@@ -40,7 +40,7 @@
 #[derive(Debug)]
 pub enum Output {
     /// This is out of service from now on.
-    Withdraw(Withdrawn),
+    Withdraw(OutOfService),
     /// Release the calls that stand there.
     Cut(Target),
     /// Bring groups back a little more.
@@ -370,10 +370,10 @@
                     };
                     self.sessions.reply(client, id, what);
                 }
-                book::Output::Apply(w) => self.out.push(Output::Withdraw(Withdrawn {
+                book::Output::Apply(w) => self.out.push(Output::Withdraw(OutOfService {
                     exchanges: exchanges(&w.exchanges),
                     groups: exchanges(&w.groups),
-                    all: w.all,
+                    controller: w.all,
                 })),
                 book::Output::Cut(target) => {
                     self.event(now, "drain", format!("{target}: the calls that are left are cut"));
--- a/src/routing/control/mod.rs
+++ b/src/routing/control/mod.rs
@@ -115,7 +115,7 @@
     /// Offices with set-ups out.
     busy: BTreeSet<usize>,
     /// What operators took out of service.
-    withdrawn: Withdrawn,
+    withdrawn: OutOfService,
     /// What others' evidence speaks against.
     suspected: BTreeSet<ExchangeNumber>,
     /// The exchange that each peer speaks for.
@@ -172,7 +172,7 @@
             Event::Peer { from, body } => self.on_peer(from, &body),
             Event::ProbeFailed(_) => {}
             Event::Suspected(s) => self.suspected = s,
-            Event::Withdrawn(w) => {
+            Event::OutOfService(w) => {
                 self.withdrawn = w;
                 self.serve_held(now, None, true, out);
             }
--- a/src/routing/control/route.rs
+++ b/src/routing/control/route.rs
@@ -35,7 +35,7 @@
             }
         }
         // Danger: a call for what will not come back soon would wait, and be refused at its end.
-        if self.withdrawn.all || self.withdrawn.exchanges.contains(&ask.destination) {
+        if self.withdrawn.controller || self.withdrawn.exchanges.contains(&ask.destination) {
             return Route::Closed;
         }
         // Danger: while another call server restarts, calls of its subscribers come here, some of them for
--- a/src/routing/interface.rs
+++ b/src/routing/interface.rs
@@ -243,18 +243,18 @@
 /// What operators took out of service, in whole. Offices and groups are told as draining and as full besides; this
 /// says that calls need not wait for them.
 #[derive(Clone, Debug, PartialEq, Eq, Default)]
-pub struct Withdrawn {
+pub struct OutOfService {
     /// Exchanges that no call is for.
     pub exchanges: BTreeSet<ExchangeNumber>,
     /// Groups that take no new calls, by the exchange at the far end.
     pub groups: BTreeSet<ExchangeNumber>,
     /// This controller takes no new calls.
-    pub all: bool,
+    pub controller: bool,
 }
 
-impl Withdrawn {
+impl OutOfService {
     /// Whether an exchange, or the group toward it, is out of service.
-    pub fn holds(&self, exchange: ExchangeNumber) -> bool {
+    pub fn contains(&self, exchange: ExchangeNumber) -> bool {
         self.exchanges.contains(&exchange) || self.groups.contains(&exchange)
     }
 }
@@ -357,7 +357,7 @@
         body: Vec<u8>,
     },
     /// Operators took this out of service, and nothing else.
-    Withdrawn(Withdrawn),
+    OutOfService(OutOfService),
     /// These exchanges are suspected of taking set-ups and answering none, and no others.
     Suspected(BTreeSet<ExchangeNumber>),
     /// A timer is due.
--- a/src/routing/ledger.rs
+++ b/src/routing/ledger.rs
@@ -418,7 +418,7 @@
     }
 
     /// Operators took this out of service, and nothing else. Set-ups may go there until the grace is over.
-    pub fn withdraw(&mut self, now: Micros, withdrawn: Withdrawn) {
+    pub fn withdraw(&mut self, now: Micros, withdrawn: OutOfService) {
         let changes = self.withdrawals.set(now, withdrawn.clone());
         if !changes.entries.is_empty() {
             self.note_states(now, &changes.entries);
@@ -427,7 +427,7 @@
         for (office, report) in changes.groups {
             self.drive(now, Event::Group { office, report });
         }
-        self.drive(now, Event::Withdrawn(withdrawn));
+        self.drive(now, Event::OutOfService(withdrawn));
     }
 
     /// These exchanges are suspected of taking set-ups and answering none, and no others.
--- a/src/routing/withdrawals.rs
+++ b/src/routing/withdrawals.rs
@@ -6,7 +6,7 @@
 //! at once. While nothing was ever withdrawn, all passes through unchanged.
 
 use super::interface::{
-    ExchangeId, ExchangeNumber, ListEntry, ListState, ListUpdate, LoadReport, Micros, Withdrawn,
+    ExchangeId, ExchangeNumber, ListEntry, ListState, ListUpdate, LoadReport, Micros, OutOfService,
 };
 use std::collections::BTreeMap;
 
@@ -27,7 +27,7 @@
     listed: BTreeMap<ExchangeId, ListEntry>,
     /// Free circuits and size of the group toward each office, and when they were told.
     figures: BTreeMap<ExchangeId, (f64, f64, Micros)>,
-    withdrawn: Withdrawn,
+    withdrawn: OutOfService,
     /// Groups that are withdrawn, and since when.
     shut: BTreeMap<ExchangeNumber, Micros>,
     /// Exchanges that came back, and when.
@@ -43,7 +43,7 @@
             warm: warm.max(1),
             listed: BTreeMap::new(),
             figures: BTreeMap::new(),
-            withdrawn: Withdrawn::default(),
+            withdrawn: OutOfService::default(),
             shut: BTreeMap::new(),
             returned: BTreeMap::new(),
             reopened: BTreeMap::new(),
@@ -117,7 +117,7 @@
     }
 
     /// Sets what is withdrawn from now on, and tells what changes by it.
-    pub fn set(&mut self, now: Micros, new: Withdrawn) -> Changes {
+    pub fn set(&mut self, now: Micros, new: OutOfService) -> Changes {
         let old = std::mem::replace(&mut self.withdrawn, new);
         let warm = self.warm;
         self.returned.retain(|e, _| self.listed.values().any(|l| l.exchange == *e));
@@ -181,7 +181,7 @@
     }
 
     /// What is withdrawn.
-    pub fn withdrawn(&self) -> &Withdrawn {
+    pub fn withdrawn(&self) -> &OutOfService {
         &self.withdrawn
     }
 
@@ -212,9 +212,9 @@
         ListEntry { exchange: ExchangeNumber(n), zone: 0, state, office, last_start: None }
     }
 
-    fn out(exchanges: &[u16], groups: &[u16]) -> Withdrawn {
+    fn out(exchanges: &[u16], groups: &[u16]) -> OutOfService {
         let set = |l: &[u16]| l.iter().map(|&n| ExchangeNumber(n)).collect();
-        Withdrawn { exchanges: set(exchanges), groups: set(groups), all: false }
+        OutOfService { exchanges: set(exchanges), groups: set(groups), controller: false }
     }
 
     fn figures(free: f64) -> LoadReport {
@@ -227,7 +227,7 @@
         let news = ListUpdate::Complete([entry(1, ListState::Ready), entry(2, ListState::Draining)].into());
         assert_eq!(w.list(news.clone()), news);
         assert_eq!(w.report(5, entry(1, ListState::Ready).office, figures(7.0)), figures(7.0));
-        assert!(w.set(9, Withdrawn::default()).entries.is_empty() && w.reopening(9).is_empty());
+        assert!(w.set(9, OutOfService::default()).entries.is_empty() && w.reopening(9).is_empty());
     }
 
     #[test]
@@ -267,7 +267,7 @@
         w.report(0, office, figures(18.0));
         assert_eq!(w.set(10, out(&[], &[1])).groups[0].1.free, Some(0.0));
         assert_eq!((w.report(11, office, figures(20.0)).free, w.shut_since(office)), (Some(0.0), Some(10)));
-        assert_eq!(w.set(100, Withdrawn::default()).groups[0].1.free, Some(0.0));
+        assert_eq!(w.set(100, OutOfService::default()).groups[0].1.free, Some(0.0));
         assert_eq!(w.reopening(100 + WARM / 2)[0].1.free, Some(10.0));
         assert_eq!(w.reopening(100 + WARM)[0].1.free, Some(20.0));
         assert!(w.reopening(101 + WARM).is_empty() && w.shut_since(office).is_none());
--- a/tests/withdrawals.rs
+++ b/tests/withdrawals.rs
@@ -86,9 +86,9 @@
     })
 }
 
-fn out(exchanges: &[u16], groups: &[u16], all: bool) -> Withdrawn {
+fn out(exchanges: &[u16], groups: &[u16], all: bool) -> OutOfService {
     let set = |l: &[u16]| l.iter().map(|&n| ExchangeNumber(n)).collect();
-    Withdrawn { exchanges: set(exchanges), groups: set(groups), all }
+    OutOfService { exchanges: set(exchanges), groups: set(groups), controller: all }
 }
 
 #[test]
