--- a/examples/gossip_tables.rs
+++ b/examples/gossip_tables.rs
@@ -296,7 +296,7 @@
                 let e = Exchange(leg.0);
                 let call = u64::from(call.0);
                 self.tell(i, |n, now| match ending {
-                    Ending::TimedOut | Ending::CalledOff => n.given_up(now, e, call),
+                    Ending::TimedOut | Ending::Cancelled => n.given_up(now, e, call),
                     Ending::Full | Ending::Fault => n.turned_away(now, e, call),
                     _ => n.dropped(now, e, call),
                 });
--- a/src/program/gossip.rs
+++ b/src/program/gossip.rs
@@ -98,7 +98,7 @@
                     (Ending::Full | Ending::Fault, _) | (_, Cause::LinesBusy) => {
                         self.node.turned_away(now, e, call)
                     }
-                    (Ending::TimedOut | Ending::CalledOff | Ending::Reset | Ending::Unreachable, _)
+                    (Ending::TimedOut | Ending::Cancelled | Ending::Reset | Ending::Unreachable, _)
                         if direct =>
                     {
                         self.node.given_up(now, e, call);
--- a/src/protocol/simulator.rs
+++ b/src/protocol/simulator.rs
@@ -223,12 +223,12 @@
                 let _took = f.time()?;
                 let report = f.report(names)?;
                 match verdict {
-                    0 => Event::Group { office, report },
+                    0 => Event::GroupReport { office, report },
                     _ => Event::ProbeFailed(office),
                 }
             }
-            1060 => Event::CallerGone(CallId(f.u32()?)),
-            1090 => Event::Stands {
+            1060 => Event::CallAbandoned(CallId(f.u32()?)),
+            1090 => Event::Established {
                 call: CallId(f.u32()?),
                 attempt: AttemptNumber(f.u8()?),
                 office: f.office()?,
@@ -237,7 +237,7 @@
             1050 => {
                 let from = PeerNumber(f.u32()?);
                 let n = usize::from(f.u16()?);
-                Event::Peer { from, body: f.take(n)?.to_vec() }
+                Event::PeerMessage { from, body: f.take(n)?.to_vec() }
             }
             1080 => Event::Timer(f.u64()?),
             other => return Err(WireError::UnknownCode(other)),
@@ -258,7 +258,7 @@
         4 => Ending::TimedOut,
         14 => Ending::Unreachable,
         10 => Ending::Reset,
-        1 => Ending::CalledOff,
+        1 => Ending::Cancelled,
         9 => Ending::NotSent,
         _ => return f.bad("outcome"),
     };
@@ -406,7 +406,7 @@
                 self.begin(instance, 1120);
                 self.body.put_u32(call.0);
             }
-            Action::CallOff { call, attempt } => {
+            Action::Cancel { call, attempt } => {
                 self.begin(instance, 1060);
                 self.body.put_u32(call.0);
                 self.body.put_u8(attempt.0);
@@ -415,7 +415,7 @@
                 self.begin(instance, 1110);
                 self.office(*office);
             }
-            Action::Tell { to, body } => {
+            Action::SendToPeer { to, body } => {
                 self.begin(instance, 1100);
                 self.body.put_u32(to.map_or(u32::MAX, |p| p.0));
                 let n = body.len().min(256);
--- a/src/routing/control/mod.rs
+++ b/src/routing/control/mod.rs
@@ -157,26 +157,26 @@
         // Danger: what is tried again on every event costs more the more offices there are. Held calls wait
         // for a circuit (the group changes) or a place of the own window; the rest shows on a tick.
         let full = !self.own_gate.lets_in(now, self.own_out(now));
-        let freed = full && matches!(event, Event::Stands { .. } | Event::Ended(_));
+        let freed = full && matches!(event, Event::Established { .. } | Event::Ended(_));
         match event {
             Event::List(news) => self.on_list(now, news),
             Event::Call(ask) => self.on_call(now, ask, out),
-            Event::Stands { call, office, took, .. } => self.on_stands(now, call, office, took),
+            Event::Established { call, office, took, .. } => self.on_stands(now, call, office, took),
             Event::Ended(o) => self.on_ended(now, o, out),
-            Event::Group { office, report } => {
+            Event::GroupReport { office, report } => {
                 if let Some(&i) = self.by_id.get(&office) {
                     self.note_report(now, i, report);
                     self.serve_held(now, Some(i), !full, out);
                 }
             }
-            Event::Peer { from, body } => self.on_peer(from, &body),
+            Event::PeerMessage { from, body } => self.on_peer(from, &body),
             Event::ProbeFailed(_) => {}
             Event::Suspected(s) => self.suspected = s,
             Event::OutOfService(w) => {
                 self.withdrawn = w;
                 self.serve_held(now, None, true, out);
             }
-            Event::CallerGone(call) => drop(self.forget(call)),
+            Event::CallAbandoned(call) => drop(self.forget(call)),
             Event::Timer(_) => self.on_tick(now, out),
         }
         self.serve_held(now, None, freed, out);
--- a/src/routing/control/outcome.rs
+++ b/src/routing/control/outcome.rs
@@ -53,7 +53,7 @@
     pub(super) fn judge(&mut self, now: Micros, i: usize, o: &Outcome) {
         let destination = self.calls.get(&o.call).map(|c| c.ask.destination);
         let office = &mut self.offices[i];
-        if !matches!(o.ending, Ending::TimedOut | Ending::Unreachable | Ending::NotSent | Ending::CalledOff) {
+        if !matches!(o.ending, Ending::TimedOut | Ending::Unreachable | Ending::NotSent | Ending::Cancelled) {
             office.heard = now;
             self.heard = now;
         }
@@ -63,7 +63,7 @@
             self.lost += LUCK_SMOOTH * (1.0 - self.lost);
         }
         let overtaken = office.stood_sent > now - o.took;
-        if overtaken && (o.ending == Ending::CalledOff || o.ending == Ending::TimedOut && waited) {
+        if overtaken && (o.ending == Ending::Cancelled || o.ending == Ending::TimedOut && waited) {
             office.losses += LOSSES_SMOOTH * (1.0 - office.losses);
         }
         match (o.ending, o.cause) {
@@ -83,7 +83,7 @@
             (Ending::Full, Cause::ProcessorFull(wait)) => {
                 office.shut(now, wait.unwrap_or(0).min(MARK));
             }
-            (Ending::CalledOff, _) => office.last_took = o.took,
+            (Ending::Cancelled, _) => office.last_took = o.took,
             // Danger: an answer was lost, but the office works: it answered what was sent later.
             (Ending::TimedOut, _) if !waited || overtaken || office.by_chance(office.out.len() + 1) => {}
             (Ending::Unreachable | Ending::TimedOut, _) => office.shut(now, 0),
--- a/src/routing/control/peers.rs
+++ b/src/routing/control/peers.rs
@@ -22,7 +22,7 @@
             lacking |= !linked;
         }
         if lacking && body.len() <= 256 {
-            out.push(Action::Tell { to: None, body });
+            out.push(Action::SendToPeer { to: None, body });
         }
     }
 
--- a/src/routing/control/retry.rs
+++ b/src/routing/control/retry.rs
@@ -18,7 +18,7 @@
         if o.over {
             return drop(self.forget(o.call));
         }
-        let unclear = matches!(o.ending, Ending::TimedOut | Ending::Reset | Ending::CalledOff);
+        let unclear = matches!(o.ending, Ending::TimedOut | Ending::Reset | Ending::Cancelled);
         let release = if unclear && !planted(Planted::RetryInQuietPeriod) {
             self.settings.release + self.settings.tick
         } else {
@@ -70,7 +70,7 @@
             for call in o.out.iter().take_while(lost).filter_map(|s| self.calls.get(&s.1)) {
                 if !call.ask.transit && !self.guarded(call) {
                     let attempt = AttemptNumber((call.tries - 1) as u8);
-                    out.push(Action::CallOff { call: call.ask.call, attempt });
+                    out.push(Action::Cancel { call: call.ask.call, attempt });
                 }
             }
         }
--- a/src/routing/interface.rs
+++ b/src/routing/interface.rs
@@ -275,7 +275,7 @@
     /// The set-up or standing call was cut.
     Reset,
     /// Called off.
-    CalledOff,
+    Cancelled,
     /// Not sent.
     NotSent,
 }
@@ -326,7 +326,7 @@
     /// A new call.
     Call(NewCall),
     /// A set-up went through: the call stands.
-    Stands {
+    Established {
         /// The call.
         call: CallId,
         /// The attempt.
@@ -339,7 +339,7 @@
     /// An attempt ended.
     Ended(Outcome),
     /// A probe ended well, or (unasked) the group toward the office changed.
-    Group {
+    GroupReport {
         /// The office.
         office: ExchangeId,
         /// Its figures.
@@ -348,9 +348,9 @@
     /// A probe failed.
     ProbeFailed(ExchangeId),
     /// The caller left, or the answer was overdue.
-    CallerGone(CallId),
+    CallAbandoned(CallId),
     /// A message from a peer.
-    Peer {
+    PeerMessage {
         /// Who sent it.
         from: PeerNumber,
         /// What it says.
@@ -393,7 +393,7 @@
     /// Final answer: failed.
     Fail(CallId),
     /// Stop waiting for an attempt.
-    CallOff {
+    Cancel {
         /// The call.
         call: CallId,
         /// The attempt.
@@ -402,7 +402,7 @@
     /// Check an office.
     Probe(ExchangeId),
     /// Send bytes to one peer, or to all.
-    Tell {
+    SendToPeer {
         /// To whom; `None`: to all.
         to: Option<PeerNumber>,
         /// 256 bytes at most.
--- a/src/routing/ledger.rs
+++ b/src/routing/ledger.rs
@@ -345,7 +345,7 @@
         if !matches!(entry.stage, Stage::Standing { .. }) {
             self.open -= 1;
             self.tally.abandoned += 1;
-            self.drive(now, Event::CallerGone(call));
+            self.drive(now, Event::CallAbandoned(call));
         }
     }
 
@@ -370,7 +370,7 @@
         self.open -= 1;
         self.tally.stood += 1;
         self.out.push(output);
-        self.drive(now, Event::Stands { call, attempt, office, took: now - since });
+        self.drive(now, Event::Established { call, attempt, office, took: now - since });
         true
     }
 
@@ -398,7 +398,7 @@
             self.out.push(Output::Release { front, call, cut });
         } else {
             entry.stage = Stage::Deciding;
-            if matches!(ending, Ending::TimedOut | Ending::Reset | Ending::CalledOff) {
+            if matches!(ending, Ending::TimedOut | Ending::Reset | Ending::Cancelled) {
                 entry.quiet_until = now + self.release;
             }
             *self.tally.endings.entry(ending_name(ending)).or_default() += 1;
@@ -414,7 +414,7 @@
     /// Figures of an office or of the group toward it.
     pub fn group(&mut self, now: Micros, office: ExchangeId, report: LoadReport) {
         let report = self.withdrawals.report(now, office, report);
-        self.drive(now, Event::Group { office, report });
+        self.drive(now, Event::GroupReport { office, report });
     }
 
     /// Operators took this out of service, and nothing else. Set-ups may go there until the grace is over.
@@ -425,7 +425,7 @@
             self.drive(now, Event::List(ListUpdate::Changes(changes.entries.into())));
         }
         for (office, report) in changes.groups {
-            self.drive(now, Event::Group { office, report });
+            self.drive(now, Event::GroupReport { office, report });
         }
         self.drive(now, Event::OutOfService(withdrawn));
     }
@@ -443,7 +443,7 @@
     /// Brings groups that were withdrawn back little by little; to be called now and then.
     pub fn reopen(&mut self, now: Micros) {
         for (office, report) in self.withdrawals.reopening(now) {
-            self.drive(now, Event::Group { office, report });
+            self.drive(now, Event::GroupReport { office, report });
         }
     }
 
@@ -469,7 +469,7 @@
 
     /// A message from a peer.
     pub fn peer(&mut self, now: Micros, from: PeerNumber, body: Vec<u8>) {
-        self.drive(now, Event::Peer { from, body });
+        self.drive(now, Event::PeerMessage { from, body });
     }
 
     /// News of the list of offices.
@@ -516,7 +516,7 @@
     /// Fails a call that is still open, whatever the module would do with it.
     pub fn fail(&mut self, now: Micros, call: CallId, reason: AnswerReason) {
         if self.finish(call, Answer::Failed, reason) {
-            self.drive(now, Event::CallerGone(call));
+            self.drive(now, Event::CallAbandoned(call));
         }
     }
 
@@ -615,11 +615,11 @@
                 Action::Fail(call) => {
                     self.finish(call, Answer::Failed, AnswerReason::Decided);
                 }
-                Action::CallOff { call, attempt } => {
-                    self.stop_attempt(now, call, attempt, Ending::CalledOff);
+                Action::Cancel { call, attempt } => {
+                    self.stop_attempt(now, call, attempt, Ending::Cancelled);
                 }
                 Action::Probe(office) => self.out.push(Output::Probe(office)),
-                Action::Tell { to, body } => self.out.push(Output::Tell { to, body }),
+                Action::SendToPeer { to, body } => self.out.push(Output::Tell { to, body }),
                 Action::FetchList | Action::Subscribe => self.out.push(Output::FetchList),
                 Action::Log(line) => self.out.push(Output::Log(line)),
             }
@@ -704,7 +704,7 @@
         Ending::TimedOut => "timed_out",
         Ending::Unreachable => "unreachable",
         Ending::Reset => "reset",
-        Ending::CalledOff => "called_off",
+        Ending::Cancelled => "called_off",
         Ending::NotSent => "not_sent",
     }
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -55,7 +55,7 @@
 
 fn group(n: u16, free: f64) -> Event {
     let report = LoadReport { free: Some(free), size: Some(20.0), ..LoadReport::default() };
-    Event::Group { office: office(n), report }
+    Event::GroupReport { office: office(n), report }
 }
 
 fn call(id: u32, to: u16) -> NewCall {
@@ -176,11 +176,11 @@
     let load = |n, busy| {
         let report =
             LoadReport { free: Some(20.0), size: Some(20.0), busy: Some(busy), ..LoadReport::default() };
-        Event::Group { office: office(n), report }
+        Event::GroupReport { office: office(n), report }
     };
     (2..5).for_each(|n| drop(b.tell(load(n, 0.95))));
     assert!(sent(&b.call(1, 1)).is_empty());
-    b.tell(Event::CallerGone(CallId(1)));
+    b.tell(Event::CallAbandoned(CallId(1)));
     b.now += 4 * S;
     b.tell(load(3, 0.5));
     assert_eq!(sent(&b.call(2, 1)), [office(3)]);
@@ -188,7 +188,7 @@
     b.tell(stands(2, 3, 20 * MS));
     b.tell(load(3, 0.95));
     assert!(sent(&b.call(3, 1)).is_empty());
-    b.tell(Event::CallerGone(CallId(3)));
+    b.tell(Event::CallAbandoned(CallId(3)));
     b.now += 11 * S;
     assert_eq!(sent(&b.call(4, 1)).len(), 1);
 }
@@ -266,7 +266,7 @@
         for a in done {
             if let Action::SetUp { call, office: o, .. } = a {
                 got += usize::from(o == office(1));
-                b.tell(Event::Stands { call, attempt: AttemptNumber(0), office: o, took: 20 * MS });
+                b.tell(Event::Established { call, attempt: AttemptNumber(0), office: o, took: 20 * MS });
             }
         }
     }
@@ -323,10 +323,10 @@
     for n in 2..4u16 {
         // Tells of groups with exchange 0 and 4 alone.
         let body = vec![1, 0, n as u8, 0b1_0001];
-        b.tell(Event::Peer { from: PeerNumber(u32::from(n)), body });
+        b.tell(Event::PeerMessage { from: PeerNumber(u32::from(n)), body });
     }
-    b.tell(Event::Peer { from: PeerNumber(9), body: vec![1] });
-    b.tell(Event::Peer { from: PeerNumber(9), body: vec![] });
+    b.tell(Event::PeerMessage { from: PeerNumber(9), body: vec![1] });
+    b.tell(Event::PeerMessage { from: PeerNumber(9), body: vec![] });
     for id in 0..3 {
         assert_eq!(sent(&b.call(id, 1)), [office(4)]);
     }
@@ -337,11 +337,11 @@
     let tell = |free| {
         let mut b = Bed::with(Settings { may_tell: true, ..settings() });
         let report = LoadReport { free: Some(free), size: Some(free), ..LoadReport::default() };
-        b.tell(Event::Group { office: office(3), report });
+        b.tell(Event::GroupReport { office: office(3), report });
         b.pass(2 * S)
     };
     let body = vec![1, 0, 0, 0b1_0110];
-    assert_eq!(tell(0.0), [Action::Tell { to: None, body }]);
+    assert_eq!(tell(0.0), [Action::SendToPeer { to: None, body }]);
     assert!(tell(5.0).is_empty());
 }
 
@@ -372,7 +372,7 @@
         b.call(id, 1);
         b.pass(900 * MS);
         let office = office(1);
-        b.tell(Event::Stands { call: CallId(id), attempt: AttemptNumber(0), office, took: 900 * MS });
+        b.tell(Event::Established { call: CallId(id), attempt: AttemptNumber(0), office, took: 900 * MS });
     }
     let out: usize = (100..110).map(|id| sent(&b.call(id, 1)).len()).sum();
     assert!(out <= 2, "{out} set-ups into a slow office");
@@ -413,9 +413,9 @@
     let mut b = Bed::new();
     assert!(b.tell(ended(9, 0, 77, Ending::Reset, Cause::None)).is_empty());
     assert!(b.tell(group(77, 3.0)).is_empty());
-    assert!(b.tell(Event::CallerGone(CallId(3))).is_empty());
+    assert!(b.tell(Event::CallAbandoned(CallId(3))).is_empty());
     b.call(1, 1);
-    b.tell(Event::CallerGone(CallId(1)));
+    b.tell(Event::CallAbandoned(CallId(1)));
     assert!(b.tell(ended(1, 0, 1, Ending::Full, Cause::None)).is_empty());
 }
 
@@ -514,7 +514,7 @@
                     _ => {
                         open.remove(&id);
                         let attempt = AttemptNumber(attempt);
-                        events.push(Event::Stands { call: id, attempt, office: at, took: 80 * MS });
+                        events.push(Event::Established { call: id, attempt, office: at, took: 80 * MS });
                         continue;
                     }
                 };
@@ -592,7 +592,7 @@
         // The offices answer others meanwhile, so none of them is silent.
         b.now += 150 * MS;
         let (call, office) = (CallId(id), office(1));
-        b.tell(Event::Stands { call, attempt: AttemptNumber(0), office, took: 50 * MS });
+        b.tell(Event::Established { call, attempt: AttemptNumber(0), office, took: 50 * MS });
     }
     assert_eq!(sent(&b.call(9, 2)), [office(2)]);
 }
@@ -603,10 +603,10 @@
     b.call(1, 1);
     assert!(b.pass(600 * MS).is_empty());
     let (call, office) = (CallId(99), office(1));
-    b.tell(Event::Stands { call, attempt: AttemptNumber(0), office, took: 50 * MS });
-    let off = Action::CallOff { call: CallId(1), attempt: AttemptNumber(0) };
+    b.tell(Event::Established { call, attempt: AttemptNumber(0), office, took: 50 * MS });
+    let off = Action::Cancel { call: CallId(1), attempt: AttemptNumber(0) };
     assert_eq!(b.tell(Event::Timer(0)), [off]);
-    assert!(sent(&b.tell(ended(1, 0, 1, Ending::CalledOff, Cause::None))).is_empty());
+    assert!(sent(&b.tell(ended(1, 0, 1, Ending::Cancelled, Cause::None))).is_empty());
     assert!(sent(&b.pass(300 * MS)).is_empty());
     assert_eq!(sent(&b.pass(200 * MS)), [office]);
 }
@@ -632,7 +632,7 @@
         let done = b.call(id, to);
         for &o in &sent(&done) {
             let (call, attempt) = (CallId(id), AttemptNumber(0));
-            b.tell(Event::Stands { call, attempt, office: o, took: 20 * MS });
+            b.tell(Event::Established { call, attempt, office: o, took: 20 * MS });
         }
         sent(&done).len()
     };
@@ -666,7 +666,7 @@
 }
 
 fn stands(id: u32, at: u16, took: Micros) -> Event {
-    Event::Stands { call: CallId(id), attempt: AttemptNumber(0), office: office(at), took }
+    Event::Established { call: CallId(id), attempt: AttemptNumber(0), office: office(at), took }
 }
 
 #[test]
@@ -693,7 +693,7 @@
                 turn = if t == to { turn } else { t + 1 };
                 b.tell(stands(id, t, 20 * MS));
             }
-            None => drop(b.tell(Event::CallerGone(CallId(id)))),
+            None => drop(b.tell(Event::CallAbandoned(CallId(id)))),
         }
     }
 }
@@ -729,7 +729,7 @@
         b.pass(500 * MS);
         b.call(52, 3);
         b.tell(stands(52, 3, 20 * MS));
-        b.pass(100 * MS).contains(&Action::CallOff { call: CallId(51), attempt: AttemptNumber(0) })
+        b.pass(100 * MS).contains(&Action::Cancel { call: CallId(51), attempt: AttemptNumber(0) })
     };
     assert!(!called_off(0), "it may be slow");
     assert!(called_off(10));
@@ -743,7 +743,7 @@
     assert!(sent(&b.tell(redial(1))).is_empty());
     assert_eq!(sent(&b.call(2, 1)), [office(1)]);
     b.tell(group(1, 9.0));
-    b.tell(Event::CallerGone(CallId(1)));
+    b.tell(Event::CallAbandoned(CallId(1)));
     assert_eq!(sent(&b.tell(redial(3))), [office(1)]);
 }
 
@@ -799,7 +799,7 @@
             b.tell(Event::List(ListUpdate::Changes([come.clone()].into())));
             b.tell(Event::Call(NewCall { number: Some(k.into()), ..call(10_000 + k, 1 + (k % 4) as u16) }));
             b.tell(ended(10_000 + k, 0, 1, Ending::Fault, Cause::LinesBusy));
-            b.tell(Event::CallerGone(CallId(10_000 + k)));
+            b.tell(Event::CallAbandoned(CallId(10_000 + k)));
             b.tell(Event::List(ListUpdate::Changes([ListEntry { state: ListState::Gone, ..come }].into())));
             b.now += 40 * MS;
             b.tell(Event::Timer(0));
@@ -908,12 +908,12 @@
     bed.tell(group(1, 0.0));
     let ways: Vec<_> = (90..93).flat_map(|id| sent(&bed.call(id, 1))).collect();
     assert!(ways.contains(&office(tandem)), "{ways:?}");
-    (90..93).for_each(|id| drop(bed.tell(Event::CallerGone(CallId(id)))));
+    (90..93).for_each(|id| drop(bed.tell(Event::CallAbandoned(CallId(id)))));
     bed.tell(group(1, 20.0));
     // A call in transit is asked again as well.
     bed.tell(Event::Call(NewCall { transit: true, ..call(95, 1) }));
     assert_eq!(sent(&bed.tell(fault(95, 0, 1))), [office(1)]);
-    bed.tell(Event::CallerGone(CallId(95)));
+    bed.tell(Event::CallAbandoned(CallId(95)));
     // Lines that are busy are not asked again.
     bed.call(1, 2);
     let busy = bed.tell(ended(1, 0, 2, Ending::Fault, Cause::LinesBusy));
@@ -923,7 +923,7 @@
         bed.tell(group(1, 20.0));
         bed.call(id, 1);
         bed.tell(fault(id, 0, 1));
-        bed.tell(Event::CallerGone(CallId(id)));
+        bed.tell(Event::CallAbandoned(CallId(id)));
     }
     bed.tell(group(1, 20.0));
     bed.call(60, 1);
@@ -933,7 +933,7 @@
     for id in 70..76 {
         let other = sent(&bed.call(id, 2));
         assert!(other.len() == 1 && other != [office(1)], "{other:?}");
-        bed.tell(Event::CallerGone(CallId(id)));
+        bed.tell(Event::CallAbandoned(CallId(id)));
     }
     // Where no other serves it is a tandem still, and may be asked again.
     (3..5).for_each(|n| drop(bed.tell(group(n, 0.0))));
@@ -941,7 +941,7 @@
     bed.tell(stands(80, 1, 20 * MS));
     assert_eq!(sent(&bed.call(81, 2)), [office(1)]);
     assert_eq!(sent(&bed.tell(fault(81, 0, 1))), [office(1)]);
-    bed.tell(Event::CallerGone(CallId(81)));
+    bed.tell(Event::CallAbandoned(CallId(81)));
     (3..5).for_each(|n| drop(bed.tell(group(n, 20.0))));
     for id in 61..65 {
         bed.call(id, 1);
@@ -969,9 +969,9 @@
             b.call(other, 1);
             b.tell(stands(other, 1, 20 * MS));
         }
-        let lost = outcome(id, 0, 1, Ending::CalledOff, Cause::None);
+        let lost = outcome(id, 0, 1, Ending::Cancelled, Cause::None);
         b.tell(Event::Ended(Outcome { took: 120 * MS, ..lost }));
-        b.tell(Event::CallerGone(CallId(id)));
+        b.tell(Event::CallAbandoned(CallId(id)));
     }
     b.tell(group(1, 20.0));
     b
@@ -996,7 +996,7 @@
         b.now += 1_200 * MS;
         let lost = outcome(501, 0, 1, Ending::TimedOut, Cause::None);
         b.tell(Event::Ended(Outcome { took: 1_200 * MS, ..lost }));
-        b.tell(Event::CallerGone(CallId(501)));
+        b.tell(Event::CallAbandoned(CallId(501)));
         assert_eq!(sent(&b.call(502, 1)).len(), sends);
     }
 }
@@ -1011,7 +1011,7 @@
         b.tell(stands(id, 2, 200 * MS));
     }
     b.tell(group(1, 20.0));
-    b.tell(ended(9, 0, 1, Ending::CalledOff, Cause::None));
+    b.tell(ended(9, 0, 1, Ending::Cancelled, Cause::None));
     assert_eq!(sent(&b.pass(400 * MS)), [office(1)]);
 }
 
@@ -1056,17 +1056,17 @@
     // The direct group is full, and peer 9 says that tandems 2 and 3 lead nowhere.
     let mut b = Bed::new();
     b.tell(group(1, 0.0));
-    b.tell(Event::Peer { from: PeerNumber(9), body: vec![1, 0, 9, 0] });
+    b.tell(Event::PeerMessage { from: PeerNumber(9), body: vec![1, 0, 9, 0] });
     for n in 2..4u8 {
-        b.tell(Event::Peer { from: PeerNumber(9), body: vec![1, 0, n, 0] });
+        b.tell(Event::PeerMessage { from: PeerNumber(9), body: vec![1, 0, n, 0] });
     }
     let over: Vec<ExchangeId> = (0..3).flat_map(|id| sent(&b.call(id, 1))).collect();
     assert!(over.contains(&office(2)) && over.contains(&office(3)), "{over:?}");
     // Two that speak for one exchange are both not heard from then on.
     let mut b = Bed::new();
     b.tell(group(1, 0.0));
-    b.tell(Event::Peer { from: PeerNumber(2), body: vec![1, 0, 2, 0b1_1111] });
-    b.tell(Event::Peer { from: PeerNumber(7), body: vec![1, 0, 2, 0] });
+    b.tell(Event::PeerMessage { from: PeerNumber(2), body: vec![1, 0, 2, 0b1_1111] });
+    b.tell(Event::PeerMessage { from: PeerNumber(7), body: vec![1, 0, 2, 0] });
     let over: Vec<ExchangeId> = (0..3).flat_map(|id| sent(&b.call(id, 1))).collect();
     assert!(over.contains(&office(2)), "{over:?}");
 }
@@ -1079,7 +1079,12 @@
     assert_eq!(sent(&b.call(1, 1)), [office(1)], "only an answer shows whether it hangs");
     assert!(sent(&b.call(2, 1)).is_empty());
     // The answer makes room for the next one, and with the suspicion's end all go.
-    b.tell(Event::Stands { call: CallId(1), attempt: AttemptNumber(0), office: office(1), took: 10 * MS });
+    b.tell(Event::Established {
+        call: CallId(1),
+        attempt: AttemptNumber(0),
+        office: office(1),
+        took: 10 * MS,
+    });
     assert_eq!(sent(&b.pass(40 * MS)).len(), 1);
     b.tell(suspect(&[]));
     assert_eq!((sent(&b.call(3, 1)).len(), sent(&b.call(4, 1)).len()), (1, 1));
