--- a/examples/gossip_tables.rs
+++ b/examples/gossip_tables.rs
@@ -207,7 +207,7 @@
         exchange: ExchangeNumber(j as u16),
         zone: 0,
         state: ListState::Ready,
-        office: office(j),
+        exchange_id: office(j),
         last_start: None,
     };
     ledger.list(0, ListUpdate::Cached((0..SITES).map(entry).collect()));
--- a/src/program/views.rs
+++ b/src/program/views.rs
@@ -120,7 +120,7 @@
         let gateways = self.agent.iter().flat_map(|a| a.views().zip(a.entries()));
         let gateways = gateways.map(|((name, state, free, all), e)| {
             let mut x =
-                of(&e.office, e.exchange, name, "gateway".to_owned(), state, state == ListState::Ready);
+                of(&e.exchange_id, e.exchange, name, "gateway".to_owned(), state, state == ListState::Ready);
             (x.free, x.size) = (Some(free as f64), Some(all as f64));
             x
         });
--- a/src/protocol/membership.rs
+++ b/src/protocol/membership.rs
@@ -125,13 +125,13 @@
                 _ => Some(self.office(&m.id)),
             };
             let (exchange, Some(office)) = (ExchangeNumber(m.cell), office) else { continue };
-            entries.push(ListEntry { exchange, zone, state, office, last_start });
+            entries.push(ListEntry { exchange, zone, state, exchange_id: office, last_start });
             places.push(Place { member: m.id, address });
         }
         let complete = event.endpoints.complete || !self.begun;
         self.begun = true;
         if complete {
-            self.names.retain(|_, office| entries.iter().any(|e: &ListEntry| e.office == *office));
+            self.names.retain(|_, office| entries.iter().any(|e: &ListEntry| e.exchange_id == *office));
         }
         let news = match (complete, cached) {
             (false, _) => ListUpdate::Changes(entries.into()),
@@ -162,8 +162,8 @@
             let text = event(false, &[(&new, "up"), (&old, "draining"), (&old, "removed")]);
             let update = roster.read(&text, false).unwrap();
             let ListUpdate::Changes(entries) = update.news else { panic!("not a change") };
-            assert_eq!((entries.len(), entries[1].office), (3, entries[2].office));
-            assert!(seen.insert(entries[0].office), "a new machine at an old address is another one");
+            assert_eq!((entries.len(), entries[1].exchange_id), (3, entries[2].exchange_id));
+            assert!(seen.insert(entries[0].exchange_id), "a new machine at an old address is another one");
             let again = roster.read(&event(false, &[(&old, "removed")]), false).unwrap();
             assert!(again.places.is_empty());
             assert_eq!(roster.names.len(), 1);
--- a/src/protocol/mgcp/agent.rs
+++ b/src/protocol/mgcp/agent.rs
@@ -307,7 +307,7 @@
     fn entry(&self, g: usize) -> ListEntry {
         let (state, last_start) = self.states[g];
         let exchange = self.config.gateways[g].exchange;
-        ListEntry { exchange, zone: 0, state, office: Self::office(g), last_start }
+        ListEntry { exchange, zone: 0, state, exchange_id: Self::office(g), last_start }
     }
 
     // ---- Datagrams ----
--- a/src/protocol/simulator.rs
+++ b/src/protocol/simulator.rs
@@ -223,7 +223,7 @@
                 let _took = f.time()?;
                 let report = f.report(names)?;
                 match verdict {
-                    0 => Event::GroupReport { office, report },
+                    0 => Event::GroupReport { exchange_id: office, report },
                     _ => Event::ProbeFailed(office),
                 }
             }
@@ -231,7 +231,7 @@
             1090 => Event::Established {
                 call: CallId(f.u32()?),
                 attempt: AttemptNumber(f.u8()?),
-                office: f.office()?,
+                exchange_id: f.office()?,
                 took: f.time()?,
             },
             1050 => {
@@ -278,7 +278,7 @@
         _ => Cause::None,
     };
     let report = f.report(names)?;
-    Ok(Outcome { call, attempt, office, ending, cause, took, over, report })
+    Ok(Outcome { call, attempt, exchange_id: office, ending, cause, took, over, report })
 }
 
 fn define_list(f: &mut Fields<'_>, lists: &mut Lists) -> Result<(), WireError> {
@@ -303,7 +303,7 @@
         let (_capacity_hint, _machine) = (e.f32()?, e.u16()?);
         let start = e.time()?;
         let last_start = (start != 0).then_some(start);
-        entries.push(ListEntry { exchange, zone, state, office, last_start });
+        entries.push(ListEntry { exchange, zone, state, exchange_id: office, last_start });
     }
     lists.0.insert(number, entries.into());
     Ok(())
@@ -386,7 +386,7 @@
     /// Adds an action of an instance.
     pub fn action(&mut self, instance: u16, action: &Action) {
         match action {
-            Action::SetUp { call, office, timeout } => {
+            Action::SetUp { call, exchange_id: office, timeout } => {
                 self.begin(instance, 1070);
                 self.body.put_u32(call.0);
                 self.body.put_f64(timeout.map_or(0.0, millis));
--- a/src/protocol/upstream/list.rs
+++ b/src/protocol/upstream/list.rs
@@ -12,14 +12,14 @@
         }
         if complete {
             let missing: Vec<ExchangeId> =
-                self.links.keys().copied().filter(|o| !entries.iter().any(|e| e.office == *o)).collect();
+                self.links.keys().copied().filter(|o| !entries.iter().any(|e| e.exchange_id == *o)).collect();
             missing.into_iter().for_each(|o| self.gone(now, o));
         }
     }
 
     pub(super) fn entry(&mut self, now: Micros, e: &ListEntry, place: &Place) {
         if e.state == ListState::Gone {
-            return self.gone(now, e.office);
+            return self.gone(now, e.exchange_id);
         }
         let fresh = || Upstream {
             place: place.clone(),
@@ -41,24 +41,24 @@
             leases: Leases::new(now),
             lease_due: None,
         };
-        let link = self.links.entry(e.office).or_insert_with(fresh);
+        let link = self.links.entry(e.exchange_id).or_insert_with(fresh);
         let restarted = e.last_start.is_some() && e.last_start != link.started;
         link.state = e.state;
         link.started = e.last_start;
         if e.state == ListState::Draining {
-            self.shed(e.office);
+            self.shed(e.exchange_id);
         }
         if restarted {
             // What stood at the old process went down with it.
             let start = e.last_start.unwrap_or(now);
-            self.cut_standing(e.office, |leg| leg.began < start);
+            self.cut_standing(e.exchange_id, |leg| leg.began < start);
         }
         if self
             .links
-            .get(&e.office)
+            .get(&e.exchange_id)
             .is_some_and(|l| l.connection == ConnectionState::Down && l.retry_due.is_none())
         {
-            self.connect(now, e.office);
+            self.connect(now, e.exchange_id);
         }
     }
 
--- a/src/routing/control/holding.rs
+++ b/src/routing/control/holding.rs
@@ -103,7 +103,7 @@
         while self.sent.front().is_some_and(|&t| now - t >= USUAL_SPAN) {
             self.sent.pop_front();
         }
-        out.push(Action::SetUp { call: id, office: o.id, timeout });
+        out.push(Action::SetUp { call: id, exchange_id: o.id, timeout });
     }
 
     /// Ends a call that this controller still owes an answer.
--- a/src/routing/control/membership.rs
+++ b/src/routing/control/membership.rs
@@ -19,7 +19,7 @@
             self.on_entry(now, e);
         }
         if complete {
-            let named: BTreeSet<ExchangeId> = entries.iter().map(|e| e.office).collect();
+            let named: BTreeSet<ExchangeId> = entries.iter().map(|e| e.exchange_id).collect();
             for o in &mut self.offices {
                 if !named.contains(&o.id) {
                     o.state = ListState::Gone;
@@ -39,7 +39,7 @@
 
     pub(super) fn on_entry(&mut self, now: Micros, e: &ListEntry) {
         let part = self.chance();
-        let known = self.by_id.get(&e.office).copied();
+        let known = self.by_id.get(&e.exchange_id).copied();
         let i = known.unwrap_or_else(|| {
             // Danger: replaced machines would fill the table for good; one that is gone gives up its place.
             let gone = self.offices.iter().position(|o| o.state == ListState::Gone && o.out.is_empty());
@@ -55,7 +55,7 @@
             } else {
                 self.offices.push(office);
             }
-            self.by_id.insert(e.office, i);
+            self.by_id.insert(e.exchange_id, i);
             i
         });
         let o = &mut self.offices[i];
--- a/src/routing/control/mod.rs
+++ b/src/routing/control/mod.rs
@@ -161,9 +161,11 @@
         match event {
             Event::List(news) => self.on_list(now, news),
             Event::Call(ask) => self.on_call(now, ask, out),
-            Event::Established { call, office, took, .. } => self.on_stands(now, call, office, took),
+            Event::Established { call, exchange_id: office, took, .. } => {
+                self.on_stands(now, call, office, took)
+            }
             Event::Ended(o) => self.on_ended(now, o, out),
-            Event::GroupReport { office, report } => {
+            Event::GroupReport { exchange_id: office, report } => {
                 if let Some(&i) = self.by_id.get(&office) {
                     self.note_report(now, i, report);
                     self.serve_held(now, Some(i), !full, out);
--- a/src/routing/control/office.rs
+++ b/src/routing/control/office.rs
@@ -48,7 +48,7 @@
 impl Office {
     pub(super) fn new(e: &ListEntry, now: Micros) -> Self {
         let (gate, earned) = (Gate::OPEN, (now, 1.0));
-        let known = Office { id: e.office, exchange: e.exchange, state: e.state, ..Office::default() };
+        let known = Office { id: e.exchange_id, exchange: e.exchange, state: e.state, ..Office::default() };
         Office { started: e.last_start, heard: now, last_took: Micros::MAX, gate, cold_wait: earned, ..known }
     }
 
--- a/src/routing/control/retry.rs
+++ b/src/routing/control/retry.rs
@@ -8,7 +8,7 @@
 
 impl Controller {
     pub(super) fn on_ended(&mut self, now: Micros, o: Outcome, out: &mut Vec<Action>) {
-        if let Some(&i) = self.by_id.get(&o.office) {
+        if let Some(&i) = self.by_id.get(&o.exchange_id) {
             self.note_report(now, i, o.report);
         }
         let last = self.calls.get(&o.call).filter(|c| c.tries == u32::from(o.attempt.0) + 1);
--- a/src/routing/interface.rs
+++ b/src/routing/interface.rs
@@ -195,7 +195,7 @@
     /// Its state.
     pub state: ListState,
     /// The office.
-    pub office: ExchangeId,
+    pub exchange_id: ExchangeId,
     /// When it last started; `None`: long ago.
     pub last_start: Option<Micros>,
 }
@@ -305,7 +305,7 @@
     /// The attempt.
     pub attempt: AttemptNumber,
     /// Where it went.
-    pub office: ExchangeId,
+    pub exchange_id: ExchangeId,
     /// How it ended.
     pub ending: Ending,
     /// Why.
@@ -332,7 +332,7 @@
         /// The attempt.
         attempt: AttemptNumber,
         /// Where it went.
-        office: ExchangeId,
+        exchange_id: ExchangeId,
         /// How long the set-up took.
         took: Micros,
     },
@@ -341,7 +341,7 @@
     /// A probe ended well, or (unasked) the group toward the office changed.
     GroupReport {
         /// The office.
-        office: ExchangeId,
+        exchange_id: ExchangeId,
         /// Its figures.
         report: LoadReport,
     },
@@ -372,7 +372,7 @@
         /// The call.
         call: CallId,
         /// Where to.
-        office: ExchangeId,
+        exchange_id: ExchangeId,
         /// Time-out of the attempt; `None`: until the caller gives up.
         timeout: Option<Micros>,
     },
--- a/src/routing/ledger.rs
+++ b/src/routing/ledger.rs
@@ -370,7 +370,7 @@
         self.open -= 1;
         self.tally.stood += 1;
         self.out.push(output);
-        self.drive(now, Event::Established { call, attempt, office, took: now - since });
+        self.drive(now, Event::Established { call, attempt, exchange_id: office, took: now - since });
         true
     }
 
@@ -407,14 +407,14 @@
         }
         let took = now - since;
         let report = self.withdrawals.report(now, office, report);
-        let outcome = Outcome { call, attempt, office, ending, cause, took, over, report };
+        let outcome = Outcome { call, attempt, exchange_id: office, ending, cause, took, over, report };
         self.drive(now, Event::Ended(outcome));
     }
 
     /// Figures of an office or of the group toward it.
     pub fn group(&mut self, now: Micros, office: ExchangeId, report: LoadReport) {
         let report = self.withdrawals.report(now, office, report);
-        self.drive(now, Event::GroupReport { office, report });
+        self.drive(now, Event::GroupReport { exchange_id: office, report });
     }
 
     /// Operators took this out of service, and nothing else. Set-ups may go there until the grace is over.
@@ -425,7 +425,7 @@
             self.drive(now, Event::List(ListUpdate::Changes(changes.entries.into())));
         }
         for (office, report) in changes.groups {
-            self.drive(now, Event::GroupReport { office, report });
+            self.drive(now, Event::GroupReport { exchange_id: office, report });
         }
         self.drive(now, Event::OutOfService(withdrawn));
     }
@@ -443,7 +443,7 @@
     /// Brings groups that were withdrawn back little by little; to be called now and then.
     pub fn reopen(&mut self, now: Micros) {
         for (office, report) in self.withdrawals.reopening(now) {
-            self.drive(now, Event::GroupReport { office, report });
+            self.drive(now, Event::GroupReport { exchange_id: office, report });
         }
     }
 
@@ -480,7 +480,7 @@
             ListUpdate::Changes(entries) => self.note_states(now, entries),
             ListUpdate::Complete(entries) | ListUpdate::Cached(entries) => {
                 for (office, told) in &mut self.offices {
-                    if !entries.iter().any(|e| e.office == *office) {
+                    if !entries.iter().any(|e| e.exchange_id == *office) {
                         told.note(now, ListState::Gone);
                     }
                 }
@@ -596,7 +596,7 @@
 
     fn note_states(&mut self, now: Micros, entries: &[ListEntry]) {
         for e in entries {
-            self.offices.entry(e.office).or_default().note(now, e.state);
+            self.offices.entry(e.exchange_id).or_default().note(now, e.state);
         }
     }
 
@@ -605,7 +605,9 @@
         self.controller.handle(now, event, &mut actions);
         for action in actions {
             match action {
-                Action::SetUp { call, office, timeout } => self.start(now, call, office, timeout),
+                Action::SetUp { call, exchange_id: office, timeout } => {
+                    self.start(now, call, office, timeout)
+                }
                 Action::SetTimer { after, token } => {
                     self.out.push(Output::Wake(now + after, LedgerDue::Module(token)));
                 }
@@ -652,7 +654,16 @@
             if why != HeldBack::SecondAttempt {
                 let (ending, cause) = (Ending::NotSent, Cause::None);
                 let report = LoadReport::default();
-                let o = Outcome { call, attempt, office, ending, cause, took: 0, over: false, report };
+                let o = Outcome {
+                    call,
+                    attempt,
+                    exchange_id: office,
+                    ending,
+                    cause,
+                    took: 0,
+                    over: false,
+                    report,
+                };
                 self.drive(now, Event::Ended(o));
             }
             return;
--- a/src/routing/withdrawals.rs
+++ b/src/routing/withdrawals.rs
@@ -76,8 +76,8 @@
         }
         for e in entries.iter() {
             match e.state {
-                ListState::Gone => drop(self.listed.remove(&e.office)),
-                _ => drop(self.listed.insert(e.office, e.clone())),
+                ListState::Gone => drop(self.listed.remove(&e.exchange_id)),
+                _ => drop(self.listed.insert(e.exchange_id, e.clone())),
             }
         }
         let listed = &self.listed;
@@ -192,7 +192,7 @@
 
     /// Each office on the list as the coordinator has it, with free circuits and size of its group.
     pub fn offices(&self) -> impl Iterator<Item = (&ListEntry, Option<(f64, f64)>)> {
-        self.listed.values().map(|e| (e, self.figures.get(&e.office).map(|f| (f.0, f.1))))
+        self.listed.values().map(|e| (e, self.figures.get(&e.exchange_id).map(|f| (f.0, f.1))))
     }
 
     /// Free circuits and size of each group as they were told, and when.
@@ -209,7 +209,7 @@
 
     fn entry(n: u16, state: ListState) -> ListEntry {
         let office = ExchangeId { addr: [0, 0, 0, n as u8], port: 0 };
-        ListEntry { exchange: ExchangeNumber(n), zone: 0, state, office, last_start: None }
+        ListEntry { exchange: ExchangeNumber(n), zone: 0, state, exchange_id: office, last_start: None }
     }
 
     fn out(exchanges: &[u16], groups: &[u16]) -> OutOfService {
@@ -226,7 +226,7 @@
         let mut w = Withdrawals::new(WARM);
         let news = ListUpdate::Complete([entry(1, ListState::Ready), entry(2, ListState::Draining)].into());
         assert_eq!(w.list(news.clone()), news);
-        assert_eq!(w.report(5, entry(1, ListState::Ready).office, figures(7.0)), figures(7.0));
+        assert_eq!(w.report(5, entry(1, ListState::Ready).exchange_id, figures(7.0)), figures(7.0));
         assert!(w.set(9, OutOfService::default()).entries.is_empty() && w.reopening(9).is_empty());
     }
 
@@ -243,14 +243,15 @@
             assert_eq!(told[0].state, ListState::Draining);
         }
         // A replacement under a new name serves the same exchange: it is withdrawn as well.
-        let new = ListEntry { office: ExchangeId { addr: [9; 4], port: 0 }, ..entry(1, ListState::Ready) };
+        let new =
+            ListEntry { exchange_id: ExchangeId { addr: [9; 4], port: 0 }, ..entry(1, ListState::Ready) };
         let ListUpdate::Changes(told) = w.list(ListUpdate::Changes([new].into())) else { panic!() };
         assert_eq!(told[0].state, ListState::Draining);
         // The operator's ends first.
         w.list(ListUpdate::Changes([entry(1, ListState::Draining)].into()));
         let back = w.set(20, out(&[], &[])).entries;
-        let state = |office| back.iter().find(|e| e.office == office).unwrap();
-        assert_eq!(state(entry(1, ListState::Ready).office).state, ListState::Draining);
+        let state = |office| back.iter().find(|e| e.exchange_id == office).unwrap();
+        assert_eq!(state(entry(1, ListState::Ready).exchange_id).state, ListState::Draining);
         let ready = state(ExchangeId { addr: [9; 4], port: 0 });
         assert_eq!(
             (ready.state, ready.last_start),
@@ -262,7 +263,7 @@
     #[test]
     fn a_group_is_shut_at_once_and_comes_back_little_by_little() {
         let mut w = Withdrawals::new(WARM);
-        let office = entry(1, ListState::Ready).office;
+        let office = entry(1, ListState::Ready).exchange_id;
         w.list(ListUpdate::Complete([entry(1, ListState::Ready)].into()));
         w.report(0, office, figures(18.0));
         assert_eq!(w.set(10, out(&[], &[1])).groups[0].1.free, Some(0.0));
--- a/tests/call_agent.rs
+++ b/tests/call_agent.rs
@@ -126,7 +126,7 @@
                 assert_eq!((office, load.size), (self.office, Some(3.0)));
                 assert!(load.free.is_some_and(|f| (0.0..=3.0).contains(&f)));
             }
-            AgentOutput::List(entry) => assert_eq!(entry.office, self.office),
+            AgentOutput::List(entry) => assert_eq!(entry.exchange_id, self.office),
         }
     }
 
@@ -241,7 +241,7 @@
             patience: 3_000 * MS,
         };
         let mut agent = Agent::new(FrontId(1), config, 5);
-        let office = agent.entries()[0].office;
+        let office = agent.entries()[0].exchange_id;
         agent.start(0);
         let mut m = Model {
             agent,
--- a/tests/models.rs
+++ b/tests/models.rs
@@ -29,7 +29,7 @@
 }
 
 fn entry(n: u16, state: ListState) -> ListEntry {
-    ListEntry { exchange: ExchangeNumber(n), zone: 0, state, office: office(n), last_start: None }
+    ListEntry { exchange: ExchangeNumber(n), zone: 0, state, exchange_id: office(n), last_start: None }
 }
 
 // ---- Lines ----
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -48,14 +48,14 @@
         exchange: ExchangeNumber(n),
         zone: 0,
         state: ListState::Ready,
-        office: office(n),
+        exchange_id: office(n),
         last_start: None,
     }
 }
 
 fn group(n: u16, free: f64) -> Event {
     let report = LoadReport { free: Some(free), size: Some(20.0), ..LoadReport::default() };
-    Event::GroupReport { office: office(n), report }
+    Event::GroupReport { exchange_id: office(n), report }
 }
 
 fn call(id: u32, to: u16) -> NewCall {
@@ -78,7 +78,7 @@
     Outcome {
         call: CallId(id),
         attempt: AttemptNumber(attempt),
-        office: office(at),
+        exchange_id: office(at),
         ending,
         cause,
         took: 20 * MS,
@@ -134,7 +134,7 @@
 
 fn sent(actions: &[Action]) -> Vec<ExchangeId> {
     let to = |a: &Action| match a {
-        Action::SetUp { office, .. } => Some(*office),
+        Action::SetUp { exchange_id: office, .. } => Some(*office),
         _ => None,
     };
     actions.iter().filter_map(to).collect()
@@ -176,7 +176,7 @@
     let load = |n, busy| {
         let report =
             LoadReport { free: Some(20.0), size: Some(20.0), busy: Some(busy), ..LoadReport::default() };
-        Event::GroupReport { office: office(n), report }
+        Event::GroupReport { exchange_id: office(n), report }
     };
     (2..5).for_each(|n| drop(b.tell(load(n, 0.95))));
     assert!(sent(&b.call(1, 1)).is_empty());
@@ -264,9 +264,9 @@
         let mut done = b.tell(group(1, 20.0));
         done.extend(b.tell(Event::Call(NewCall { transit, ..call(id, 1) })));
         for a in done {
-            if let Action::SetUp { call, office: o, .. } = a {
+            if let Action::SetUp { call, exchange_id: o, .. } = a {
                 got += usize::from(o == office(1));
-                b.tell(Event::Established { call, attempt: AttemptNumber(0), office: o, took: 20 * MS });
+                b.tell(Event::Established { call, attempt: AttemptNumber(0), exchange_id: o, took: 20 * MS });
             }
         }
     }
@@ -337,7 +337,7 @@
     let tell = |free| {
         let mut b = Bed::with(Settings { may_tell: true, ..settings() });
         let report = LoadReport { free: Some(free), size: Some(free), ..LoadReport::default() };
-        b.tell(Event::GroupReport { office: office(3), report });
+        b.tell(Event::GroupReport { exchange_id: office(3), report });
         b.pass(2 * S)
     };
     let body = vec![1, 0, 0, 0b1_0110];
@@ -372,7 +372,12 @@
         b.call(id, 1);
         b.pass(900 * MS);
         let office = office(1);
-        b.tell(Event::Established { call: CallId(id), attempt: AttemptNumber(0), office, took: 900 * MS });
+        b.tell(Event::Established {
+            call: CallId(id),
+            attempt: AttemptNumber(0),
+            exchange_id: office,
+            took: 900 * MS,
+        });
     }
     let out: usize = (100..110).map(|id| sent(&b.call(id, 1)).len()).sum();
     assert!(out <= 2, "{out} set-ups into a slow office");
@@ -438,7 +443,7 @@
             c.handle(now, event, &mut out);
             for a in out {
                 match a {
-                    Action::SetUp { call, office, .. } => {
+                    Action::SetUp { call, exchange_id: office, .. } => {
                         let h = open.get_mut(&call);
                         prop_assert!(h.is_some(), "sent after the final answer");
                         let h = h.unwrap();
@@ -514,7 +519,7 @@
                     _ => {
                         open.remove(&id);
                         let attempt = AttemptNumber(attempt);
-                        events.push(Event::Established { call: id, attempt, office: at, took: 80 * MS });
+                        events.push(Event::Established { call: id, attempt, exchange_id: at, took: 80 * MS });
                         continue;
                     }
                 };
@@ -592,7 +597,7 @@
         // The offices answer others meanwhile, so none of them is silent.
         b.now += 150 * MS;
         let (call, office) = (CallId(id), office(1));
-        b.tell(Event::Established { call, attempt: AttemptNumber(0), office, took: 50 * MS });
+        b.tell(Event::Established { call, attempt: AttemptNumber(0), exchange_id: office, took: 50 * MS });
     }
     assert_eq!(sent(&b.call(9, 2)), [office(2)]);
 }
@@ -603,7 +608,7 @@
     b.call(1, 1);
     assert!(b.pass(600 * MS).is_empty());
     let (call, office) = (CallId(99), office(1));
-    b.tell(Event::Established { call, attempt: AttemptNumber(0), office, took: 50 * MS });
+    b.tell(Event::Established { call, attempt: AttemptNumber(0), exchange_id: office, took: 50 * MS });
     let off = Action::Cancel { call: CallId(1), attempt: AttemptNumber(0) };
     assert_eq!(b.tell(Event::Timer(0)), [off]);
     assert!(sent(&b.tell(ended(1, 0, 1, Ending::Cancelled, Cause::None))).is_empty());
@@ -632,7 +637,7 @@
         let done = b.call(id, to);
         for &o in &sent(&done) {
             let (call, attempt) = (CallId(id), AttemptNumber(0));
-            b.tell(Event::Established { call, attempt, office: o, took: 20 * MS });
+            b.tell(Event::Established { call, attempt, exchange_id: o, took: 20 * MS });
         }
         sent(&done).len()
     };
@@ -666,7 +671,7 @@
 }
 
 fn stands(id: u32, at: u16, took: Micros) -> Event {
-    Event::Established { call: CallId(id), attempt: AttemptNumber(0), office: office(at), took }
+    Event::Established { call: CallId(id), attempt: AttemptNumber(0), exchange_id: office(at), took }
 }
 
 #[test]
@@ -795,7 +800,7 @@
     let mut size_after = |rounds: u32| {
         for k in 0..rounds {
             let fresh = ExchangeId { addr: [10, 1, (k >> 8) as u8, k as u8], port: 1 + (k >> 16) as u16 };
-            let come = ListEntry { office: fresh, ..entry(4) };
+            let come = ListEntry { exchange_id: fresh, ..entry(4) };
             b.tell(Event::List(ListUpdate::Changes([come.clone()].into())));
             b.tell(Event::Call(NewCall { number: Some(k.into()), ..call(10_000 + k, 1 + (k % 4) as u16) }));
             b.tell(ended(10_000 + k, 0, 1, Ending::Fault, Cause::LinesBusy));
@@ -1082,7 +1087,7 @@
     b.tell(Event::Established {
         call: CallId(1),
         attempt: AttemptNumber(0),
-        office: office(1),
+        exchange_id: office(1),
         took: 10 * MS,
     });
     assert_eq!(sent(&b.pass(40 * MS)).len(), 1);
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -59,7 +59,7 @@
         exchange: ExchangeNumber(1),
         zone: 0,
         state: ListState::Ready,
-        office: ExchangeId::default(),
+        exchange_id: ExchangeId::default(),
         last_start: None,
     };
     ledger.list(0, ListUpdate::Cached([entry].into()));
--- a/tests/simulator.rs
+++ b/tests/simulator.rs
@@ -90,7 +90,7 @@
     let mut r = Reply::default();
     let office = ExchangeId { addr: [10, 18, 74, 7], port: 9003 };
     let call = CallId(0x5d3a_91c4);
-    r.action(3, &Action::SetUp { call, office, timeout: Some(80_000) });
+    r.action(3, &Action::SetUp { call, exchange_id: office, timeout: Some(80_000) });
     r.action(3, &Action::SetTimer { after: 500_000, token: 77 });
     r.action(5, &Action::Refuse { call, pause: 0 });
     let want = "00000037 0000000c 041a 0003 042e 5d3a91c4 4054000000000000 0a124a07 232b
--- a/tests/withdrawals.rs
+++ b/tests/withdrawals.rs
@@ -44,7 +44,7 @@
         exchange: ExchangeNumber(n),
         zone: 0,
         state: ListState::Ready,
-        office: office(n as u8),
+        exchange_id: office(n as u8),
         last_start: None,
     };
     l.list(T0, ListUpdate::Complete((1..=3).map(entry).collect()));
