--- a/src/protocol/simulator.rs
+++ b/src/protocol/simulator.rs
@@ -278,7 +278,7 @@
         _ => Cause::None,
     };
     let report = f.report(names)?;
-    Ok(Outcome { call, attempt, exchange_id: office, ending, cause, took, over, report })
+    Ok(Outcome { call, attempt, exchange_id: office, ending, cause, elapsed: took, call_ended: over, report })
 }
 
 fn define_list(f: &mut Fields<'_>, lists: &mut Lists) -> Result<(), WireError> {
--- a/src/routing/control/outcome.rs
+++ b/src/routing/control/outcome.rs
@@ -58,11 +58,11 @@
             self.heard = now;
         }
         // Danger: callers who wait for less than a set-up takes would have each office shut in turn.
-        let waited = o.took as f64 > SILENCE * self.mean_aim;
+        let waited = o.elapsed as f64 > SILENCE * self.mean_aim;
         if o.ending == Ending::TimedOut && waited {
             self.lost += LUCK_SMOOTH * (1.0 - self.lost);
         }
-        let overtaken = office.stood_sent > now - o.took;
+        let overtaken = office.stood_sent > now - o.elapsed;
         if overtaken && (o.ending == Ending::Cancelled || o.ending == Ending::TimedOut && waited) {
             office.losses += LOSSES_SMOOTH * (1.0 - office.losses);
         }
@@ -83,7 +83,7 @@
             (Ending::Full, Cause::ProcessorFull(wait)) => {
                 office.shut(now, wait.unwrap_or(0).min(MARK));
             }
-            (Ending::Cancelled, _) => office.last_took = o.took,
+            (Ending::Cancelled, _) => office.last_took = o.elapsed,
             // Danger: an answer was lost, but the office works: it answered what was sent later.
             (Ending::TimedOut, _) if !waited || overtaken || office.by_chance(office.out.len() + 1) => {}
             (Ending::Unreachable | Ending::TimedOut, _) => office.shut(now, 0),
--- a/src/routing/control/retry.rs
+++ b/src/routing/control/retry.rs
@@ -15,7 +15,7 @@
         let Some(Stage::Out { office, since }) = last.map(|c| c.stage) else { return };
         self.back_in(office, since, o.call);
         self.judge(now, office, &o);
-        if o.over {
+        if o.call_ended {
             return drop(self.forget(o.call));
         }
         let unclear = matches!(o.ending, Ending::TimedOut | Ending::Reset | Ending::Cancelled);
--- a/src/routing/interface.rs
+++ b/src/routing/interface.rs
@@ -311,9 +311,9 @@
     /// Why.
     pub cause: Cause,
     /// How long it was out.
-    pub took: Micros,
+    pub elapsed: Micros,
     /// The call is over: nothing more is owed.
-    pub over: bool,
+    pub call_ended: bool,
     /// Load figures of the office.
     pub report: LoadReport,
 }
--- a/src/routing/ledger.rs
+++ b/src/routing/ledger.rs
@@ -407,7 +407,16 @@
         }
         let took = now - since;
         let report = self.withdrawals.report(now, office, report);
-        let outcome = Outcome { call, attempt, exchange_id: office, ending, cause, took, over, report };
+        let outcome = Outcome {
+            call,
+            attempt,
+            exchange_id: office,
+            ending,
+            cause,
+            elapsed: took,
+            call_ended: over,
+            report,
+        };
         self.drive(now, Event::Ended(outcome));
     }
 
@@ -660,8 +669,8 @@
                     exchange_id: office,
                     ending,
                     cause,
-                    took: 0,
-                    over: false,
+                    elapsed: 0,
+                    call_ended: false,
                     report,
                 };
                 self.drive(now, Event::Ended(o));
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -81,8 +81,8 @@
         exchange_id: office(at),
         ending,
         cause,
-        took: 20 * MS,
-        over: false,
+        elapsed: 20 * MS,
+        call_ended: false,
         report: LoadReport::default(),
     }
 }
@@ -712,7 +712,7 @@
     b.now += 50 * MS;
     b.tell(stands(2, 1, 50 * MS));
     b.now += 2_850 * MS;
-    let lost = Event::Ended(Outcome { took: 3 * S, ..outcome(1, 0, 1, Ending::TimedOut, Cause::None) });
+    let lost = Event::Ended(Outcome { elapsed: 3 * S, ..outcome(1, 0, 1, Ending::TimedOut, Cause::None) });
     b.tell(lost);
     assert_eq!(sent(&b.call(3, 1)), [office(1)]);
 }
@@ -724,7 +724,7 @@
         for id in 0..proofs {
             b.call(id, 2);
             let out = outcome(id, 0, 2, Ending::TimedOut, Cause::None);
-            b.tell(Event::Ended(Outcome { over: true, took: 3 * S, ..out }));
+            b.tell(Event::Ended(Outcome { call_ended: true, elapsed: 3 * S, ..out }));
             b.pass(10 * S);
         }
         // Exchange 1 was quick the last time; then nothing comes while exchange 3 answers.
@@ -975,7 +975,7 @@
             b.tell(stands(other, 1, 20 * MS));
         }
         let lost = outcome(id, 0, 1, Ending::Cancelled, Cause::None);
-        b.tell(Event::Ended(Outcome { took: 120 * MS, ..lost }));
+        b.tell(Event::Ended(Outcome { elapsed: 120 * MS, ..lost }));
         b.tell(Event::CallAbandoned(CallId(id)));
     }
     b.tell(group(1, 20.0));
@@ -1000,7 +1000,7 @@
         assert_eq!(sent(&b.call(501, 1)), [office(1)]);
         b.now += 1_200 * MS;
         let lost = outcome(501, 0, 1, Ending::TimedOut, Cause::None);
-        b.tell(Event::Ended(Outcome { took: 1_200 * MS, ..lost }));
+        b.tell(Event::Ended(Outcome { elapsed: 1_200 * MS, ..lost }));
         b.tell(Event::CallAbandoned(CallId(501)));
         assert_eq!(sent(&b.call(502, 1)).len(), sends);
     }
@@ -1040,7 +1040,7 @@
     b.tell(Event::Call(NewCall { patience: 80 * MS, ..call(1, 1) }));
     b.now += 70 * MS;
     let gone = outcome(1, 0, 1, Ending::TimedOut, Cause::None);
-    b.tell(Event::Ended(Outcome { took: 70 * MS, ..gone }));
+    b.tell(Event::Ended(Outcome { elapsed: 70 * MS, ..gone }));
     assert_eq!(sent(&b.call(2, 1)), [office(1)]);
 }
 
--- a/tests/simulator.rs
+++ b/tests/simulator.rs
@@ -60,7 +60,7 @@
     let Ok(Record::Event(Event::Ended(o))) = &records[0] else { panic!("{records:?}") };
     assert_eq!((o.ending, o.cause), (Ending::Full, Cause::ProcessorFull(Some(100_000))));
     assert_eq!((o.report.free, o.report.size, o.report.wait), (Some(5.0), Some(10.0), None));
-    assert_eq!((o.attempt, o.took, o.over), (AttemptNumber(2), 10_000, false));
+    assert_eq!((o.attempt, o.elapsed, o.call_ended), (AttemptNumber(2), 10_000, false));
 }
 
 #[test]
