--- a/src/protocol/simulator.rs
+++ b/src/protocol/simulator.rs
@@ -232,7 +232,7 @@
                 call: CallId(f.u32()?),
                 attempt: AttemptNumber(f.u8()?),
                 exchange_id: f.office()?,
-                took: f.time()?,
+                setup_time: f.time()?,
             },
             1050 => {
                 let from = PeerNumber(f.u32()?);
--- a/src/routing/control/mod.rs
+++ b/src/routing/control/mod.rs
@@ -161,7 +161,7 @@
         match event {
             Event::List(news) => self.on_list(now, news),
             Event::Call(ask) => self.on_call(now, ask, out),
-            Event::Established { call, exchange_id: office, took, .. } => {
+            Event::Established { call, exchange_id: office, setup_time: took, .. } => {
                 self.on_stands(now, call, office, took)
             }
             Event::Ended(o) => self.on_ended(now, o, out),
--- a/src/routing/interface.rs
+++ b/src/routing/interface.rs
@@ -334,7 +334,7 @@
         /// Where it went.
         exchange_id: ExchangeId,
         /// How long the set-up took.
-        took: Micros,
+        setup_time: Micros,
     },
     /// An attempt ended.
     Ended(Outcome),
--- a/src/routing/ledger.rs
+++ b/src/routing/ledger.rs
@@ -370,7 +370,7 @@
         self.open -= 1;
         self.tally.stood += 1;
         self.out.push(output);
-        self.drive(now, Event::Established { call, attempt, exchange_id: office, took: now - since });
+        self.drive(now, Event::Established { call, attempt, exchange_id: office, setup_time: now - since });
         true
     }
 
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -266,7 +266,12 @@
         for a in done {
             if let Action::SetUp { call, exchange_id: o, .. } = a {
                 got += usize::from(o == office(1));
-                b.tell(Event::Established { call, attempt: AttemptNumber(0), exchange_id: o, took: 20 * MS });
+                b.tell(Event::Established {
+                    call,
+                    attempt: AttemptNumber(0),
+                    exchange_id: o,
+                    setup_time: 20 * MS,
+                });
             }
         }
     }
@@ -376,7 +381,7 @@
             call: CallId(id),
             attempt: AttemptNumber(0),
             exchange_id: office,
-            took: 900 * MS,
+            setup_time: 900 * MS,
         });
     }
     let out: usize = (100..110).map(|id| sent(&b.call(id, 1)).len()).sum();
@@ -519,7 +524,12 @@
                     _ => {
                         open.remove(&id);
                         let attempt = AttemptNumber(attempt);
-                        events.push(Event::Established { call: id, attempt, exchange_id: at, took: 80 * MS });
+                        events.push(Event::Established {
+                            call: id,
+                            attempt,
+                            exchange_id: at,
+                            setup_time: 80 * MS,
+                        });
                         continue;
                     }
                 };
@@ -597,7 +607,12 @@
         // The offices answer others meanwhile, so none of them is silent.
         b.now += 150 * MS;
         let (call, office) = (CallId(id), office(1));
-        b.tell(Event::Established { call, attempt: AttemptNumber(0), exchange_id: office, took: 50 * MS });
+        b.tell(Event::Established {
+            call,
+            attempt: AttemptNumber(0),
+            exchange_id: office,
+            setup_time: 50 * MS,
+        });
     }
     assert_eq!(sent(&b.call(9, 2)), [office(2)]);
 }
@@ -608,7 +623,7 @@
     b.call(1, 1);
     assert!(b.pass(600 * MS).is_empty());
     let (call, office) = (CallId(99), office(1));
-    b.tell(Event::Established { call, attempt: AttemptNumber(0), exchange_id: office, took: 50 * MS });
+    b.tell(Event::Established { call, attempt: AttemptNumber(0), exchange_id: office, setup_time: 50 * MS });
     let off = Action::Cancel { call: CallId(1), attempt: AttemptNumber(0) };
     assert_eq!(b.tell(Event::Timer(0)), [off]);
     assert!(sent(&b.tell(ended(1, 0, 1, Ending::Cancelled, Cause::None))).is_empty());
@@ -637,7 +652,7 @@
         let done = b.call(id, to);
         for &o in &sent(&done) {
             let (call, attempt) = (CallId(id), AttemptNumber(0));
-            b.tell(Event::Established { call, attempt, exchange_id: o, took: 20 * MS });
+            b.tell(Event::Established { call, attempt, exchange_id: o, setup_time: 20 * MS });
         }
         sent(&done).len()
     };
@@ -671,7 +686,12 @@
 }
 
 fn stands(id: u32, at: u16, took: Micros) -> Event {
-    Event::Established { call: CallId(id), attempt: AttemptNumber(0), exchange_id: office(at), took }
+    Event::Established {
+        call: CallId(id),
+        attempt: AttemptNumber(0),
+        exchange_id: office(at),
+        setup_time: took,
+    }
 }
 
 #[test]
@@ -1088,7 +1108,7 @@
         call: CallId(1),
         attempt: AttemptNumber(0),
         exchange_id: office(1),
-        took: 10 * MS,
+        setup_time: 10 * MS,
     });
     assert_eq!(sent(&b.pass(40 * MS)).len(), 1);
     b.tell(suspect(&[]));
