--- a/src/protocol/simulator.rs
+++ b/src/protocol/simulator.rs
@@ -397,7 +397,7 @@
                 self.body.put_f64(millis(*after));
                 self.body.put_u64(*token);
             }
-            Action::Refuse { call, pause } => {
+            Action::Refuse { call, retry_after: pause } => {
                 self.begin(instance, 1090);
                 self.body.put_u32(call.0);
                 self.body.put_f64(millis(*pause));
--- a/src/routing/control/holding.rs
+++ b/src/routing/control/holding.rs
@@ -13,7 +13,7 @@
         // Danger: a flood to one number with few lines takes circuits and work from all other calls.
         let crowded = ask.number.and_then(|n| self.numbers.get(&n)).is_some_and(|&until| now < until);
         if crowded || (cap > 0 && self.calls.len() + 1 >= cap) {
-            return out.push(Action::Refuse { call: id, pause: 0 });
+            return out.push(Action::Refuse { call: id, retry_after: 0 });
         }
         let mut arrived = now;
         if !ask.transit && !ask.redialled {
@@ -114,7 +114,7 @@
         out.push(if fail {
             Action::Fail(id)
         } else {
-            Action::Refuse { call: id, pause: self.settings.max_pause }
+            Action::Refuse { call: id, retry_after: self.settings.max_pause }
         });
     }
 
--- a/src/routing/interface.rs
+++ b/src/routing/interface.rs
@@ -388,7 +388,7 @@
         /// The call.
         call: CallId,
         /// How long the caller ought to keep away; 0: no advice.
-        pause: Micros,
+        retry_after: Micros,
     },
     /// Final answer: failed.
     Fail(CallId),
--- a/src/routing/ledger.rs
+++ b/src/routing/ledger.rs
@@ -620,7 +620,7 @@
                 Action::SetTimer { after, token } => {
                     self.out.push(Output::Wake(now + after, LedgerDue::Module(token)));
                 }
-                Action::Refuse { call, pause } => {
+                Action::Refuse { call, retry_after: pause } => {
                     self.finish(call, Answer::Refused { pause }, AnswerReason::Decided);
                 }
                 Action::Fail(call) => {
