--- a/examples/gossip_tables.rs
+++ b/examples/gossip_tables.rs
@@ -337,11 +337,11 @@
             redialled: false,
             cut_before: false,
             number: None,
-            width: 1,
-            patience: 3_000_000,
+            circuits: 1,
+            remaining_time: 3_000_000,
             class: 0,
             via: None,
-            not_before: 0,
+            earliest_attempt: 0,
         };
         self.sites[i].ledger.offer(self.now, Offer { front: FrontId(0), ask, description: None });
         self.follow(i);
--- a/src/program/switchboard.rs
+++ b/src/program/switchboard.rs
@@ -375,7 +375,7 @@
     fn caller(&mut self, now: Micros, conn: ConnId, message: Message) {
         match self.callers.message(now, conn, message) {
             Ask::Offer(sid, key, offer) => {
-                let (class, left) = (offer.ask.class, offer.ask.patience);
+                let (class, left) = (offer.ask.class, offer.ask.remaining_time);
                 tracing::debug!(target: CALLS, %sid, conn = conn.0, class, left, "taken");
                 let call = self.ledger.offer(now, *offer);
                 self.callers.taken(conn, sid, key, call);
--- a/src/protocol/client/messages.rs
+++ b/src/protocol/client/messages.rs
@@ -103,11 +103,11 @@
             redialled: message.field("retry").is_some_and(|r| r != "0"),
             cut_before: flag("again"),
             number: key.map(|k| number(&k)).filter(|&n| n != 0),
-            width: width as u32,
-            patience,
+            circuits: width as u32,
+            remaining_time: patience,
             class,
             via: via.map(ExchangeNumber),
-            not_before,
+            earliest_attempt: not_before,
         };
         Some(Offer { front: self.front, ask, description: message.text.clone() })
     }
--- a/src/protocol/mgcp/agent.rs
+++ b/src/protocol/mgcp/agent.rs
@@ -585,11 +585,11 @@
                     redialled: false,
                     cut_before: false,
                     number: number.parse().ok(),
-                    width: 1,
-                    patience: (until - now).max(0),
+                    circuits: 1,
+                    remaining_time: (until - now).max(0),
                     class: self.config.class,
                     via: None,
-                    not_before: 0,
+                    earliest_attempt: 0,
                 };
                 let offer = Offer { front: self.front, ask, description: text };
                 self.out.push(AgentOutput::Offer(p, Box::new(offer)));
--- a/src/protocol/simulator.rs
+++ b/src/protocol/simulator.rs
@@ -331,11 +331,11 @@
         redialled: marks & 2 != 0,
         cut_before: marks & 16 != 0,
         number: (number != 0).then_some(number),
-        width: (width.ceil() as u32).max(1),
-        patience,
+        circuits: (width.ceil() as u32).max(1),
+        remaining_time: patience,
         class,
         via: exchange(via),
-        not_before: 0,
+        earliest_attempt: 0,
     })
 }
 
--- a/src/routing/control/holding.rs
+++ b/src/routing/control/holding.rs
@@ -20,15 +20,15 @@
             // Danger: on waking, calls that waited past their aim drown the new ones. The patience that is
             // left tells for how long; past its aim a call earns no more than a redial.
             let fullest = self.patience.entry(ask.class).or_insert(0);
-            *fullest = ask.patience.max(*fullest);
+            *fullest = ask.remaining_time.max(*fullest);
             if now == self.woke {
-                arrived = now - (*fullest - ask.patience).min(self.stood_still);
+                arrived = now - (*fullest - ask.remaining_time).min(self.stood_still);
                 ask.redialled = now - arrived > self.aim(&ask);
             }
         }
-        let deadline = now.saturating_add(ask.patience.max(0));
+        let deadline = now.saturating_add(ask.remaining_time.max(0));
         let until = (arrived + (HOLD_SHARE * self.aim(&ask) as f64) as Micros).min(deadline - ANSWER_EARLY);
-        let from = now.max(ask.not_before);
+        let from = now.max(ask.earliest_attempt);
         let stage = Stage::Held { from, until };
         if let Some(&i) = ask.via.filter(|_| !ask.transit).and_then(|t| self.by_exchange.get(&t)) {
             self.note_open(now, ask.destination, i);
@@ -94,7 +94,7 @@
         call.tries += 1;
         call.stage = Stage::Out { office, since: now };
         if let Some(g) = &mut o.group {
-            g.0 -= f64::from(call.ask.width);
+            g.0 -= f64::from(call.ask.circuits);
         }
         o.out.insert((now, id));
         self.busy.insert(office);
--- a/src/routing/control/route.rs
+++ b/src/routing/control/route.rs
@@ -26,7 +26,7 @@
     /// first leg and did not just turn such a call back; else none. In transit: on, or back.
     pub(super) fn route(&mut self, now: Micros, call: &Call) -> Route {
         let ask = &call.ask;
-        let width = f64::from(ask.width);
+        let width = f64::from(ask.circuits);
         let Some(&direct) = self.by_exchange.get(&ask.destination) else { return Route::Closed };
         if planted(Planted::ColdFlooded) {
             let cold = |o: &Office| o.state == ListState::Ready && self.cold_share(now, o).is_some();
@@ -113,7 +113,7 @@
     /// Free circuits that a call needs of a tandem's group of that size, beside the headroom. Back to the own
     /// exchange it takes as many again, and the tandem turns it back when the group is busier than it may be.
     pub(super) fn least_free(&self, ask: &NewCall, size: f64) -> f64 {
-        let width = f64::from(ask.width);
+        let width = f64::from(ask.circuits);
         let back = Some(ask.destination) == self.settings.own;
         width + if back { width + (1.0 - PHI) * size } else { 0.0 }
     }
--- a/src/routing/interface.rs
+++ b/src/routing/interface.rs
@@ -229,15 +229,15 @@
     /// Stands for the called number.
     pub number: Option<u64>,
     /// Circuits it takes on each group.
-    pub width: u32,
+    pub circuits: u32,
     /// How long until the caller gives up on this try.
-    pub patience: Micros,
+    pub remaining_time: Micros,
     /// Its class.
     pub class: usize,
     /// Advised tandem; for a call in transit, where it comes from.
     pub via: Option<ExchangeNumber>,
     /// No attempt before this time: an earlier one, of the same request, may have run.
-    pub not_before: Micros,
+    pub earliest_attempt: Micros,
 }
 
 /// What operators took out of service, in whole. Offices and groups are told as draining and as full besides; this
--- a/src/routing/ledger.rs
+++ b/src/routing/ledger.rs
@@ -310,14 +310,14 @@
         self.next = self.next.wrapping_add(1);
         offer.ask.call = call;
         let ask = offer.ask.clone();
-        let deadline = now.saturating_add(ask.patience.max(0));
+        let deadline = now.saturating_add(ask.remaining_time.max(0));
         let entry = Entry {
             offer,
             taken: now,
             deadline,
             stage: Stage::Deciding,
             attempts: 0,
-            quiet_until: ask.not_before,
+            quiet_until: ask.earliest_attempt,
             last: None,
             leg: None,
         };
--- a/tests/models.rs
+++ b/tests/models.rs
@@ -848,11 +848,11 @@
         redialled: false,
         cut_before: false,
         number: None,
-        width: 1,
-        patience,
+        circuits: 1,
+        remaining_time: patience,
         class: 0,
         via: None,
-        not_before: 0,
+        earliest_attempt: 0,
     }
 }
 
@@ -1017,7 +1017,7 @@
     let mut callers =
         ClientConnections::new(0, FrontId(0), vec!["a".to_owned()], 6).with_quiet_period(505 * MS);
     let not_before = |ask: Ask| match ask {
-        Ask::Offer(_, _, offer) => offer.ask.not_before,
+        Ask::Offer(_, _, offer) => offer.ask.earliest_attempt,
         other => panic!("{other:?}"),
     };
     callers.opened(0, ConnId(0));
@@ -1030,7 +1030,7 @@
     // The module holds it, and the ledger would hold it back.
     let mut book = book();
     let start = book.now;
-    let ask = NewCall { not_before: start + 400 * MS, ..new_call(1, 3_000 * MS) };
+    let ask = NewCall { earliest_attempt: start + 400 * MS, ..new_call(1, 3_000 * MS) };
     let call = book.ledger.offer(start, Offer { front: FrontId(0), ask, description: None });
     book.calls.insert(
         call,
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -66,11 +66,11 @@
         redialled: false,
         cut_before: false,
         number: None,
-        width: 1,
-        patience: 3 * S,
+        circuits: 1,
+        remaining_time: 3 * S,
         class: 0,
         via: None,
-        not_before: 0,
+        earliest_attempt: 0,
     }
 }
 
@@ -492,7 +492,7 @@
                 let transit = b % 5 == 0;
                 let class = usize::from(b % 2);
                 let patience = (Micros::from(b) * 20 + 100) * MS;
-                let ask = NewCall { transit, class, patience, ..call(next, n) };
+                let ask = NewCall { transit, class, remaining_time: patience, ..call(next, n) };
                 open.insert(CallId(next), (now + patience, None, 0, 0));
                 events.push(Event::Call(ask));
                 next += 1;
@@ -602,7 +602,7 @@
 #[test]
 fn lost_set_ups_do_not_fill_the_window_for_as_long_as_their_callers_wait() {
     let mut b = Bed::new();
-    (0..5).for_each(|id| drop(b.tell(Event::Call(NewCall { patience: 9 * S, ..call(id, 1) }))));
+    (0..5).for_each(|id| drop(b.tell(Event::Call(NewCall { remaining_time: 9 * S, ..call(id, 1) }))));
     for id in 50..60 {
         // The offices answer others meanwhile, so none of them is silent.
         b.now += 150 * MS;
@@ -795,7 +795,7 @@
     b.pass(100 * MS);
     b.now += 2 * S;
     // It has waited 1.8 s, as its patience tells; it leaves the last circuit to one that is in time.
-    let waited = NewCall { patience: 1_200 * MS, ..call(2, 1) };
+    let waited = NewCall { remaining_time: 1_200 * MS, ..call(2, 1) };
     assert!(sent(&b.tell(Event::Call(waited))).is_empty());
     assert_eq!(sent(&b.call(3, 1)), [office(1)]);
 }
@@ -875,7 +875,7 @@
     for patience in (390..480).map(|ms| ms * MS) {
         let mut b = Bed::new();
         let deadline = b.now + patience;
-        b.tell(Event::Call(NewCall { patience, ..call(1, 1) }));
+        b.tell(Event::Call(NewCall { remaining_time: patience, ..call(1, 1) }));
         b.now += 50 * MS;
         let mut said = b.tell(ended(1, 0, 1, Ending::Reset, Cause::None));
         (1..5).for_each(|n| drop(b.tell(group(n, 0.0))));
@@ -1057,7 +1057,7 @@
 #[test]
 fn a_caller_with_less_patience_than_a_set_up_takes_shuts_no_office() {
     let mut b = Bed::new();
-    b.tell(Event::Call(NewCall { patience: 80 * MS, ..call(1, 1) }));
+    b.tell(Event::Call(NewCall { remaining_time: 80 * MS, ..call(1, 1) }));
     b.now += 70 * MS;
     let gone = outcome(1, 0, 1, Ending::TimedOut, Cause::None);
     b.tell(Event::Ended(Outcome { elapsed: 70 * MS, ..gone }));
@@ -1069,7 +1069,7 @@
     let mut b = Bed::new();
     b.pass(50 * MS);
     (0..5).for_each(|id| drop(b.call(id, 1)));
-    assert_eq!(b.tell(Event::Call(NewCall { patience: 120 * MS, ..call(9, 2) })), []);
+    assert_eq!(b.tell(Event::Call(NewCall { remaining_time: 120 * MS, ..call(9, 2) })), []);
     b.now += 40 * MS;
     assert_eq!(finals(&b.tell(Event::Timer(0))), 0);
     b.now += 5 * MS;
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -16,11 +16,11 @@
         redialled: false,
         cut_before: false,
         number: None,
-        width: 1,
-        patience,
+        circuits: 1,
+        remaining_time: patience,
         class: 0,
         via: None,
-        not_before: 0,
+        earliest_attempt: 0,
     };
     Offer { front: FrontId(0), ask, description: None }
 }
--- a/tests/simulator.rs
+++ b/tests/simulator.rs
@@ -27,9 +27,9 @@
 fn a_call_keeps_its_marks_width_and_patience() {
     let records = read(&hex(KNOCK), &[]);
     let Ok(Record::Event(Event::Call(c))) = &records[0] else { panic!("{records:?}") };
-    assert_eq!((c.call, c.destination, c.width, c.class), (CallId(77), ExchangeNumber(3), 2, 1));
+    assert_eq!((c.call, c.destination, c.circuits, c.class), (CallId(77), ExchangeNumber(3), 2, 1));
     assert_eq!((c.transit, c.redialled, c.cut_before), (true, false, false));
-    assert_eq!((c.number, c.patience, c.via), (Some(17), 1_000_000, Some(ExchangeNumber(5))));
+    assert_eq!((c.number, c.remaining_time, c.via), (Some(17), 1_000_000, Some(ExchangeNumber(5))));
 }
 
 #[test]
--- a/tests/withdrawals.rs
+++ b/tests/withdrawals.rs
@@ -61,11 +61,11 @@
         redialled: false,
         cut_before: false,
         number: None,
-        width: 1,
-        patience: 3_000_000,
+        circuits: 1,
+        remaining_time: 3_000_000,
         class: 0,
         via: None,
-        not_before: 0,
+        earliest_attempt: 0,
     };
     let call = l.offer(now, Offer { front: FrontId(0), ask, description: None });
     (call, l.take_outputs())
