--- a/src/program/switchboard.rs
+++ b/src/program/switchboard.rs
@@ -154,7 +154,7 @@
             stopping: None,
             draining: false,
             wall_ahead: 0,
-            aims: config.settings.classes.iter().map(|c| c.aim).collect(),
+            aims: config.settings.classes.iter().map(|c| c.latency_objective).collect(),
             spans: Vec::new(),
             exported: Rc::default(),
             minted: config.seed,
--- a/src/program/switchboard/stop.rs
+++ b/src/program/switchboard/stop.rs
@@ -41,7 +41,7 @@
     /// Asks for a stop: calls are taken for a while yet, and all that was taken is answered.
     pub fn stop(&mut self, now: Micros) {
         if self.stopping.is_none() {
-            let longest = self.config.settings.classes.iter().map(|c| c.give_up).max().unwrap_or(0);
+            let longest = self.config.settings.classes.iter().map(|c| c.client_timeout).max().unwrap_or(0);
             let shutdown = Shutdown::new(now, longest);
             self.stopping = Some(Stop { shutdown, listener: ListenerState::Listening });
             tracing::info!("stop asked for: {} calls open", self.ledger.open_calls());
--- a/src/protocol/simulator.rs
+++ b/src/protocol/simulator.rs
@@ -506,17 +506,17 @@
         let give_up = t.time(&give_up)?;
         let aim = key("aim");
         classes.push(Class {
-            aim: if t.0.contains_key(aim.as_str()) { t.time(&aim)? } else { give_up },
-            give_up,
-            late_worth: t.number(&key("lateWorth"), 0.0)?,
-            worth: t.number(&key("worth"), 1.0)?,
+            latency_objective: if t.0.contains_key(aim.as_str()) { t.time(&aim)? } else { give_up },
+            client_timeout: give_up,
+            late_value: t.number(&key("lateWorth"), 0.0)?,
+            value: t.number(&key("worth"), 1.0)?,
             effect: t.read(&key("effect"), Effect::Retryable, |v| match v {
                 "retryable" => Some(Effect::Retryable),
                 "dedup" | "fragile" => Some(Effect::Guarded),
                 _ => None,
             })?,
-            hold: holds.get(i).or(holds.first()).copied().unwrap_or(0),
-            pools: pools(&t, &list("extra.allowedPools"), i),
+            mean_hold_time: holds.get(i).or(holds.first()).copied().unwrap_or(0),
+            allowed_pools: pools(&t, &list("extra.allowedPools"), i),
         });
     }
     let own = t.number("extra.ownExchange", -1.0)?;
--- a/src/protocol/text_settings.rs
+++ b/src/protocol/text_settings.rs
@@ -48,7 +48,10 @@
             "report": {"fields": ["spare", "total"]}, "parties": [], "limits": {"peers": true}
         });
         let s = crate::protocol::simulator::settings(&flatten(&json)).unwrap();
-        assert_eq!((s.classes[0].aim, s.classes[0].hold, s.may_tell), (1_200_000, 10_400_000, true));
+        assert_eq!(
+            (s.classes[0].latency_objective, s.classes[0].mean_hold_time, s.may_tell),
+            (1_200_000, 10_400_000, true)
+        );
         assert_eq!((s.own.map(|o| o.0), s.report_fields.len()), (Some(0), 2));
         assert!(flatten(&json).contains("classes.0.name=status_report"));
     }
--- a/src/routing/control/holding.rs
+++ b/src/routing/control/holding.rs
@@ -4,7 +4,7 @@
 
 impl Controller {
     pub(super) fn aim(&self, ask: &NewCall) -> Micros {
-        self.settings.classes.get(ask.class).map_or(self.shortest_aim, |c| c.aim)
+        self.settings.classes.get(ask.class).map_or(self.shortest_aim, |c| c.latency_objective)
     }
 
     pub(super) fn on_call(&mut self, now: Micros, mut ask: NewCall, out: &mut Vec<Action>) {
@@ -74,7 +74,7 @@
     /// Dearest first by what the call can still earn, then oldest. Danger: redials, past the aim of their
     /// first try, take each freed circuit before first tries, which then come late too.
     pub(super) fn held_key(&self, call: &Call) -> (i64, Micros, CallId) {
-        let earns = |c: &Class| if call.ask.redialled { c.worth * c.late_worth } else { c.worth };
+        let earns = |c: &Class| if call.ask.redialled { c.value * c.late_value } else { c.value };
         let worth = self.settings.classes.get(call.ask.class).map_or(1.0, earns);
         (-((worth * 1000.0) as i64), call.arrived, call.ask.call)
     }
--- a/src/routing/control/mod.rs
+++ b/src/routing/control/mod.rs
@@ -125,7 +125,7 @@
 impl Controller {
     /// A controller that knows nothing but its settings.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let aims = settings.classes.iter().map(|c| c.aim);
+        let aims = settings.classes.iter().map(|c| c.latency_objective);
         Controller {
             shortest_aim: aims.clone().min().unwrap_or(1_000_000).max(1),
             mean_aim: aims.sum::<Micros>() as f64 / settings.classes.len().max(1) as f64,
--- a/src/routing/control/route.rs
+++ b/src/routing/control/route.rs
@@ -120,7 +120,7 @@
 
     /// Whether the class may go to that pool (always, between exchanges).
     pub(super) fn skilled(&self, ask: &NewCall, exchange: ExchangeNumber) -> bool {
-        let pools = self.settings.classes.get(ask.class).map_or(&[][..], |c| &c.pools);
+        let pools = self.settings.classes.get(ask.class).map_or(&[][..], |c| &c.allowed_pools);
         self.settings.shape == Shape::Mesh || pools.is_empty() || pools.contains(&exchange)
     }
 }
--- a/src/routing/interface.rs
+++ b/src/routing/interface.rs
@@ -65,19 +65,19 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// Full worth is earned up to this long after the first try.
-    pub aim: Micros,
+    pub latency_objective: Micros,
     /// How long a caller goes on trying.
-    pub give_up: Micros,
+    pub client_timeout: Micros,
     /// Share of the worth earned when set up after the aim.
-    pub late_worth: f64,
+    pub late_value: f64,
     /// Worth of a call that stands to its end.
-    pub worth: f64,
+    pub value: f64,
     /// Whether attempts may be repeated.
     pub effect: Effect,
     /// Mean length of a call; 0 if not told.
-    pub hold: Micros,
+    pub mean_hold_time: Micros,
     /// Pools that the class may go to; empty means all (pools only).
-    pub pools: Vec<ExchangeNumber>,
+    pub allowed_pools: Vec<ExchangeNumber>,
 }
 
 /// What a call server is told at start.
--- a/src/routing/ledger.rs
+++ b/src/routing/ledger.rs
@@ -287,7 +287,13 @@
     /// An empty ledger.
     pub fn new(settings: Settings, seed: u64) -> Self {
         Ledger {
-            shortest_aim: settings.classes.iter().map(|c| c.aim).min().unwrap_or(1_000_000).max(1),
+            shortest_aim: settings
+                .classes
+                .iter()
+                .map(|c| c.latency_objective)
+                .min()
+                .unwrap_or(1_000_000)
+                .max(1),
             release: if planted(Planted::RetryInQuietPeriod) { 0 } else { settings.release },
             drain_grace: settings.drain_grace,
             withdrawals: Withdrawals::new(settings.cold),
--- a/tests/models.rs
+++ b/tests/models.rs
@@ -965,13 +965,13 @@
 /// A book of a controller at exchange 0 with exchanges 1 to 4 and twenty free circuits toward each.
 fn book() -> Book {
     let class = Class {
-        aim: 1_200 * MS,
-        give_up: 9_000 * MS,
-        late_worth: 0.25,
-        worth: 1.0,
+        latency_objective: 1_200 * MS,
+        client_timeout: 9_000 * MS,
+        late_value: 0.25,
+        value: 1.0,
         effect: Effect::Retryable,
-        hold: 10_000 * MS,
-        pools: Vec::new(),
+        mean_hold_time: 10_000 * MS,
+        allowed_pools: Vec::new(),
     };
     let settings = Settings {
         classes: vec![class],
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -11,13 +11,13 @@
 
 fn settings() -> Settings {
     let class = |aim, worth| Class {
-        aim,
-        give_up: 9 * S,
-        late_worth: 0.1,
-        worth,
+        latency_objective: aim,
+        client_timeout: 9 * S,
+        late_value: 0.1,
+        value: worth,
         effect: Effect::Retryable,
-        hold: 10 * S,
-        pools: Vec::new(),
+        mean_hold_time: 10 * S,
+        allowed_pools: Vec::new(),
     };
     Settings {
         classes: vec![class(1_200 * MS, 1.0), class(1_200 * MS, 3.0)],
@@ -403,7 +403,7 @@
 fn pools_take_calls_of_second_choice_only_where_the_class_is_skilled() {
     let mut s = settings();
     (s.shape, s.own) = (Shape::Pools, None);
-    s.classes[0].pools = vec![ExchangeNumber(1), ExchangeNumber(3)];
+    s.classes[0].allowed_pools = vec![ExchangeNumber(1), ExchangeNumber(3)];
     let mut b = Bed::with(s);
     b.tell(group(1, 0.0));
     assert_eq!(sent(&b.call(1, 1)), [office(3)]);
--- a/tests/withdrawals.rs
+++ b/tests/withdrawals.rs
@@ -18,13 +18,13 @@
 /// Exchanges 1 to 3, each with a group of 20 circuits, and the own one, 0.
 fn ledger() -> Ledger {
     let class = Class {
-        aim: 1_200_000,
-        give_up: 9_000_000,
-        late_worth: 0.25,
-        worth: 1.0,
+        latency_objective: 1_200_000,
+        client_timeout: 9_000_000,
+        late_value: 0.25,
+        value: 1.0,
         effect: Effect::Retryable,
-        hold: 10_000_000,
-        pools: Vec::new(),
+        mean_hold_time: 10_000_000,
+        allowed_pools: Vec::new(),
     };
     let settings = Settings {
         classes: vec![class],
