--- a/examples/gossip_tables.rs
+++ b/examples/gossip_tables.rs
@@ -189,17 +189,17 @@
     };
     let settings = Settings {
         classes: vec![class],
-        own: Some(ExchangeNumber(i as u16)),
-        release: 500_000,
+        own_exchange: Some(ExchangeNumber(i as u16)),
+        quiet_period: 500_000,
         drain_grace: 250_000,
-        may_call_off: true,
-        max_pause: 2_000_000,
-        try_limit: 4,
-        cold: 15_000_000,
-        cold_from: 0.35,
+        may_cancel: true,
+        max_retry_after: 2_000_000,
+        max_attempts: 4,
+        cold_start_period: 15_000_000,
+        cold_start_capacity: 0.35,
         overload_factor: 2.5,
-        fall: 2_000_000,
-        tick: 5_000,
+        overload_window: 2_000_000,
+        min_batch_interval: 5_000,
         ..Settings::default()
     };
     let mut ledger = Ledger::new(settings, i as u64 + 1);
--- a/src/program/appliance_file.rs
+++ b/src/program/appliance_file.rs
@@ -618,7 +618,10 @@
             a.links.contains(&(ExchangeNumber(5), ExchangeNumber(4))) && a.list.unwrap().contains("yoff")
         );
         let config = super::super::config::parse(&a.platform.unwrap()).unwrap();
-        assert_eq!((config.settings.own, config.settings.drain_grace), (Some(ExchangeNumber(0)), 250_000));
+        assert_eq!(
+            (config.settings.own_exchange, config.settings.drain_grace),
+            (Some(ExchangeNumber(0)), 250_000)
+        );
         assert!(read("f", "").unwrap().is_none());
         assert!(read("f", "enabled = false\n[control]\nsocket = 7\n").unwrap().is_none());
     }
--- a/src/program/config.rs
+++ b/src/program/config.rs
@@ -189,7 +189,7 @@
     let named_gossip = arguments.gossip.as_deref();
     if let Some(text) = optional("gossip.toml", named_gossip, gossip_file::FILE)? {
         let file = named_gossip.unwrap_or(Path::new(gossip_file::FILE)).display().to_string();
-        let own = config.settings.own.map(|o| walnuthatch_gossip::Exchange(o.0));
+        let own = config.settings.own_exchange.map(|o| walnuthatch_gossip::Exchange(o.0));
         let platform = config.platform_peers();
         let read = gossip_file::read(&file, &text, &config.name, own, platform.as_ref());
         config.gossip = read.map_err(ConfigError::Faults)?;
@@ -287,7 +287,7 @@
             return Err(bad(&key("name"), "empty, with an @, or there twice"));
         }
         let exchange = ExchangeNumber(g.exchange);
-        if Some(exchange) == config.settings.own || gateways.iter().any(|o| o.exchange == exchange) {
+        if Some(exchange) == config.settings.own_exchange || gateways.iter().any(|o| o.exchange == exchange) {
             return Err(bad(&key("exchange"), "the own exchange, or there twice"));
         }
         let mut endpoints: Vec<String> = g.endpoints.iter().map(|e| e.to_ascii_lowercase()).collect();
@@ -347,7 +347,7 @@
 impl Config {
     /// The path between peers, as the platform tells it; the own address is the one of its rank.
     fn platform_peers(&self) -> Option<Platform> {
-        let address = *self.peers.get(self.settings.rank.0 as usize)?;
+        let address = *self.peers.get(self.settings.own_peer.0 as usize)?;
         Some(Platform { listen: self.peer_listen?, address, peers: self.peers.clone() })
     }
 
--- a/src/program/switchboard.rs
+++ b/src/program/switchboard.rs
@@ -135,12 +135,12 @@
         let appliance = config
             .appliance
             .as_ref()
-            .map(|a| Appliance::new(Now::new(now, now), a, s.own, s.drain_grace, saved, log));
+            .map(|a| Appliance::new(Now::new(now, now), a, s.own_exchange, s.drain_grace, saved, log));
         let mut board = Switchboard {
             ledger: Ledger::new(config.settings.clone(), config.seed),
             callers: ClientConnections::new(now, LINES, config.classes.clone(), config.usual_callers())
-                .with_quiet_period(s.release + s.tick),
-            links: UpstreamConnections::new(now, config.connect_timeout, config.settings.own),
+                .with_quiet_period(s.quiet_period + s.min_batch_interval),
+            links: UpstreamConnections::new(now, config.connect_timeout, config.settings.own_exchange),
             agent: config.mgcp.as_ref().map(|m| Agent::new(GATEWAYS, m.agent.clone(), config.seed)),
             appliance,
             gossip: config.gossip.as_ref().map(|g| Gossip::new(now, g, config.seed)),
--- a/src/program/switchboard/stop.rs
+++ b/src/program/switchboard/stop.rs
@@ -64,7 +64,7 @@
             return;
         }
         if phase >= Phase::Draining {
-            self.ledger.close(self.config.settings.max_pause);
+            self.ledger.close(self.config.settings.max_retry_after);
             self.callers.drain(now);
         }
         if phase >= Phase::Answered {
--- a/src/program/views.rs
+++ b/src/program/views.rs
@@ -202,7 +202,7 @@
     }
 
     fn neighbours(&self) -> Vec<Neighbour> {
-        let own = self.scene.config.settings.own;
+        let own = self.scene.config.settings.own_exchange;
         let mut all: BTreeMap<ExchangeNumber, Neighbour> = BTreeMap::new();
         for (e, group) in self.scene.ledger.withdrawals().offices().filter(|o| Some(o.0.exchange) != own) {
             let ready = e.state == ListState::Ready;
--- a/src/protocol/simulator.rs
+++ b/src/protocol/simulator.rs
@@ -522,35 +522,35 @@
     let own = t.number("extra.ownExchange", -1.0)?;
     Ok(Settings {
         classes,
-        shape: t.read("extra.shape", Shape::Mesh, |v| match v {
+        topology: t.read("extra.shape", Shape::Mesh, |v| match v {
             "meshed" => Some(Shape::Mesh),
             "groups" => Some(Shape::Pools),
             _ => None,
         })?,
-        own: exchange(own),
+        own_exchange: exchange(own),
         zone: t.count("zone")?.min(255) as u8,
-        siblings: t.count("siblings")?.max(1),
-        rank: PeerNumber(t.count("rank")?),
-        membership: t.read("membershipMode", Membership::Pushed, |v| match v {
+        controller_count: t.count("siblings")?.max(1),
+        own_peer: PeerNumber(t.count("rank")?),
+        membership_mode: t.read("membershipMode", Membership::Pushed, |v| match v {
             "pushed" => Some(Membership::Pushed),
             "on_request" => Some(Membership::OnRequest),
             _ => None,
         })?,
         report_fields: list("report.fields").into_iter().map(report_field).collect(),
-        release: t.time("extra.release")?,
-        may_call_off: t.flag("limits.mayCancel")?,
+        quiet_period: t.time("extra.release")?,
+        may_cancel: t.flag("limits.mayCancel")?,
         may_probe: t.flag("limits.mayProbe")?,
-        may_tell: t.flag("limits.peers")?,
-        max_pause: t.time("limits.maxRetryAfter")?,
-        try_limit: t.count("limits.tryLimit")?,
-        open_cap: t.count("limits.openCap")?,
-        must_ask_in: t.time("rules.mustAskIn")?,
+        may_message_peers: t.flag("limits.peers")?,
+        max_retry_after: t.time("limits.maxRetryAfter")?,
+        max_attempts: t.count("limits.tryLimit")?,
+        max_open_calls: t.count("limits.openCap")?,
+        max_list_age: t.time("rules.mustAskIn")?,
         drain_grace: t.time("rules.stopSendingWithin")?,
-        cold_from: t.number("rules.coldFrom", 0.0)?,
-        cold: t.time("rules.cold")?,
+        cold_start_capacity: t.number("rules.coldFrom", 0.0)?,
+        cold_start_period: t.time("rules.cold")?,
         overload_factor: t.number("rules.overloadFactor", 0.0)?,
-        fall: t.time("rules.fall")?,
-        tick: t.time("tick")?,
+        overload_window: t.time("rules.fall")?,
+        min_batch_interval: t.time("tick")?,
     })
 }
 
--- a/src/protocol/text_settings.rs
+++ b/src/protocol/text_settings.rs
@@ -49,10 +49,10 @@
         });
         let s = crate::protocol::simulator::settings(&flatten(&json)).unwrap();
         assert_eq!(
-            (s.classes[0].latency_objective, s.classes[0].mean_hold_time, s.may_tell),
+            (s.classes[0].latency_objective, s.classes[0].mean_hold_time, s.may_message_peers),
             (1_200_000, 10_400_000, true)
         );
-        assert_eq!((s.own.map(|o| o.0), s.report_fields.len()), (Some(0), 2));
+        assert_eq!((s.own_exchange.map(|o| o.0), s.report_fields.len()), (Some(0), 2));
         assert!(flatten(&json).contains("classes.0.name=status_report"));
     }
 }
--- a/src/routing/control/holding.rs
+++ b/src/routing/control/holding.rs
@@ -9,7 +9,7 @@
 
     pub(super) fn on_call(&mut self, now: Micros, mut ask: NewCall, out: &mut Vec<Action>) {
         let id = ask.call;
-        let cap = self.settings.open_cap as usize;
+        let cap = self.settings.max_open_calls as usize;
         // Danger: a flood to one number with few lines takes circuits and work from all other calls.
         let crowded = ask.number.and_then(|n| self.numbers.get(&n)).is_some_and(|&until| now < until);
         if crowded || (cap > 0 && self.calls.len() + 1 >= cap) {
@@ -43,12 +43,15 @@
     pub(super) fn try_call(&mut self, now: Micros, id: CallId, out: &mut Vec<Action>) {
         let Some(call) = self.calls.get(&id).cloned() else { return };
         let Stage::Held { from, until } = call.stage else { return };
-        let spent = self.settings.try_limit > 0 && call.tries >= self.settings.try_limit;
+        let spent = self.settings.max_attempts > 0 && call.tries >= self.settings.max_attempts;
         let route = if now < from && from >= until {
             Route::Closed
         } else if now < from {
             Route::Blocked
-        } else if spent || (call.ran && self.guarded(&call)) || now >= call.deadline - self.settings.tick {
+        } else if spent
+            || (call.ran && self.guarded(&call))
+            || now >= call.deadline - self.settings.min_batch_interval
+        {
             Route::Closed
         } else {
             self.route(now, &call)
@@ -109,12 +112,12 @@
     /// Ends a call that this controller still owes an answer.
     pub(super) fn refuse(&mut self, now: Micros, id: CallId, out: &mut Vec<Action>) {
         let Some(call) = self.forget(id) else { return };
-        let late = now >= call.deadline - self.settings.tick;
+        let late = now >= call.deadline - self.settings.min_batch_interval;
         let fail = late || (call.ran && self.guarded(&call));
         out.push(if fail {
             Action::Fail(id)
         } else {
-            Action::Refuse { call: id, retry_after: self.settings.max_pause }
+            Action::Refuse { call: id, retry_after: self.settings.max_retry_after }
         });
     }
 
--- a/src/routing/control/mod.rs
+++ b/src/routing/control/mod.rs
@@ -143,9 +143,9 @@
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         if self.born.is_none() {
             self.born = Some(now);
-            self.list_due = (self.settings.membership == Membership::OnRequest).then_some(now);
+            self.list_due = (self.settings.membership_mode == Membership::OnRequest).then_some(now);
             let first = now + TICK + (self.seed % (TELL_EVERY / 20) as u64) as Micros;
-            self.tell_due = self.settings.may_tell.then_some(first);
+            self.tell_due = self.settings.may_message_peers.then_some(first);
             out.push(Action::SetTimer { after: TICK, token: 0 });
         }
         // Danger: a call server that stood still takes its own silence for that of the offices, and what
--- a/src/routing/control/peers.rs
+++ b/src/routing/control/peers.rs
@@ -10,7 +10,7 @@
     /// tandem without a group onward is turned back, and nothing but trying shows it. Nothing rests on the
     /// message: without it tandems are tried in turn.
     pub(super) fn tell_groups(&self, out: &mut Vec<Action>) {
-        let Some(own) = self.settings.own else { return };
+        let Some(own) = self.settings.own_exchange else { return };
         let mut body = vec![TELL_GROUPS];
         body.extend(own.0.to_be_bytes());
         let mut lacking = false;
--- a/src/routing/control/retry.rs
+++ b/src/routing/control/retry.rs
@@ -20,7 +20,7 @@
         }
         let unclear = matches!(o.ending, Ending::TimedOut | Ending::Reset | Ending::Cancelled);
         let release = if unclear && !planted(Planted::RetryInQuietPeriod) {
-            self.settings.release + self.settings.tick
+            self.settings.quiet_period + self.settings.min_batch_interval
         } else {
             0
         };
@@ -36,7 +36,7 @@
         let again = match (o.ending, o.cause) {
             (Ending::Full, Cause::FarProcessorFull) | (_, Cause::LinesBusy) => false,
             (Ending::NotSent, Cause::NoCircuit) => true,
-            (Ending::Full, _) => !direct || self.settings.shape == Shape::Pools,
+            (Ending::Full, _) => !direct || self.settings.topology == Shape::Pools,
             // Danger: an exchange that fails part of its set-ups at once would have each of them refused, and
             // its caller dial again only after a wait.
             (Ending::Fault, _) => (FAULTS_LEAST..FAULTS_MOST).contains(&faults),
@@ -63,7 +63,7 @@
     pub(super) fn call_off_lost(&self, now: Micros, out: &mut Vec<Action>) {
         let patience = (OVERTAKEN * self.mean_aim) as Micros;
         let busy = self.busy.iter().map(|&i| &self.offices[i]);
-        for o in busy.filter(|_| self.settings.may_call_off && now - self.woke > patience) {
+        for o in busy.filter(|_| self.settings.may_cancel && now - self.woke > patience) {
             let any = o.last_took < patience / 2 && self.lost >= LOST_LEAST;
             let newest = if any { self.stood_sent } else { o.stood_sent };
             let lost = |s: &&(Micros, CallId)| now - s.0 > patience && newest - s.0 > patience / 2;
--- a/src/routing/control/route.rs
+++ b/src/routing/control/route.rs
@@ -40,7 +40,7 @@
         }
         // Danger: while another call server restarts, calls of its subscribers come here, some of them for
         // this exchange. Nothing may be sent to the own one, but a tandem has a group back to it.
-        let own = Some(ask.destination) == self.settings.own;
+        let own = Some(ask.destination) == self.settings.own_exchange;
         if own && (ask.transit || ask.redialled) || !self.skilled(ask, ask.destination) {
             return Route::Closed;
         }
@@ -59,11 +59,11 @@
         let room = open && d.free() >= width + if ask.redialled { d.headroom() } else { 0.0 };
         // Danger: where most set-ups meet a fault, a call has too few tries. The last one goes over a tandem,
         // whose call server asks as often again.
-        let last = call.tries + 1 == self.settings.try_limit && d.faults >= FAULTS_LEAST && !ask.redialled;
+        let last = call.tries + 1 == self.settings.max_attempts && d.faults >= FAULTS_LEAST && !ask.redialled;
         if room && !last {
             return Route::Via(direct);
         }
-        if self.settings.shape == Shape::Mesh && (!open && !own || ask.redialled) {
+        if self.settings.topology == Shape::Mesh && (!open && !own || ask.redialled) {
             return Route::Blocked;
         }
         let turn = self.rotor % self.offices.len();
@@ -100,7 +100,7 @@
     pub(super) fn serves(&self, now: Micros, i: usize, call: &Call) -> bool {
         let (ask, t) = (&call.ask, &self.offices[i]);
         t.exchange != ask.destination
-            && Some(t.exchange) != self.settings.own
+            && Some(t.exchange) != self.settings.own_exchange
             && self.skilled(ask, t.exchange)
             && t.group.is_some_and(|g| g.0 >= self.least_free(ask, g.1) + t.headroom())
             && !call.tried.contains(&i)
@@ -114,13 +114,13 @@
     /// exchange it takes as many again, and the tandem turns it back when the group is busier than it may be.
     pub(super) fn least_free(&self, ask: &NewCall, size: f64) -> f64 {
         let width = f64::from(ask.circuits);
-        let back = Some(ask.destination) == self.settings.own;
+        let back = Some(ask.destination) == self.settings.own_exchange;
         width + if back { width + (1.0 - PHI) * size } else { 0.0 }
     }
 
     /// Whether the class may go to that pool (always, between exchanges).
     pub(super) fn skilled(&self, ask: &NewCall, exchange: ExchangeNumber) -> bool {
         let pools = self.settings.classes.get(ask.class).map_or(&[][..], |c| &c.allowed_pools);
-        self.settings.shape == Shape::Mesh || pools.is_empty() || pools.contains(&exchange)
+        self.settings.topology == Shape::Mesh || pools.is_empty() || pools.contains(&exchange)
     }
 }
--- a/src/routing/control/slow_start.rs
+++ b/src/routing/control/slow_start.rs
@@ -19,7 +19,8 @@
     /// Share of its capacity that a starting processor surely has; `None` once it is warm.
     pub(super) fn cold_share(&self, now: Micros, o: &Office) -> Option<f64> {
         let age = now - o.started?;
-        let done = age as f64 / self.settings.cold.max(1) as f64;
-        (done < 1.0).then_some(self.settings.cold_from + (1.0 - self.settings.cold_from) * done)
+        let done = age as f64 / self.settings.cold_start_period.max(1) as f64;
+        (done < 1.0)
+            .then_some(self.settings.cold_start_capacity + (1.0 - self.settings.cold_start_capacity) * done)
     }
 }
--- a/src/routing/interface.rs
+++ b/src/routing/interface.rs
@@ -86,47 +86,47 @@
     /// Classes of call, by number.
     pub classes: Vec<Class>,
     /// Layout of the network.
-    pub shape: Shape,
+    pub topology: Shape,
     /// The exchange this controller runs in.
-    pub own: Option<ExchangeNumber>,
+    pub own_exchange: Option<ExchangeNumber>,
     /// Zone of this call server.
     pub zone: u8,
     /// Call servers in the tier, this one included.
-    pub siblings: u32,
+    pub controller_count: u32,
     /// Number of this call server among them.
-    pub rank: PeerNumber,
+    pub own_peer: PeerNumber,
     /// How the list comes.
-    pub membership: Membership,
+    pub membership_mode: Membership,
     /// Names of the load figures, in the order in which they come.
     pub report_fields: Vec<ReportField>,
     /// Time that must pass after a timeout, reset or cancellation.
-    pub release: Micros,
+    pub quiet_period: Micros,
     /// Attempts may be called off.
-    pub may_call_off: bool,
+    pub may_cancel: bool,
     /// Probes are allowed.
     pub may_probe: bool,
     /// Messages to peers are allowed.
-    pub may_tell: bool,
+    pub may_message_peers: bool,
     /// Longest pause that callers follow.
-    pub max_pause: Micros,
+    pub max_retry_after: Micros,
     /// Attempts that one call may have; 0: no limit.
-    pub try_limit: u32,
+    pub max_attempts: u32,
     /// Calls that may be open at once; 0: no limit.
-    pub open_cap: u32,
+    pub max_open_calls: u32,
     /// How long a silent instance may go without asking for the list (on request).
-    pub must_ask_in: Micros,
+    pub max_list_age: Micros,
     /// A draining or gone office may be sent to for this long after the news.
     pub drain_grace: Micros,
     /// A starting processor has at least this share of its capacity.
-    pub cold_from: f64,
+    pub cold_start_capacity: f64,
     /// A processor is warm this long after its start.
-    pub cold: Micros,
+    pub cold_start_period: Micros,
     /// Set-ups over this multiple of its present capacity push a cold processor over.
     pub overload_factor: f64,
     /// For how long that must last.
-    pub fall: Micros,
+    pub overload_window: Micros,
     /// Shortest gap between batches.
-    pub tick: Micros,
+    pub min_batch_interval: Micros,
 }
 
 /// A figure in a load report.
--- a/src/routing/ledger.rs
+++ b/src/routing/ledger.rs
@@ -294,9 +294,9 @@
                 .min()
                 .unwrap_or(1_000_000)
                 .max(1),
-            release: if planted(Planted::RetryInQuietPeriod) { 0 } else { settings.release },
+            release: if planted(Planted::RetryInQuietPeriod) { 0 } else { settings.quiet_period },
             drain_grace: settings.drain_grace,
-            withdrawals: Withdrawals::new(settings.cold),
+            withdrawals: Withdrawals::new(settings.cold_start_period),
             controller: Controller::new(settings, seed),
             calls: BTreeMap::new(),
             offices: BTreeMap::new(),
--- a/tests/models.rs
+++ b/tests/models.rs
@@ -975,15 +975,15 @@
     };
     let settings = Settings {
         classes: vec![class],
-        own: Some(ExchangeNumber(0)),
-        release: 500 * MS,
-        may_call_off: true,
-        try_limit: 4,
+        own_exchange: Some(ExchangeNumber(0)),
+        quiet_period: 500 * MS,
+        may_cancel: true,
+        max_attempts: 4,
         drain_grace: 250 * MS,
         overload_factor: 2.5,
-        cold: 15_000 * MS,
-        cold_from: 0.35,
-        max_pause: 2_000 * MS,
+        cold_start_period: 15_000 * MS,
+        cold_start_capacity: 0.35,
+        max_retry_after: 2_000 * MS,
         ..Settings::default()
     };
     let ledger = Ledger::new(settings, 7);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -21,20 +21,20 @@
     };
     Settings {
         classes: vec![class(1_200 * MS, 1.0), class(1_200 * MS, 3.0)],
-        own: Some(ExchangeNumber(0)),
-        siblings: 5,
-        release: 300 * MS,
-        may_call_off: true,
-        try_limit: 6,
-        open_cap: 1_000,
+        own_exchange: Some(ExchangeNumber(0)),
+        controller_count: 5,
+        quiet_period: 300 * MS,
+        may_cancel: true,
+        max_attempts: 6,
+        max_open_calls: 1_000,
         drain_grace: 250 * MS,
-        cold_from: 0.3,
-        cold: 15 * S,
+        cold_start_capacity: 0.3,
+        cold_start_period: 15 * S,
         overload_factor: 2.0,
-        fall: S,
-        tick: 5 * MS,
-        max_pause: 2 * S,
-        must_ask_in: 10 * S,
+        overload_window: S,
+        min_batch_interval: 5 * MS,
+        max_retry_after: 2 * S,
+        max_list_age: 10 * S,
         ..Settings::default()
     }
 }
@@ -340,7 +340,7 @@
 #[test]
 fn peers_are_told_of_the_own_groups_where_some_are_missing() {
     let tell = |free| {
-        let mut b = Bed::with(Settings { may_tell: true, ..settings() });
+        let mut b = Bed::with(Settings { may_message_peers: true, ..settings() });
         let report = LoadReport { free: Some(free), size: Some(free), ..LoadReport::default() };
         b.tell(Event::GroupReport { exchange_id: office(3), report });
         b.pass(2 * S)
@@ -402,7 +402,7 @@
 #[test]
 fn pools_take_calls_of_second_choice_only_where_the_class_is_skilled() {
     let mut s = settings();
-    (s.shape, s.own) = (Shape::Pools, None);
+    (s.topology, s.own_exchange) = (Shape::Pools, None);
     s.classes[0].allowed_pools = vec![ExchangeNumber(1), ExchangeNumber(3)];
     let mut b = Bed::with(s);
     b.tell(group(1, 0.0));
@@ -412,7 +412,7 @@
 
 #[test]
 fn the_list_is_asked_for_again_after_a_failure() {
-    let mut b = Bed::with(Settings { membership: Membership::OnRequest, ..settings() });
+    let mut b = Bed::with(Settings { membership_mode: Membership::OnRequest, ..settings() });
     assert!(b.pass(S).contains(&Action::Subscribe));
     b.tell(Event::List(ListUpdate::Failed));
     assert!(b.pass(2 * S).contains(&Action::Subscribe));
@@ -475,7 +475,7 @@
         let late: Vec<_> = open.iter().filter_map(|(&id, h)| Some((id, due(h)?))).collect();
         for (id, (attempt, office)) in late {
             if let Some(h) = open.get_mut(&id) {
-                (h.1, h.3) = (None, now + s.release);
+                (h.1, h.3) = (None, now + s.quiet_period);
             }
             events.push(ended(id.0, attempt, u16::from(office.addr[3]), Ending::TimedOut, Cause::None));
         }
@@ -534,7 +534,7 @@
                     }
                 };
                 if matches!(ending, Ending::Reset | Ending::TimedOut) {
-                    h.3 = now + s.release;
+                    h.3 = now + s.quiet_period;
                 }
                 events.push(ended(id.0, attempt, n, ending, cause));
             }
@@ -642,7 +642,7 @@
 #[test]
 fn many_senders_together_do_not_push_a_cold_office_over() {
     const SENDERS: u64 = 86;
-    let s = Settings { siblings: SENDERS as u32, ..settings() };
+    let s = Settings { controller_count: SENDERS as u32, ..settings() };
     let mut beds: Vec<Bed> = (0..SENDERS).map(|k| bed_of(86, s.clone(), k << 20)).collect();
     // Each sends twelve set-ups a second, to the others in turn, so each office gets as many.
     let usual = 12.0;
@@ -677,7 +677,7 @@
     }
     for (at, span) in reached.windows(20).enumerate() {
         // A processor that carries its usual set-ups at 80 % of its work, half of it for its own calls.
-        let share = s.cold_from + (1.0 - s.cold_from) * at as f64 * 0.05 / 15.0;
+        let share = s.cold_start_capacity + (1.0 - s.cold_start_capacity) * at as f64 * 0.05 / 15.0;
         let limit = s.overload_factor * share * usual * 2.0 / 0.8;
         let got: f64 = span.iter().sum();
         assert!(got < limit, "{got} set-ups in the second from {at}, limit {limit}");
--- a/tests/withdrawals.rs
+++ b/tests/withdrawals.rs
@@ -28,15 +28,15 @@
     };
     let settings = Settings {
         classes: vec![class],
-        own: Some(ExchangeNumber(0)),
-        release: 500_000,
+        own_exchange: Some(ExchangeNumber(0)),
+        quiet_period: 500_000,
         drain_grace: 250_000,
-        cold: 15_000_000,
-        cold_from: 0.35,
+        cold_start_period: 15_000_000,
+        cold_start_capacity: 0.35,
         overload_factor: 2.5,
-        fall: 2_000_000,
-        max_pause: 2_000_000,
-        try_limit: 4,
+        overload_window: 2_000_000,
+        max_retry_after: 2_000_000,
+        max_attempts: 4,
         ..Settings::default()
     };
     let mut l = Ledger::new(settings, 7);
