--- a/examples/gossip_tables.rs
+++ b/examples/gossip_tables.rs
@@ -183,7 +183,7 @@
         client_timeout: 9_000_000,
         late_value: 0.25,
         value: 1.0,
-        effect: Effect::Retryable,
+        retry_policy: RetryPolicy::Retryable,
         mean_hold_time: 2_000_000,
         allowed_pools: Vec::new(),
     };
--- a/src/protocol/simulator.rs
+++ b/src/protocol/simulator.rs
@@ -510,9 +510,9 @@
             client_timeout: give_up,
             late_value: t.number(&key("lateWorth"), 0.0)?,
             value: t.number(&key("worth"), 1.0)?,
-            effect: t.read(&key("effect"), Effect::Retryable, |v| match v {
-                "retryable" => Some(Effect::Retryable),
-                "dedup" | "fragile" => Some(Effect::Guarded),
+            retry_policy: t.read(&key("effect"), RetryPolicy::Retryable, |v| match v {
+                "retryable" => Some(RetryPolicy::Retryable),
+                "dedup" | "fragile" => Some(RetryPolicy::AtMostOnce),
                 _ => None,
             })?,
             mean_hold_time: holds.get(i).or(holds.first()).copied().unwrap_or(0),
@@ -522,18 +522,18 @@
     let own = t.number("extra.ownExchange", -1.0)?;
     Ok(Settings {
         classes,
-        topology: t.read("extra.shape", Shape::Mesh, |v| match v {
-            "meshed" => Some(Shape::Mesh),
-            "groups" => Some(Shape::Pools),
+        topology: t.read("extra.shape", Topology::Mesh, |v| match v {
+            "meshed" => Some(Topology::Mesh),
+            "groups" => Some(Topology::Pools),
             _ => None,
         })?,
         own_exchange: exchange(own),
         zone: t.count("zone")?.min(255) as u8,
         controller_count: t.count("siblings")?.max(1),
         own_peer: PeerNumber(t.count("rank")?),
-        membership_mode: t.read("membershipMode", Membership::Pushed, |v| match v {
-            "pushed" => Some(Membership::Pushed),
-            "on_request" => Some(Membership::OnRequest),
+        membership_mode: t.read("membershipMode", MembershipMode::Pushed, |v| match v {
+            "pushed" => Some(MembershipMode::Pushed),
+            "on_request" => Some(MembershipMode::OnRequest),
             _ => None,
         })?,
         report_fields: list("report.fields").into_iter().map(report_field).collect(),
--- a/src/routing/control/holding.rs
+++ b/src/routing/control/holding.rs
@@ -71,7 +71,7 @@
     }
 
     pub(super) fn guarded(&self, call: &Call) -> bool {
-        self.settings.classes.get(call.ask.class).is_some_and(|c| c.effect == Effect::Guarded)
+        self.settings.classes.get(call.ask.class).is_some_and(|c| c.retry_policy == RetryPolicy::AtMostOnce)
     }
 
     /// Dearest first by what the call can still earn, then oldest. Danger: redials, past the aim of their
--- a/src/routing/control/mod.rs
+++ b/src/routing/control/mod.rs
@@ -143,7 +143,7 @@
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         if self.born.is_none() {
             self.born = Some(now);
-            self.list_due = (self.settings.membership_mode == Membership::OnRequest).then_some(now);
+            self.list_due = (self.settings.membership_mode == MembershipMode::OnRequest).then_some(now);
             let first = now + TICK + (self.seed % (TELL_EVERY / 20) as u64) as Micros;
             self.tell_due = self.settings.may_message_peers.then_some(first);
             out.push(Action::SetTimer { after: TICK, token: 0 });
--- a/src/routing/control/retry.rs
+++ b/src/routing/control/retry.rs
@@ -36,7 +36,7 @@
         let again = match (o.ending, o.cause) {
             (Ending::Full, Cause::FarProcessorFull) | (_, Cause::LinesBusy) => false,
             (Ending::NotSent, Cause::NoCircuit) => true,
-            (Ending::Full, _) => !direct || self.settings.topology == Shape::Pools,
+            (Ending::Full, _) => !direct || self.settings.topology == Topology::Pools,
             // Danger: an exchange that fails part of its set-ups at once would have each of them refused, and
             // its caller dial again only after a wait.
             (Ending::Fault, _) => (FAULTS_LEAST..FAULTS_MOST).contains(&faults),
--- a/src/routing/control/route.rs
+++ b/src/routing/control/route.rs
@@ -63,7 +63,7 @@
         if room && !last {
             return Route::Via(direct);
         }
-        if self.settings.topology == Shape::Mesh && (!open && !own || ask.redialled) {
+        if self.settings.topology == Topology::Mesh && (!open && !own || ask.redialled) {
             return Route::Blocked;
         }
         let turn = self.rotor % self.offices.len();
@@ -121,6 +121,6 @@
     /// Whether the class may go to that pool (always, between exchanges).
     pub(super) fn skilled(&self, ask: &NewCall, exchange: ExchangeNumber) -> bool {
         let pools = self.settings.classes.get(ask.class).map_or(&[][..], |c| &c.allowed_pools);
-        self.settings.topology == Shape::Mesh || pools.is_empty() || pools.contains(&exchange)
+        self.settings.topology == Topology::Mesh || pools.is_empty() || pools.contains(&exchange)
     }
 }
--- a/src/routing/interface.rs
+++ b/src/routing/interface.rs
@@ -33,7 +33,7 @@
 
 /// How the network is laid out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
-pub enum Shape {
+pub enum Topology {
     /// Exchanges joined pairwise by trunk groups; calls may pass through one tandem.
     #[default]
     Mesh,
@@ -43,7 +43,7 @@
 
 /// How the office list reaches this call server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
-pub enum Membership {
+pub enum MembershipMode {
     /// Changes come by themselves.
     #[default]
     Pushed,
@@ -53,12 +53,12 @@
 
 /// Which other exchanges a set-up may be repeated at once it may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
-pub enum Effect {
+pub enum RetryPolicy {
     /// Attempts may be repeated freely.
     #[default]
     Retryable,
     /// Anything else: no further attempt unless the earlier ones are proved never to have run.
-    Guarded,
+    AtMostOnce,
 }
 
 /// A class of call.
@@ -73,7 +73,7 @@
     /// Worth of a call that stands to its end.
     pub value: f64,
     /// Whether attempts may be repeated.
-    pub effect: Effect,
+    pub retry_policy: RetryPolicy,
     /// Mean length of a call; 0 if not told.
     pub mean_hold_time: Micros,
     /// Pools that the class may go to; empty means all (pools only).
@@ -86,7 +86,7 @@
     /// Classes of call, by number.
     pub classes: Vec<Class>,
     /// Layout of the network.
-    pub topology: Shape,
+    pub topology: Topology,
     /// The exchange this controller runs in.
     pub own_exchange: Option<ExchangeNumber>,
     /// Zone of this call server.
@@ -96,7 +96,7 @@
     /// Number of this call server among them.
     pub own_peer: PeerNumber,
     /// How the list comes.
-    pub membership_mode: Membership,
+    pub membership_mode: MembershipMode,
     /// Names of the load figures, in the order in which they come.
     pub report_fields: Vec<ReportField>,
     /// Time that must pass after a timeout, reset or cancellation.
--- a/tests/models.rs
+++ b/tests/models.rs
@@ -969,7 +969,7 @@
         client_timeout: 9_000 * MS,
         late_value: 0.25,
         value: 1.0,
-        effect: Effect::Retryable,
+        retry_policy: RetryPolicy::Retryable,
         mean_hold_time: 10_000 * MS,
         allowed_pools: Vec::new(),
     };
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -15,7 +15,7 @@
         client_timeout: 9 * S,
         late_value: 0.1,
         value: worth,
-        effect: Effect::Retryable,
+        retry_policy: RetryPolicy::Retryable,
         mean_hold_time: 10 * S,
         allowed_pools: Vec::new(),
     };
@@ -402,7 +402,7 @@
 #[test]
 fn pools_take_calls_of_second_choice_only_where_the_class_is_skilled() {
     let mut s = settings();
-    (s.topology, s.own_exchange) = (Shape::Pools, None);
+    (s.topology, s.own_exchange) = (Topology::Pools, None);
     s.classes[0].allowed_pools = vec![ExchangeNumber(1), ExchangeNumber(3)];
     let mut b = Bed::with(s);
     b.tell(group(1, 0.0));
@@ -412,7 +412,7 @@
 
 #[test]
 fn the_list_is_asked_for_again_after_a_failure() {
-    let mut b = Bed::with(Settings { membership_mode: Membership::OnRequest, ..settings() });
+    let mut b = Bed::with(Settings { membership_mode: MembershipMode::OnRequest, ..settings() });
     assert!(b.pass(S).contains(&Action::Subscribe));
     b.tell(Event::List(ListUpdate::Failed));
     assert!(b.pass(2 * S).contains(&Action::Subscribe));
@@ -976,7 +976,7 @@
     assert_eq!(sent(&bed.tell(fault(65, 0, 1))), [office(1)]);
     // A guarded call may have run.
     let mut careful = settings();
-    careful.classes[0].effect = Effect::Guarded;
+    careful.classes[0].retry_policy = RetryPolicy::AtMostOnce;
     let mut bed = Bed::with(careful);
     bed.call(0, 1);
     let over = bed.tell(fault(0, 0, 1));
--- a/tests/simulator.rs
+++ b/tests/simulator.rs
@@ -106,7 +106,10 @@
         "classes.count=1\nclasses.0.aim=1200.0\nclasses.0.giveUp=9000.0\nnew.key=1\nextra.shape=groups\n\
         report.fields=spare,total,avg_ms,novel\nextra.allowedPools=2,4";
     let s = wire::settings(text).unwrap();
-    assert_eq!((s.classes[0].latency_objective, s.topology, s.own_exchange), (1_200_000, Shape::Pools, None));
+    assert_eq!(
+        (s.classes[0].latency_objective, s.topology, s.own_exchange),
+        (1_200_000, Topology::Pools, None)
+    );
     assert_eq!(s.report_fields[2..], [ReportField::WaitMs, ReportField::Unknown]);
     assert_eq!(s.classes[0].allowed_pools, [ExchangeNumber(2), ExchangeNumber(4)]);
     assert_eq!(wire::settings("tick=soon").unwrap_err().key, "tick");
