--- a/src/protocol/json_lines.rs
+++ b/src/protocol/json_lines.rs
@@ -232,8 +232,8 @@
             "queue" | "waiting" => r.waiting = Some(value),
             "util" | "cpu" => r.busy = Some(value),
             "latency_ms" | "avg_ms" => r.wait = Some((value.min(1e9) * 1000.0) as Micros),
-            "qps" | "allowed" => r.allowed = Some(value),
-            "eps" | "cut_by" => r.cut_by = Some(value),
+            "qps" | "allowed" => r.allowed_rate = Some(value),
+            "eps" | "cut_by" => r.reduction = Some(value),
             _ => {}
         }
     }
--- a/src/protocol/simulator.rs
+++ b/src/protocol/simulator.rs
@@ -147,8 +147,8 @@
                 ReportField::Waiting => out.waiting = told,
                 ReportField::Busy => out.busy = told,
                 ReportField::WaitMs => out.wait = told.map(micros),
-                ReportField::Allowed => out.allowed = told,
-                ReportField::CutBy => out.cut_by = told,
+                ReportField::AllowedRate => out.allowed_rate = told,
+                ReportField::Reduction => out.reduction = told,
                 ReportField::Unknown => {}
             }
         }
@@ -562,8 +562,8 @@
         "waiting" => ReportField::Waiting,
         "cpu" => ReportField::Busy,
         "avg_ms" => ReportField::WaitMs,
-        "allowed" => ReportField::Allowed,
-        "cut_by" => ReportField::CutBy,
+        "allowed" => ReportField::AllowedRate,
+        "cut_by" => ReportField::Reduction,
         _ => ReportField::Unknown,
     }
 }
--- a/src/routing/control/outcome.rs
+++ b/src/routing/control/outcome.rs
@@ -104,9 +104,9 @@
         if let (Some(free), Some(size)) = (r.free, r.size) {
             o.group = Some((free, size));
         }
-        if r.wait.is_some() || r.busy.is_some() || r.cut_by.is_some() {
+        if r.wait.is_some() || r.busy.is_some() || r.reduction.is_some() {
             let load = r.wait.map_or(0.0, |w| w as f64 / full).max(r.busy.unwrap_or(0.0));
-            o.note_pressed(now, load >= PHI || r.cut_by.is_some_and(|c| c > 0.0));
+            o.note_pressed(now, load >= PHI || r.reduction.is_some_and(|c| c > 0.0));
         }
     }
 
--- a/src/routing/interface.rs
+++ b/src/routing/interface.rs
@@ -145,9 +145,9 @@
     /// Wait at the processor, in milliseconds.
     WaitMs,
     /// New set-ups a second that it can take from all senders.
-    Allowed,
+    AllowedRate,
     /// Share of new set-ups that each sender is asked to hold back.
-    CutBy,
+    Reduction,
     /// Not known here; passed over.
     Unknown,
 }
@@ -168,9 +168,9 @@
     /// Wait at the processor.
     pub wait: Option<Micros>,
     /// Set-ups a second that it can take from all senders.
-    pub allowed: Option<f64>,
+    pub allowed_rate: Option<f64>,
     /// Share of set-ups to hold back.
-    pub cut_by: Option<f64>,
+    pub reduction: Option<f64>,
 }
 
 /// What the list says of an office.
