--- a/src/routing/interface.rs
+++ b/src/routing/interface.rs
@@ -1,254 +1,255 @@
-//! The whole interface of the decision module: what a call server tells it and what it answers.
+//! Types of the decision module's interface: its settings, the events it takes and the actions it returns.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// A moment or a span, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = i64;
 
-/// One call (or one try of a caller), as the call server names it. Never used twice.
+/// Identifier of one call, or of one try of a caller, within a session controller. Never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u32);
 
-/// The running number of a set-up attempt of one call, from 0.
+/// Sequence number of a set-up attempt within its call, starting at 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptNumber(pub u8);
 
-/// The number of an exchange (or of a pool of agents), by which calls name their destination.
+/// Number of an exchange (or of a pool of agents), used as the destination of calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct ExchangeNumber(pub u16);
 
-/// The machine that serves an exchange: a replacement has the same exchange number, another office.
+/// Address of the machine that serves an exchange. A replacement machine keeps the exchange number but has a
+/// different id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct ExchangeId {
-    /// Address, first byte first.
+    /// IPv4 address in network byte order.
     pub addr: [u8; 4],
     /// Port.
     pub port: u16,
 }
 
-/// The number of a call server among its peers.
+/// Number of a session controller among its peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct PeerNumber(pub u32);
 
-/// How the network is laid out.
+/// Topology of the network.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum Topology {
-    /// Exchanges joined pairwise by trunk groups; calls may pass through one tandem.
+    /// Exchanges connected pairwise by trunk groups; a call may pass through one tandem.
     #[default]
     Mesh,
-    /// Pools of agents that all call servers share; no call is in transit.
+    /// Pools of agents shared by all session controllers; no call is in transit.
     Pools,
 }
 
-/// How the office list reaches this call server.
+/// How the session controller obtains the list of exchanges.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum MembershipMode {
-    /// Changes come by themselves.
+    /// Changes are pushed without a request.
     #[default]
     Pushed,
-    /// Only what is asked for comes.
+    /// The list is sent only when requested.
     OnRequest,
 }
 
-/// Which other exchanges a set-up may be repeated at once it may have run.
+/// Whether a set-up may be repeated after an attempt that may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum RetryPolicy {
     /// Attempts may be repeated freely.
     #[default]
     Retryable,
-    /// Anything else: no further attempt unless the earlier ones are proved never to have run.
+    /// No further attempt unless all earlier ones are known not to have run.
     AtMostOnce,
 }
 
 /// A class of call.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Full worth is earned up to this long after the first try.
+    /// A call set up within this time of its first try earns its full value.
     pub latency_objective: Micros,
-    /// How long a caller goes on trying.
+    /// How long a caller keeps trying.
     pub client_timeout: Micros,
-    /// Share of the worth earned when set up after the aim.
+    /// Share of the value earned by a call set up after the latency objective.
     pub late_value: f64,
-    /// Worth of a call that stands to its end.
+    /// Value of a call that is established and runs to its end.
     pub value: f64,
     /// Whether attempts may be repeated.
     pub retry_policy: RetryPolicy,
-    /// Mean length of a call; 0 if not told.
+    /// Mean duration of an established call; 0 if unknown.
     pub mean_hold_time: Micros,
-    /// Pools that the class may go to; empty means all (pools only).
+    /// Pools that may serve the class (pools only); empty allows all of them.
     pub allowed_pools: Vec<ExchangeNumber>,
 }
 
-/// What a call server is told at start.
+/// Settings of a session controller, fixed at its start.
 #[derive(Clone, Debug, PartialEq, Default)]
 pub struct Settings {
-    /// Classes of call, by number.
+    /// Classes of call, indexed by class number.
     pub classes: Vec<Class>,
-    /// Layout of the network.
+    /// Topology of the network.
     pub topology: Topology,
-    /// The exchange this controller runs in.
+    /// Exchange that this controller runs in.
     pub own_exchange: Option<ExchangeNumber>,
-    /// Zone of this call server.
+    /// Zone of this session controller.
     pub zone: u8,
-    /// Call servers in the tier, this one included.
+    /// Number of session controllers, including this one.
     pub controller_count: u32,
-    /// Number of this call server among them.
+    /// This controller's number among its peers.
     pub own_peer: PeerNumber,
-    /// How the list comes.
+    /// How the list of exchanges is obtained.
     pub membership_mode: MembershipMode,
-    /// Names of the load figures, in the order in which they come.
+    /// Meaning of the figures in a load report, in wire order.
     pub report_fields: Vec<ReportField>,
-    /// Time that must pass after a timeout, reset or cancellation.
+    /// Minimum time between a timed-out, reset or cancelled attempt and the next one of the same call.
     pub quiet_period: Micros,
-    /// Attempts may be called off.
+    /// Whether attempts may be cancelled.
     pub may_cancel: bool,
-    /// Probes are allowed.
+    /// Whether exchanges may be probed.
     pub may_probe: bool,
-    /// Messages to peers are allowed.
+    /// Whether messages may be sent to peers.
     pub may_message_peers: bool,
-    /// Longest pause that callers follow.
+    /// Longest retry delay in a refusal that callers observe.
     pub max_retry_after: Micros,
-    /// Attempts that one call may have; 0: no limit.
+    /// Maximum number of attempts per call; 0 means no limit.
     pub max_attempts: u32,
-    /// Calls that may be open at once; 0: no limit.
+    /// Maximum number of concurrently open calls; 0 means no limit.
     pub max_open_calls: u32,
-    /// How long a silent instance may go without asking for the list (on request).
+    /// How long an otherwise silent instance may go without requesting the list (on request only).
     pub max_list_age: Micros,
-    /// A draining or gone office may be sent to for this long after the news.
+    /// How long set-ups may still be sent to an exchange after it is reported as draining or gone.
     pub drain_grace: Micros,
-    /// A starting processor has at least this share of its capacity.
+    /// Share of its capacity that a processor has at least when it starts.
     pub cold_start_capacity: f64,
-    /// A processor is warm this long after its start.
+    /// Time from the start of a processor until it has its full capacity.
     pub cold_start_period: Micros,
-    /// Set-ups over this multiple of its present capacity push a cold processor over.
+    /// Set-ups above this multiple of its current capacity overload a processor during its cold start.
     pub overload_factor: f64,
-    /// For how long that must last.
+    /// How long that excess must last for the processor to fail.
     pub overload_window: Micros,
-    /// Shortest gap between batches.
+    /// Minimum interval between batches.
     pub min_batch_interval: Micros,
 }
 
-/// A figure in a load report.
+/// Meaning of one figure in a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportField {
-    /// Free circuits of the group toward the office (or free agents).
+    /// Free circuits of the group toward the exchange (or free agents).
     Free,
     /// Size of that group.
     Size,
-    /// Messages in work.
+    /// Messages being processed.
     Active,
-    /// Messages waiting.
+    /// Queued messages.
     Waiting,
-    /// Share of the processor busy.
+    /// Processor utilization, from 0 to 1.
     Busy,
-    /// Wait at the processor, in milliseconds.
+    /// Queueing delay at the processor, in milliseconds.
     WaitMs,
-    /// New set-ups a second that it can take from all senders.
+    /// New set-ups per second that the exchange accepts from all senders together.
     AllowedRate,
-    /// Share of new set-ups that each sender is asked to hold back.
+    /// Share of new set-ups that each sender is asked to withhold.
     Reduction,
-    /// Not known here; passed over.
+    /// A figure unknown to this version; ignored.
     Unknown,
 }
 
-/// A load report; a figure that was not told is `None`.
+/// A load report; figures that were not reported are `None`.
 #[derive(Clone, Copy, Debug, PartialEq, Default)]
 pub struct LoadReport {
-    /// Free circuits of the group toward the office.
+    /// Free circuits of the group toward the exchange.
     pub free: Option<f64>,
     /// Size of that group.
     pub size: Option<f64>,
-    /// Messages in work.
+    /// Messages being processed.
     pub active: Option<f64>,
-    /// Messages waiting.
+    /// Queued messages.
     pub waiting: Option<f64>,
-    /// Share of the processor busy.
+    /// Processor utilization, from 0 to 1.
     pub busy: Option<f64>,
-    /// Wait at the processor.
+    /// Queueing delay at the processor.
     pub wait: Option<Micros>,
-    /// Set-ups a second that it can take from all senders.
+    /// Set-ups per second that the exchange accepts from all senders together.
     pub allowed_rate: Option<f64>,
-    /// Share of set-ups to hold back.
+    /// Share of set-ups to withhold.
     pub reduction: Option<f64>,
 }
 
-/// What the list says of an office.
+/// State of an exchange in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum ListState {
     /// In service.
     #[default]
     Ready,
-    /// Finishing its calls: nothing new may be sent.
+    /// Completing its calls; accepts no new set-ups.
     Draining,
     /// Removed.
     Gone,
 }
 
-/// One line of the office list.
+/// One entry of the list of exchanges.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListEntry {
-    /// The exchange that it serves.
+    /// Number of the exchange.
     pub exchange: ExchangeNumber,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: u8,
-    /// Its state.
+    /// Service state.
     pub state: ListState,
-    /// The office.
+    /// Machine that serves the exchange.
     pub exchange_id: ExchangeId,
-    /// When it last started; `None`: long ago.
+    /// Last start of the machine; `None` if long ago.
     pub last_start: Option<Micros>,
 }
 
-/// What a list event carries.
+/// Payload of a list event.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ListUpdate {
-    /// Only the entries that changed.
+    /// Changed entries only.
     Changes(Rc<[ListEntry]>),
-    /// The complete list; an office missing from it is removed.
+    /// The complete list; machines missing from it are removed.
     Complete(Rc<[ListEntry]>),
-    /// The complete list as last held, possibly out of date.
+    /// The last known complete list, possibly out of date.
     Cached(Rc<[ListEntry]>),
-    /// A request for the list failed or the subscription broke.
+    /// A list request failed or the subscription broke.
     Failed,
 }
 
 /// A new call.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NewCall {
-    /// Its id.
+    /// Identifier of the call.
     pub call: CallId,
-    /// Where it goes.
+    /// Destination exchange or pool.
     pub destination: ExchangeNumber,
-    /// It was passed on by another call server.
+    /// Whether the call is in transit: another session controller passed it on.
     pub transit: bool,
-    /// The caller tried before.
+    /// Whether the caller has tried before.
     pub redialled: bool,
-    /// It stood, was cut and comes again.
+    /// Whether the call was established before, was cut and is being set up again.
     pub cut_before: bool,
-    /// Stands for the called number.
+    /// Opaque identifier of the called number.
     pub number: Option<u64>,
-    /// Circuits it takes on each group.
+    /// Circuits that the call occupies on each group.
     pub circuits: u32,
-    /// How long until the caller gives up on this try.
+    /// Time left until the caller abandons this try.
     pub remaining_time: Micros,
-    /// Its class.
+    /// Class number.
     pub class: usize,
-    /// Advised tandem; for a call in transit, where it comes from.
+    /// Suggested tandem; for a call in transit, the exchange it comes from.
     pub via: Option<ExchangeNumber>,
-    /// No attempt before this time: an earlier one, of the same request, may have run.
+    /// No attempt before this time, since an earlier attempt of the same request may have run.
     pub earliest_attempt: Micros,
 }
 
-/// What operators took out of service, in whole. Offices and groups are told as draining and as full besides; this
-/// says that calls need not wait for them.
+/// Everything that operators have taken out of service. The list and the load reports also show it, as draining
+/// exchanges and full groups; this tells the decision module that calls need not wait for them.
 #[derive(Clone, Debug, PartialEq, Eq, Default)]
 pub struct OutOfService {
-    /// Exchanges that no call is for.
+    /// Exchanges that accept no calls.
     pub exchanges: BTreeSet<ExchangeNumber>,
-    /// Groups that take no new calls, by the exchange at the far end.
+    /// Groups that accept no new calls, identified by the exchange at the far end.
     pub groups: BTreeSet<ExchangeNumber>,
-    /// This controller takes no new calls.
+    /// This controller accepts no new calls.
     pub controller: bool,
 }
 
@@ -259,12 +260,12 @@
     }
 }
 
-/// How an attempt ended.
+/// How an attempt, or the call it established, ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// The call stood and has ended.
+    /// The call was established and has been released normally.
     Completed,
-    /// All lines of the number busy, or a signalling fault.
+    /// All lines of the called number were busy, or a signalling fault occurred.
     Fault,
     /// Turned back, or a processor or pool was full.
     Full,
@@ -272,146 +273,146 @@
     TimedOut,
     /// No connection could be made.
     Unreachable,
-    /// The set-up or standing call was cut.
+    /// The set-up or the established call was cut.
     Reset,
-    /// Called off.
+    /// Cancelled by this controller.
     Cancelled,
     /// Not sent.
     NotSent,
 }
 
-/// The reason given with an ending.
+/// Reason reported with an [`Ending`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// None, or one not known here.
+    /// No reason, or one unknown to this version.
     None,
     /// No free circuit or agent.
     NoCircuit,
     /// Turned back by the tandem.
     TurnedBack,
-    /// Turned back since the processor beyond was full.
+    /// Turned back because the processor at the destination was full.
     FarProcessorFull,
-    /// The processor was full; it may name a wait.
+    /// The processor was full; it may report its queueing delay.
     ProcessorFull(Option<Micros>),
     /// All lines of the called number are busy.
     LinesBusy,
 }
 
-/// The end of an attempt.
+/// Result of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Outcome {
-    /// The call.
+    /// Identifier of the call.
     pub call: CallId,
-    /// The attempt.
+    /// Attempt that ended.
     pub attempt: AttemptNumber,
-    /// Where it went.
+    /// Machine that the set-up was sent to.
     pub exchange_id: ExchangeId,
-    /// How it ended.
+    /// How the attempt ended.
     pub ending: Ending,
-    /// Why.
+    /// Reported reason.
     pub cause: Cause,
-    /// How long it was out.
+    /// Time since the set-up was sent or, for an established call, since it was answered.
     pub elapsed: Micros,
-    /// The call is over: nothing more is owed.
+    /// Whether the call itself has ended, so that the caller needs no further answer.
     pub call_ended: bool,
-    /// Load figures of the office.
+    /// Load report of the exchange.
     pub report: LoadReport,
 }
 
-/// What happened.
+/// An input of the decision module.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// News of the office list.
+    /// An update of the list of exchanges.
     List(ListUpdate),
     /// A new call.
     Call(NewCall),
-    /// A set-up went through: the call stands.
+    /// A set-up was answered: the call is established.
     Established {
-        /// The call.
+        /// Identifier of the call.
         call: CallId,
-        /// The attempt.
+        /// Attempt that was answered.
         attempt: AttemptNumber,
-        /// Where it went.
+        /// Machine that answered.
         exchange_id: ExchangeId,
-        /// How long the set-up took.
+        /// Time from the set-up to its answer.
         setup_time: Micros,
     },
     /// An attempt ended.
     Ended(Outcome),
-    /// A probe ended well, or (unasked) the group toward the office changed.
+    /// A probe succeeded, or the exchange reported a change of its group without being asked.
     GroupReport {
-        /// The office.
+        /// Machine that the report is about.
         exchange_id: ExchangeId,
-        /// Its figures.
+        /// Load report.
         report: LoadReport,
     },
     /// A probe failed.
     ProbeFailed(ExchangeId),
-    /// The caller left, or the answer was overdue.
+    /// The caller abandoned the call, or the answer was overdue.
     CallAbandoned(CallId),
     /// A message from a peer.
     PeerMessage {
-        /// Who sent it.
+        /// Sender.
         from: PeerNumber,
-        /// What it says.
+        /// Message body.
         body: Vec<u8>,
     },
-    /// Operators took this out of service, and nothing else.
+    /// What operators have taken out of service; replaces the previous state.
     OutOfService(OutOfService),
-    /// These exchanges are suspected of taking set-ups and answering none, and no others.
+    /// Exchanges suspected of accepting set-ups without answering any; replaces the previous set.
     Suspected(BTreeSet<ExchangeNumber>),
-    /// A timer is due.
+    /// A timer expired; carries the token it was set with.
     Timer(u64),
 }
 
-/// What to do.
+/// An output of the decision module.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send a set-up; attempts of a call number themselves from 0.
+    /// Send a set-up. Attempts of a call are numbered in order from 0.
     SetUp {
-        /// The call.
+        /// Identifier of the call.
         call: CallId,
-        /// Where to.
+        /// Machine to send it to.
         exchange_id: ExchangeId,
-        /// Time-out of the attempt; `None`: until the caller gives up.
+        /// Time limit of the attempt; `None` allows the remaining time of the call.
         timeout: Option<Micros>,
     },
-    /// Ask for a timer.
+    /// Set a timer.
     SetTimer {
-        /// How far ahead.
+        /// Delay until it expires.
         after: Micros,
-        /// Comes back with it.
+        /// Token returned with [`Event::Timer`].
         token: u64,
     },
     /// Final answer: refused (in transit: turned back).
     Refuse {
-        /// The call.
+        /// Identifier of the call.
         call: CallId,
-        /// How long the caller ought to keep away; 0: no advice.
+        /// How long the caller should wait before it retries; 0 gives no advice.
         retry_after: Micros,
     },
     /// Final answer: failed.
     Fail(CallId),
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt.
     Cancel {
-        /// The call.
+        /// Identifier of the call.
         call: CallId,
-        /// The attempt.
+        /// Attempt to cancel.
         attempt: AttemptNumber,
     },
-    /// Check an office.
+    /// Probe an exchange.
     Probe(ExchangeId),
-    /// Send bytes to one peer, or to all.
+    /// Send a message to one peer or to all of them.
     SendToPeer {
-        /// To whom; `None`: to all.
+        /// Recipient; `None` sends it to all peers.
         to: Option<PeerNumber>,
-        /// 256 bytes at most.
+        /// Message body, at most 256 bytes.
         body: Vec<u8>,
     },
-    /// Ask once for the complete list.
+    /// Request the complete list once.
     FetchList,
     /// Subscribe to list changes.
     Subscribe,
-    /// A line for the report.
+    /// Write a line to the report.
     Log(String),
 }
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,5 +1,5 @@
-//! The core: the decision module and the call ledger round it. Requests, attempts and outcomes go in, actions
-//! come out; there are no sockets, no clock and no wire formats here.
+//! Call routing: the decision module and the call ledger that drives it. Requests, attempts and outcomes go in,
+//! actions come out; this layer uses no sockets, clocks or wire formats.
 
 pub mod control;
 pub mod deadlines;
