--- a/src/routing/control/gate.rs
+++ b/src/routing/control/concurrency_limit.rs
@@ -14,7 +14,7 @@
 /// Danger: answers wait behind new set-ups, so a queue past the aim makes every call late; and marks that
 /// expire all at once bring the full share back at once.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(super) struct Gate {
+pub(super) struct ConcurrencyLimit {
     /// Nothing before then.
     pub(super) shut: Micros,
     /// Set-ups that may be out.
@@ -25,8 +25,9 @@
     pub(super) cut: Micros,
 }
 
-impl Gate {
-    pub(super) const OPEN: Gate = Gate { shut: 0, width: GATE_WIDEST, wait: RETRY_FIRST, cut: 0 };
+impl ConcurrencyLimit {
+    pub(super) const OPEN: ConcurrencyLimit =
+        ConcurrencyLimit { shut: 0, width: GATE_WIDEST, wait: RETRY_FIRST, cut: 0 };
 
     pub(super) fn shut(&mut self, now: Micros, at_least: Micros) {
         if now >= self.shut {
--- a/src/routing/control/office.rs
+++ b/src/routing/control/exchange_state.rs
@@ -15,7 +15,7 @@
 
 /// What this exchange knows of another. Moments start at 0, the beginning of the clock.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Office {
+pub(super) struct ExchangeState {
     pub(super) id: ExchangeId,
     pub(super) exchange: ExchangeNumber,
     pub(super) state: ListState,
@@ -37,7 +37,7 @@
     pub(super) faults: f64,
     /// Share of them that was never answered while later ones were, smoothed.
     pub(super) losses: f64,
-    pub(super) gate: Gate,
+    pub(super) gate: ConcurrencyLimit,
     /// While it is cold: since when set-ups are earned, and how much of one was owed then: a random part at
     /// its start, so that senders do not come in step.
     pub(super) cold_wait: (Micros, f64),
@@ -45,11 +45,23 @@
     pub(super) links: Vec<u8>,
 }
 
-impl Office {
+impl ExchangeState {
     pub(super) fn new(e: &ListEntry, now: Micros) -> Self {
-        let (gate, earned) = (Gate::OPEN, (now, 1.0));
-        let known = Office { id: e.exchange_id, exchange: e.exchange, state: e.state, ..Office::default() };
-        Office { started: e.last_start, heard: now, last_took: Micros::MAX, gate, cold_wait: earned, ..known }
+        let (gate, earned) = (ConcurrencyLimit::OPEN, (now, 1.0));
+        let known = ExchangeState {
+            id: e.exchange_id,
+            exchange: e.exchange,
+            state: e.state,
+            ..ExchangeState::default()
+        };
+        ExchangeState {
+            started: e.last_start,
+            heard: now,
+            last_took: Micros::MAX,
+            gate,
+            cold_wait: earned,
+            ..known
+        }
     }
 
     /// Nothing heard since the oldest set-up out was sent, `span` ago or more, nor since this one `woke`.
--- a/src/routing/control/load.rs
+++ b/src/routing/control/load.rs
@@ -36,7 +36,7 @@
     }
 
     /// The design's "accepting": not pressed by the last news of its processor, nor by a set-up out long.
-    pub(super) fn accepting(&self, now: Micros, o: &Office) -> bool {
+    pub(super) fn accepting(&self, now: Micros, o: &ExchangeState) -> bool {
         now >= o.pressed && o.age(now) <= PHI * FULL_WAIT * self.shortest_aim as f64
     }
 }
--- a/src/routing/control/membership.rs
+++ b/src/routing/control/membership.rs
@@ -44,7 +44,7 @@
             // Danger: replaced machines would fill the table for good; one that is gone gives up its place.
             let gone = self.offices.iter().position(|o| o.state == ListState::Gone && o.out.is_empty());
             let i = gone.unwrap_or(self.offices.len());
-            let mut office = Office::new(e, now);
+            let mut office = ExchangeState::new(e, now);
             // One that was not there before may be fresh from start.
             office.started = e.last_start.or(self.listed.then_some(now));
             office.cold_wait.1 = part;
@@ -65,7 +65,7 @@
             // Restarted: what was known of the old processor is void.
             o.started = e.last_start;
             o.cold_wait = (now, part);
-            o.gate = Gate { width: 1.0, ..Gate::OPEN };
+            o.gate = ConcurrencyLimit { width: 1.0, ..ConcurrencyLimit::OPEN };
             o.pressed = now;
         }
     }
--- a/src/routing/control/mod.rs
+++ b/src/routing/control/mod.rs
@@ -4,11 +4,11 @@
 //! keeps headroom on its first leg, else it is refused: see [`Controller::route`].
 
 mod call;
-mod gate;
-mod holding;
+mod call_queue;
+mod concurrency_limit;
+mod exchange_state;
 mod load;
 mod membership;
-mod office;
 mod outcome;
 mod own_state;
 mod peers;
@@ -20,8 +20,8 @@
 
 use crate::routing::interface::*;
 use call::{Call, Stage};
-use gate::Gate;
-use office::Office;
+use concurrency_limit::ConcurrencyLimit;
+use exchange_state::ExchangeState;
 use route::Route;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use tandem::Way;
@@ -76,7 +76,7 @@
     calls: BTreeMap<CallId, Call>,
     /// Calls held, in the order of `held_key`.
     held: BTreeSet<(i64, Micros, CallId)>,
-    offices: Vec<Office>,
+    offices: Vec<ExchangeState>,
     by_id: BTreeMap<ExchangeId, usize>,
     by_exchange: BTreeMap<ExchangeNumber, usize>,
     seed: u64,
@@ -99,7 +99,7 @@
     tell_due: Option<Micros>,
     shortest_aim: Micros,
     mean_aim: f64,
-    own_gate: Gate,
+    own_gate: ConcurrencyLimit,
     /// The last set-ups that stood: when, and after how long.
     recent: VecDeque<(Micros, Micros)>,
     /// Last sign of life of any office.
@@ -129,7 +129,7 @@
         Controller {
             shortest_aim: aims.clone().min().unwrap_or(1_000_000).max(1),
             mean_aim: aims.sum::<Micros>() as f64 / settings.classes.len().max(1) as f64,
-            own_gate: Gate::OPEN,
+            own_gate: ConcurrencyLimit::OPEN,
             rotor: (seed >> 32) as usize,
             luck: 1.0,
             lost: 0.5,
--- a/src/routing/control/own_state.rs
+++ b/src/routing/control/own_state.rs
@@ -24,7 +24,8 @@
     /// others answer. Danger: a hung office or a cut zone fills the own window and stops every call.
     pub(super) fn own_out(&self, now: Micros) -> usize {
         let alive = now - self.heard < OWN_ALIVE;
-        let silent = |o: &Office| o.gate.suspect() || o.silent(now, self.woke, SILENCE * self.mean_aim);
+        let silent =
+            |o: &ExchangeState| o.gate.suspect() || o.silent(now, self.woke, SILENCE * self.mean_aim);
         let counted = self.busy.iter().map(|&i| &self.offices[i]).filter(|o| !alive || !silent(o));
         counted.map(|o| o.waiting(now, self.mean_aim)).sum()
     }
--- a/src/routing/control/route.rs
+++ b/src/routing/control/route.rs
@@ -29,7 +29,7 @@
         let width = f64::from(ask.circuits);
         let Some(&direct) = self.by_exchange.get(&ask.destination) else { return Route::Closed };
         if planted(Planted::ColdFlooded) {
-            let cold = |o: &Office| o.state == ListState::Ready && self.cold_share(now, o).is_some();
+            let cold = |o: &ExchangeState| o.state == ListState::Ready && self.cold_share(now, o).is_some();
             if let Some(i) = self.offices.iter().position(cold) {
                 return Route::Via(i);
             }
@@ -69,7 +69,8 @@
         let turn = self.rotor % self.offices.len();
         let mut plain = (turn..self.offices.len()).chain(0..turn);
         let found = if self.luck >= LUCK_LEAST {
-            let trusted = |o: &Office| o.faults < FAULTS_TANDEM && !self.suspected.contains(&o.exchange);
+            let trusted =
+                |o: &ExchangeState| o.faults < FAULTS_TANDEM && !self.suspected.contains(&o.exchange);
             let sound = |&i: &usize| trusted(&self.offices[i]) && self.serves(now, i, call);
             let any = plain.clone();
             plain.find(sound).or_else(|| any.into_iter().find(|&i| !last && self.serves(now, i, call)))
--- a/src/routing/control/tick.rs
+++ b/src/routing/control/tick.rs
@@ -14,7 +14,7 @@
             self.tell_groups(out);
         }
         let silence = SILENCE * self.mean_aim;
-        let hangs = |o: &Office| o.silent(now, self.woke, silence) && !o.by_chance(o.out.len());
+        let hangs = |o: &ExchangeState| o.silent(now, self.woke, silence) && !o.by_chance(o.out.len());
         for o in self.offices.iter_mut().filter(|o| hangs(o)) {
             o.shut(now, 0);
         }
