--- a/src/routing/control/call_queue.rs
+++ b/src/routing/control/call_queue.rs
@@ -27,7 +27,8 @@
             }
         }
         let deadline = now.saturating_add(ask.remaining_time.max(0));
-        let until = (arrived + (HOLD_SHARE * self.aim(&ask) as f64) as Micros).min(deadline - ANSWER_EARLY);
+        let until =
+            (arrived + (QUEUE_TIME_SHARE * self.aim(&ask) as f64) as Micros).min(deadline - ANSWER_MARGIN);
         let from = now.max(ask.earliest_attempt);
         let stage = Stage::Held { from, until };
         if let Some(&i) = ask.via.filter(|_| !ask.transit).and_then(|t| self.by_exchange.get(&t)) {
@@ -61,7 +62,7 @@
             // Danger: a call that waits for its release has one chance, at its end; the nearer that is
             // the less time seems left.
             Route::Blocked
-                if now < from && self.own_delay(now) <= TARGET * self.mean_aim
+                if now < from && self.own_delay(now) <= TARGET_DELAY_SHARE * self.mean_aim
                     || now + (self.own_delay(now) as Micros) < until && !call.ask.transit =>
             {
                 self.held.insert(self.held_key(&call));
@@ -103,7 +104,7 @@
         self.busy.insert(office);
         o.cold_wait = (now, 1.0 - spare);
         self.sent.push_back(now);
-        while self.sent.front().is_some_and(|&t| now - t >= USUAL_SPAN) {
+        while self.sent.front().is_some_and(|&t| now - t >= RATE_WINDOW) {
             self.sent.pop_front();
         }
         out.push(Action::SetUp { call: id, exchange_id: o.id, timeout });
--- a/src/routing/control/concurrency_limit.rs
+++ b/src/routing/control/concurrency_limit.rs
@@ -2,12 +2,12 @@
 
 use super::*;
 
-/// First wait before a shut office is tried again; doubles up to `MARK` (µs).
-const RETRY_FIRST: Micros = 500_000;
+/// First wait before a shut office is tried again; doubles up to `MAX_OPEN_TIME` (µs).
+const MIN_OPEN_TIME: Micros = 500_000;
 /// A gate widens by this with each set-up that stood in good time.
-const GATE_STEP: f64 = 0.5;
+const LIMIT_INCREASE: f64 = 0.5;
 /// A gate narrows to this share when a set-up sent since the last cut was slow.
-const GATE_CUT: f64 = 0.6;
+const LIMIT_DECREASE_FACTOR: f64 = 0.6;
 
 /// How many set-ups may be out, toward an office or from the own processor. Widens while set-ups stand
 /// quickly, narrows when they are slow, and shuts for a while on a failure, to reopen by a trickle.
@@ -27,19 +27,19 @@
 
 impl ConcurrencyLimit {
     pub(super) const OPEN: ConcurrencyLimit =
-        ConcurrencyLimit { shut: 0, width: GATE_WIDEST, wait: RETRY_FIRST, cut: 0 };
+        ConcurrencyLimit { shut: 0, width: BASE_LIMIT, wait: MIN_OPEN_TIME, cut: 0 };
 
     pub(super) fn shut(&mut self, now: Micros, at_least: Micros) {
         if now >= self.shut {
             self.shut = now + self.wait.max(at_least);
-            self.wait = (self.wait * 2).min(MARK);
+            self.wait = (self.wait * 2).min(MAX_OPEN_TIME);
             self.width = 1.0;
         }
     }
 
     /// It was shut and nothing has stood since.
     pub(super) fn suspect(&self) -> bool {
-        self.wait > RETRY_FIRST
+        self.wait > MIN_OPEN_TIME
     }
 
     /// A set-up stood after `took`; `delay` is what it tells of this gate's processor.
@@ -51,11 +51,11 @@
         target: f64,
         (least, widest): (f64, f64),
     ) {
-        self.wait = RETRY_FIRST;
+        self.wait = MIN_OPEN_TIME;
         if delay <= target {
-            self.width = (self.width + GATE_STEP).min(widest);
+            self.width = (self.width + LIMIT_INCREASE).min(widest);
         } else if now - took > self.cut {
-            self.width = (self.width * GATE_CUT).max(least);
+            self.width = (self.width * LIMIT_DECREASE_FACTOR).max(least);
             self.cut = now;
         }
     }
--- a/src/routing/control/exchange_state.rs
+++ b/src/routing/control/exchange_state.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// How long a processor counts as pressed after bad news of it, unless good news comes (µs).
-const PRESSED: Micros = 10_000_000;
+const OVERLOAD_TIME: Micros = 10_000_000;
 /// Share of a group kept free on a tandem's first leg: a spilled call takes two circuits, which only pays
 /// where direct calls don't need them.
 const HEADROOM_SHARE: f64 = 0.03;
@@ -11,7 +11,7 @@
 const HEADROOM_MIN: f64 = 2.0;
 /// A silent office is shut once chance alone leaves so many set-ups unanswered less often than this. Danger:
 /// one that leaves some unanswered is soon silent on a thin link, and calls that it would answer are lost.
-const SILENT_CHANCE: f64 = 0.01;
+const MIN_LOSS_CHANCE: f64 = 0.01;
 
 /// What this exchange knows of another. Moments start at 0, the beginning of the clock.
 #[derive(Clone, Debug, Default)]
@@ -71,7 +71,7 @@
 
     /// Whether it may well answer, though so many set-ups are unanswered.
     pub(super) fn by_chance(&self, unanswered: usize) -> bool {
-        self.losses.powf(unanswered as f64) >= SILENT_CHANCE
+        self.losses.powf(unanswered as f64) >= MIN_LOSS_CHANCE
     }
 
     /// Set-ups out for less than `span`. Danger: older ones are lost or hopeless, and a few lost ones would
@@ -103,7 +103,7 @@
     /// tandem would be back in turn before the next; so bad news lasts longer than good news takes to come
     /// where there is traffic, and the first good news ends it.
     pub(super) fn note_pressed(&mut self, now: Micros, pressed: bool) {
-        self.pressed = if pressed { now + PRESSED } else { now };
+        self.pressed = if pressed { now + OVERLOAD_TIME } else { now };
     }
 
     /// It failed: nothing for a while, and no tandem for longer.
--- a/src/routing/control/load.rs
+++ b/src/routing/control/load.rs
@@ -23,20 +23,20 @@
 
     /// Own set-ups per µs and office, as of late.
     pub(super) fn usual_rate(&self, now: Micros) -> f64 {
-        let span = (now - self.born.unwrap_or(now)).clamp(1_000_000, USUAL_SPAN);
+        let span = (now - self.born.unwrap_or(now)).clamp(1_000_000, RATE_WINDOW);
         self.sent.len() as f64 / span as f64 / self.ready.max(1) as f64
     }
 
     /// Set-ups that may be out through a fully open gate: as many as are sent within the target delay, at
-    /// the least `GATE_WIDEST`. Danger: a fixed window caps the rate at its width over the set-up delay, and
+    /// the least `BASE_LIMIT`. Danger: a fixed window caps the rate at its width over the set-up delay, and
     /// a site with many quick set-ups turns calls away that its processors and circuits could take.
     pub(super) fn widest(&self, now: Micros) -> f64 {
         let own = self.usual_rate(now) * self.ready.max(1) as f64;
-        GATE_WIDEST.max(own * TARGET * self.mean_aim)
+        BASE_LIMIT.max(own * TARGET_DELAY_SHARE * self.mean_aim)
     }
 
     /// The design's "accepting": not pressed by the last news of its processor, nor by a set-up out long.
     pub(super) fn accepting(&self, now: Micros, o: &ExchangeState) -> bool {
-        now >= o.pressed && o.age(now) <= PHI * FULL_WAIT * self.shortest_aim as f64
+        now >= o.pressed && o.age(now) <= ACCEPT_LOAD * FULL_LOAD_WAIT * self.shortest_aim as f64
     }
 }
--- a/src/routing/control/membership.rs
+++ b/src/routing/control/membership.rs
@@ -3,13 +3,13 @@
 use super::*;
 
 /// The list is asked for again this long after a failure (on request; µs).
-const LIST_RETRY: Micros = 1_000_000;
+const LIST_RETRY_DELAY: Micros = 1_000_000;
 
 impl Controller {
     pub(super) fn on_list(&mut self, now: Micros, news: ListUpdate) {
         let (entries, complete) = match news {
             ListUpdate::Failed => {
-                self.list_due = Some(now + LIST_RETRY);
+                self.list_due = Some(now + LIST_RETRY_DELAY);
                 return;
             }
             ListUpdate::Changes(e) => (e, false),
--- a/src/routing/control/mod.rs
+++ b/src/routing/control/mod.rs
@@ -28,46 +28,46 @@
 
 /// Load (share of a full processor) below which a tandem accepts and a processor passes transit on: the
 /// design page's phi.
-const PHI: f64 = 0.9;
+const ACCEPT_LOAD: f64 = 0.9;
 /// The longest that a gate stays shut at a time (the design page's mark; µs).
-const MARK: Micros = 3_000_000;
+const MAX_OPEN_TIME: Micros = 3_000_000;
 /// Weight of one turn, or one set-up out long, in such a share.
-const LUCK_SMOOTH: f64 = 0.05;
+const RATE_SMOOTHING: f64 = 0.05;
 /// A call that met a signalling fault goes again at once while the share of the office's set-ups that do lies
 /// between these. Below, the fault is the call's own, and to ask again is work for nothing; above, the office
 /// fails all.
-const FAULTS_LEAST: f64 = 0.15;
-const FAULTS_MOST: f64 = 0.97;
+const RETRY_FAULT_RATE_MIN: f64 = 0.15;
+const RETRY_FAULT_RATE_MAX: f64 = 0.97;
 /// For how long a way counts as open after the centre named it or a call stood over it (µs).
-const WAY_OPEN: Micros = 10_000_000;
+const PATH_OPEN_TIME: Micros = 10_000_000;
 /// Wait at a processor that counts as load 1, as a share of the shortest aim: a tandem call crosses three
 /// processors and must stay within its aim.
-const FULL_WAIT: f64 = 0.4;
+const FULL_LOAD_WAIT: f64 = 0.4;
 /// Set-up delays kept to judge the own wait by.
-const RECENT: usize = 12;
+const RECENT_SETUP_TIMES: usize = 12;
 /// A blocked call waits for a circuit up to this share of its aim, less the set-up delay it would meet.
-const HOLD_SHARE: f64 = 0.9;
+const QUEUE_TIME_SHARE: f64 = 0.9;
 /// A gap between events that shows that this call server stood still: several housekeeping ticks (µs).
-const STALL: Micros = 250_000;
+const MIN_STALL: Micros = 250_000;
 /// Housekeeping: held calls, releases, list (µs).
-const TICK: Micros = 20_000;
+const TICK_INTERVAL: Micros = 20_000;
 /// A held call is ended at the latest this long before its caller gives up (µs). Danger: it is looked at
 /// once in a tick, so that with less than a tick its answer can come after its caller has given up.
-const ANSWER_EARLY: Micros = 25_000;
+const ANSWER_MARGIN: Micros = 25_000;
 /// An office is silent when its oldest set-up has been out for this share of the mean aim and it has
 /// answered nothing since.
-const SILENCE: f64 = 0.5;
+const UNRESPONSIVE_SHARE: f64 = 0.5;
 /// A set-up out for this share of the mean aim, and overtaken by half of that, counts as lost.
-const OVERTAKEN: f64 = 0.45;
+const OVERTAKEN_SHARE: f64 = 0.45;
 /// Set-ups that may be out through a fully open gate, where set-ups are few; see `Controller::widest`.
-const GATE_WIDEST: f64 = 5.0;
+const BASE_LIMIT: f64 = 5.0;
 /// Set-up delay above which a gate narrows, as a share of the mean aim; level at 0.15, lower at 0.25.
-const TARGET: f64 = 0.2;
+const TARGET_DELAY_SHARE: f64 = 0.2;
 /// Span over which the usual rate of set-ups is measured (µs).
-const USUAL_SPAN: Micros = 8_000_000;
+const RATE_WINDOW: Micros = 8_000_000;
 /// Peers are told of the own groups this often (µs): groups change seldom, and each message costs every
 /// receiver about a tenth of a set-up.
-const TELL_EVERY: Micros = 20_000_000;
+const GROUP_MESSAGE_INTERVAL: Micros = 20_000_000;
 
 /// The decision module of one call server.
 #[derive(Debug, Default)]
@@ -144,13 +144,13 @@
         if self.born.is_none() {
             self.born = Some(now);
             self.list_due = (self.settings.membership_mode == MembershipMode::OnRequest).then_some(now);
-            let first = now + TICK + (self.seed % (TELL_EVERY / 20) as u64) as Micros;
+            let first = now + TICK_INTERVAL + (self.seed % (GROUP_MESSAGE_INTERVAL / 20) as u64) as Micros;
             self.tell_due = self.settings.may_message_peers.then_some(first);
-            out.push(Action::SetTimer { after: TICK, token: 0 });
+            out.push(Action::SetTimer { after: TICK_INTERVAL, token: 0 });
         }
         // Danger: a call server that stood still takes its own silence for that of the offices, and what
         // waited for it for slow.
-        if now - self.last > STALL {
+        if now - self.last > MIN_STALL {
             (self.woke, self.stood_still) = (now, now - self.last);
         }
         self.last = now;
--- a/src/routing/control/outcome.rs
+++ b/src/routing/control/outcome.rs
@@ -3,40 +3,40 @@
 use super::*;
 
 /// Weight of one set-up in that share.
-const FAULTS_SMOOTH: f64 = 0.1;
+const FAULT_RATE_SMOOTHING: f64 = 0.1;
 /// Weight of one set-up in the share that an office leaves unanswered.
-const LOSSES_SMOOTH: f64 = 0.05;
+const LOSS_RATE_SMOOTHING: f64 = 0.05;
 /// The own window never narrows below this: one set-up out at a time leaves the processor idle while the
 /// answer travels, and a single lost one stops every call.
-const OWN_LEAST: f64 = 2.0;
+const MIN_OWN_LIMIT: f64 = 2.0;
 /// A crowded number is left alone for this long after it was busy (µs).
-const NUMBER_HOLD: Micros = 3_000_000;
+const CONGESTED_NUMBER_TIME: Micros = 3_000_000;
 /// Crowded numbers remembered.
-const NUMBERS_CAP: usize = 64;
+const MAX_CONGESTED_NUMBERS: usize = 64;
 
 impl Controller {
     pub(super) fn on_stands(&mut self, now: Micros, id: CallId, office: ExchangeId, took: Micros) {
-        let (target, widest) = (TARGET * self.mean_aim, self.widest(now));
+        let (target, widest) = (TARGET_DELAY_SHARE * self.mean_aim, self.widest(now));
         let took = if now == self.woke { (took - self.stood_still).max(0) } else { took };
-        let quick = took as f64 <= PHI * FULL_WAIT * self.shortest_aim as f64;
+        let quick = took as f64 <= ACCEPT_LOAD * FULL_LOAD_WAIT * self.shortest_aim as f64;
         if let Some(&i) = self.by_id.get(&office) {
             let o = &mut self.offices[i];
             o.heard = now;
             self.heard = now;
             self.recent.push_back((now, took));
-            self.recent.drain(..self.recent.len().saturating_sub(RECENT));
+            self.recent.drain(..self.recent.len().saturating_sub(RECENT_SETUP_TIMES));
             o.stood_sent = o.stood_sent.max(now - took);
             o.last_took = took;
-            o.faults -= FAULTS_SMOOTH * o.faults;
-            o.losses -= LOSSES_SMOOTH * o.losses;
+            o.faults -= FAULT_RATE_SMOOTHING * o.faults;
+            o.losses -= LOSS_RATE_SMOOTHING * o.losses;
             self.stood_sent = self.stood_sent.max(now - took);
             // One that stands at once when sent again was lost before; one that stands late was slow.
-            let late = took as f64 > OVERTAKEN * self.mean_aim;
+            let late = took as f64 > OVERTAKEN_SHARE * self.mean_aim;
             if late || self.calls.get(&id).is_some_and(|c| c.ran) {
-                self.lost += LUCK_SMOOTH * (f64::from(u8::from(!late)) - self.lost);
+                self.lost += RATE_SMOOTHING * (f64::from(u8::from(!late)) - self.lost);
             }
             o.gate.stood(now, took, took as f64, target, (1.0, widest));
-            self.own_gate.stood(now, took, self.own_delay(now), target, (OWN_LEAST, widest));
+            self.own_gate.stood(now, took, self.own_delay(now), target, (MIN_OWN_LIMIT, widest));
             let to = self.calls.get(&id).map(|c| c.ask.destination);
             let beyond = to.filter(|&to| to != self.offices[i].exchange);
             if quick || beyond.is_none() {
@@ -58,20 +58,20 @@
             self.heard = now;
         }
         // Danger: callers who wait for less than a set-up takes would have each office shut in turn.
-        let waited = o.elapsed as f64 > SILENCE * self.mean_aim;
+        let waited = o.elapsed as f64 > UNRESPONSIVE_SHARE * self.mean_aim;
         if o.ending == Ending::TimedOut && waited {
-            self.lost += LUCK_SMOOTH * (1.0 - self.lost);
+            self.lost += RATE_SMOOTHING * (1.0 - self.lost);
         }
         let overtaken = office.stood_sent > now - o.elapsed;
         if overtaken && (o.ending == Ending::Cancelled || o.ending == Ending::TimedOut && waited) {
-            office.losses += LOSSES_SMOOTH * (1.0 - office.losses);
+            office.losses += LOSS_RATE_SMOOTHING * (1.0 - office.losses);
         }
         match (o.ending, o.cause) {
             (Ending::Full, Cause::TurnedBack) => {
                 // One turned back for its destination's faults tells nothing of the way.
                 let faults =
                     |d: &ExchangeNumber| self.by_exchange.get(d).map_or(0.0, |&f| self.offices[f].faults);
-                if let Some(d) = destination.filter(|d| faults(d) < FAULTS_LEAST) {
+                if let Some(d) = destination.filter(|d| faults(d) < RETRY_FAULT_RATE_MIN) {
                     self.note_turn(now, d, i, false);
                 }
             }
@@ -81,17 +81,17 @@
                 }
             }
             (Ending::Full, Cause::ProcessorFull(wait)) => {
-                office.shut(now, wait.unwrap_or(0).min(MARK));
+                office.shut(now, wait.unwrap_or(0).min(MAX_OPEN_TIME));
             }
             (Ending::Cancelled, _) => office.last_took = o.elapsed,
             // Danger: an answer was lost, but the office works: it answered what was sent later.
             (Ending::TimedOut, _) if !waited || overtaken || office.by_chance(office.out.len() + 1) => {}
             (Ending::Unreachable | Ending::TimedOut, _) => office.shut(now, 0),
-            (Ending::Fault, Cause::None) => office.faults += FAULTS_SMOOTH * (1.0 - office.faults),
+            (Ending::Fault, Cause::None) => office.faults += FAULT_RATE_SMOOTHING * (1.0 - office.faults),
             (_, Cause::LinesBusy) => {
                 let number = self.calls.get(&o.call).and_then(|c| c.ask.number);
-                if let Some(n) = number.filter(|_| self.numbers.len() < NUMBERS_CAP) {
-                    self.numbers.insert(n, now + NUMBER_HOLD);
+                if let Some(n) = number.filter(|_| self.numbers.len() < MAX_CONGESTED_NUMBERS) {
+                    self.numbers.insert(n, now + CONGESTED_NUMBER_TIME);
                 }
             }
             _ => {}
@@ -99,14 +99,14 @@
     }
 
     pub(super) fn note_report(&mut self, now: Micros, i: usize, r: LoadReport) {
-        let full = FULL_WAIT * self.shortest_aim as f64;
+        let full = FULL_LOAD_WAIT * self.shortest_aim as f64;
         let o = &mut self.offices[i];
         if let (Some(free), Some(size)) = (r.free, r.size) {
             o.group = Some((free, size));
         }
         if r.wait.is_some() || r.busy.is_some() || r.reduction.is_some() {
             let load = r.wait.map_or(0.0, |w| w as f64 / full).max(r.busy.unwrap_or(0.0));
-            o.note_pressed(now, load >= PHI || r.reduction.is_some_and(|c| c > 0.0));
+            o.note_pressed(now, load >= ACCEPT_LOAD || r.reduction.is_some_and(|c| c > 0.0));
         }
     }
 
--- a/src/routing/control/own_state.rs
+++ b/src/routing/control/own_state.rs
@@ -3,16 +3,16 @@
 use super::*;
 
 /// Set-up delays older than this tell nothing of the own wait (µs).
-const DELAY_STALE: Micros = 3_000_000;
+const MAX_SETUP_TIME_AGE: Micros = 3_000_000;
 /// The own processor is not what is silent if another office answered within this (µs).
-const OWN_ALIVE: Micros = 1_000_000;
+const RECENT_ANSWER_TIME: Micros = 1_000_000;
 
 impl Controller {
     /// Own wait, seen as the lower quartile of the last set-up delays, since own slowness is part of each; or
     /// the time that set-ups have been out with no answer at all, since a jam has no answers to tell of it.
     pub fn own_delay(&self, now: Micros) -> f64 {
-        let mut delays = [0; RECENT];
-        let fresh = self.recent.iter().filter(|r| now - r.0 < DELAY_STALE);
+        let mut delays = [0; RECENT_SETUP_TIMES];
+        let fresh = self.recent.iter().filter(|r| now - r.0 < MAX_SETUP_TIME_AGE);
         let n = delays.iter_mut().zip(fresh).map(|(d, r)| *d = r.1).count();
         delays[..n].sort_unstable();
         let usual = delays[n / 4];
@@ -23,9 +23,10 @@
     /// Set-ups out that the own processor may be holding up: not those toward an office that is silent while
     /// others answer. Danger: a hung office or a cut zone fills the own window and stops every call.
     pub(super) fn own_out(&self, now: Micros) -> usize {
-        let alive = now - self.heard < OWN_ALIVE;
-        let silent =
-            |o: &ExchangeState| o.gate.suspect() || o.silent(now, self.woke, SILENCE * self.mean_aim);
+        let alive = now - self.heard < RECENT_ANSWER_TIME;
+        let silent = |o: &ExchangeState| {
+            o.gate.suspect() || o.silent(now, self.woke, UNRESPONSIVE_SHARE * self.mean_aim)
+        };
         let counted = self.busy.iter().map(|&i| &self.offices[i]).filter(|o| !alive || !silent(o));
         counted.map(|o| o.waiting(now, self.mean_aim)).sum()
     }
--- a/src/routing/control/peers.rs
+++ b/src/routing/control/peers.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// First byte of a message that tells of groups.
-const TELL_GROUPS: u8 = 1;
+const GROUPS_MESSAGE: u8 = 1;
 
 impl Controller {
     /// Tells the peers which exchanges this one has groups with, where some have none. Danger: a call by a
@@ -11,7 +11,7 @@
     /// message: without it tandems are tried in turn.
     pub(super) fn tell_groups(&self, out: &mut Vec<Action>) {
         let Some(own) = self.settings.own_exchange else { return };
-        let mut body = vec![TELL_GROUPS];
+        let mut body = vec![GROUPS_MESSAGE];
         body.extend(own.0.to_be_bytes());
         let mut lacking = false;
         for o in self.offices.iter().filter(|o| o.state != ListState::Gone && o.exchange != own) {
@@ -27,7 +27,7 @@
     }
 
     pub(super) fn on_peer(&mut self, from: PeerNumber, body: &[u8]) {
-        if let [TELL_GROUPS, high, low, links @ ..] = body {
+        if let [GROUPS_MESSAGE, high, low, links @ ..] = body {
             let named = ExchangeNumber(u16::from_be_bytes([*high, *low]));
             // Danger: one peer could speak for another's exchange.
             let bound = *self.voices.entry(from).or_insert(named) == named
--- a/src/routing/control/retry.rs
+++ b/src/routing/control/retry.rs
@@ -4,7 +4,7 @@
 use crate::planted::{planted, Planted};
 
 /// Set-ups that any later one overtook are called off while this share of those out long is lost, not slow.
-const LOST_LEAST: f64 = 0.6;
+const MIN_OVERDUE_LOSS_RATE: f64 = 0.6;
 
 impl Controller {
     pub(super) fn on_ended(&mut self, now: Micros, o: Outcome, out: &mut Vec<Action>) {
@@ -39,11 +39,11 @@
             (Ending::Full, _) => !direct || self.settings.topology == Topology::Pools,
             // Danger: an exchange that fails part of its set-ups at once would have each of them refused, and
             // its caller dial again only after a wait.
-            (Ending::Fault, _) => (FAULTS_LEAST..FAULTS_MOST).contains(&faults),
+            (Ending::Fault, _) => (RETRY_FAULT_RATE_MIN..RETRY_FAULT_RATE_MAX).contains(&faults),
             _ => unclear,
         };
-        let hold = call.arrived + (HOLD_SHARE * aim as f64) as Micros;
-        let until = hold.max(now + release + 1).min(call.deadline - ANSWER_EARLY);
+        let hold = call.arrived + (QUEUE_TIME_SHARE * aim as f64) as Micros;
+        let until = hold.max(now + release + 1).min(call.deadline - ANSWER_MARGIN);
         if again && now + release < until.max(now + 1) && !(call.ask.transit && release > 0) {
             call.stage = Stage::Held { from: now + release, until };
             if o.ending == Ending::NotSent {
@@ -61,10 +61,10 @@
     /// long overtaken is called off, and goes again after the release: later ones to the same office, or to
     /// any if the last one here was quick, and of late those out so long were lost rather than slow.
     pub(super) fn call_off_lost(&self, now: Micros, out: &mut Vec<Action>) {
-        let patience = (OVERTAKEN * self.mean_aim) as Micros;
+        let patience = (OVERTAKEN_SHARE * self.mean_aim) as Micros;
         let busy = self.busy.iter().map(|&i| &self.offices[i]);
         for o in busy.filter(|_| self.settings.may_cancel && now - self.woke > patience) {
-            let any = o.last_took < patience / 2 && self.lost >= LOST_LEAST;
+            let any = o.last_took < patience / 2 && self.lost >= MIN_OVERDUE_LOSS_RATE;
             let newest = if any { self.stood_sent } else { o.stood_sent };
             let lost = |s: &&(Micros, CallId)| now - s.0 > patience && newest - s.0 > patience / 2;
             for call in o.out.iter().take_while(lost).filter_map(|s| self.calls.get(&s.1)) {
--- a/src/routing/control/route.rs
+++ b/src/routing/control/route.rs
@@ -4,12 +4,12 @@
 use crate::planted::{planted, Planted};
 
 /// Plain turns alone decide while this share of them goes through; 0.35 and 0.6 both scored lower.
-const LUCK_LEAST: f64 = 0.5;
+const MIN_UNTESTED_SUCCESS_RATE: f64 = 0.5;
 /// From this share on an office is a tandem only where no other one serves.
-const FAULTS_TANDEM: f64 = 0.25;
+const MAX_TANDEM_FAULT_RATE: f64 = 0.25;
 /// The same for the own wait, from which on transit is turned back: later than a tandem is passed over, since
 /// what two processors did for the call is then lost.
-const OWN_FULL: f64 = 0.8;
+const OWN_FULL_SHARE: f64 = 0.8;
 
 /// Where a call goes now.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -47,8 +47,8 @@
         let open = !own && self.takes_setups(now, direct);
         let d = &self.offices[direct];
         if ask.transit {
-            let room = d.group.is_none_or(|g| g.0 >= width && 1.0 - g.0 / g.1.max(1.0) <= PHI);
-            let pressed = self.own_delay(now) > PHI * OWN_FULL * self.shortest_aim as f64;
+            let room = d.group.is_none_or(|g| g.0 >= width && 1.0 - g.0 / g.1.max(1.0) <= ACCEPT_LOAD);
+            let pressed = self.own_delay(now) > ACCEPT_LOAD * OWN_FULL_SHARE * self.shortest_aim as f64;
             return if open && room && !pressed { Route::Via(direct) } else { Route::Closed };
         }
         // Danger: redials, past their aim, fill the window before first tries.
@@ -59,7 +59,9 @@
         let room = open && d.free() >= width + if ask.redialled { d.headroom() } else { 0.0 };
         // Danger: where most set-ups meet a fault, a call has too few tries. The last one goes over a tandem,
         // whose call server asks as often again.
-        let last = call.tries + 1 == self.settings.max_attempts && d.faults >= FAULTS_LEAST && !ask.redialled;
+        let last = call.tries + 1 == self.settings.max_attempts
+            && d.faults >= RETRY_FAULT_RATE_MIN
+            && !ask.redialled;
         if room && !last {
             return Route::Via(direct);
         }
@@ -68,9 +70,9 @@
         }
         let turn = self.rotor % self.offices.len();
         let mut plain = (turn..self.offices.len()).chain(0..turn);
-        let found = if self.luck >= LUCK_LEAST {
+        let found = if self.luck >= MIN_UNTESTED_SUCCESS_RATE {
             let trusted =
-                |o: &ExchangeState| o.faults < FAULTS_TANDEM && !self.suspected.contains(&o.exchange);
+                |o: &ExchangeState| o.faults < MAX_TANDEM_FAULT_RATE && !self.suspected.contains(&o.exchange);
             let sound = |&i: &usize| trusted(&self.offices[i]) && self.serves(now, i, call);
             let any = plain.clone();
             plain.find(sound).or_else(|| any.into_iter().find(|&i| !last && self.serves(now, i, call)))
@@ -80,7 +82,8 @@
             let to = ask.destination;
             let (on, before) =
                 (self.ways.range((to, turn)..=(to, usize::MAX)), self.ways.range((to, 0)..(to, turn)));
-            let mut known = on.chain(before).filter(|w| now - w.1.open < WAY_OPEN).map(|w| w.0 .1).peekable();
+            let mut known =
+                on.chain(before).filter(|w| now - w.1.open < PATH_OPEN_TIME).map(|w| w.0 .1).peekable();
             if known.peek().is_none() && call.tried.is_empty() {
                 plain.find(|&i| self.serves(now, i, call))
             } else {
@@ -116,7 +119,7 @@
     pub(super) fn least_free(&self, ask: &NewCall, size: f64) -> f64 {
         let width = f64::from(ask.circuits);
         let back = Some(ask.destination) == self.settings.own_exchange;
-        width + if back { width + (1.0 - PHI) * size } else { 0.0 }
+        width + if back { width + (1.0 - ACCEPT_LOAD) * size } else { 0.0 }
     }
 
     /// Whether the class may go to that pool (always, between exchanges).
--- a/src/routing/control/slow_start.rs
+++ b/src/routing/control/slow_start.rs
@@ -4,7 +4,7 @@
 
 /// Set-ups to a cold office as a multiple of (what pushes over x cold share x own usual rate for an office):
 /// about half of what all senders may send, since a warm processor can do some 2.5 times the usual rate.
-const COLD_USE: f64 = 1.25;
+const COLD_START_USE: f64 = 1.25;
 
 impl Controller {
     /// Set-ups that a cold office may be sent by now, less one: below 0 none; `None` once it is warm.
@@ -12,7 +12,7 @@
     /// that the processor can surely do: one at once from each would be too many where senders are many.
     pub(super) fn cold_credit(&self, now: Micros, o: &ExchangeState) -> Option<f64> {
         let (since, owed) = o.cold_wait;
-        let share = self.cold_share(now, o)? * self.settings.overload_factor * COLD_USE;
+        let share = self.cold_share(now, o)? * self.settings.overload_factor * COLD_START_USE;
         Some((now - since) as f64 * self.usual_rate(now) * share - owed)
     }
 
--- a/src/routing/control/tandem.rs
+++ b/src/routing/control/tandem.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// How long a way (tandem, destination) that turned a call back is passed over (µs).
-const WAY_BACK: Micros = 6_000_000;
+const TURNED_BACK_TIME: Micros = 6_000_000;
 
 /// What is known of a way: from a tandem on to a destination, by which only the tandem's own groups matter.
 /// Danger: where many pairs have no group or a thin one, plain turns meet mostly tandems that have no way on,
@@ -19,13 +19,13 @@
 impl Controller {
     /// Notes how a call to there over that tandem went, as far as the tandem's own groups decided it.
     pub(super) fn note_turn(&mut self, now: Micros, to: ExchangeNumber, tandem: usize, stood: bool) {
-        if self.ways.get(&(to, tandem)).is_none_or(|w| now - w.open >= WAY_OPEN) {
-            self.luck += LUCK_SMOOTH * (f64::from(u8::from(stood)) - self.luck);
+        if self.ways.get(&(to, tandem)).is_none_or(|w| now - w.open >= PATH_OPEN_TIME) {
+            self.luck += RATE_SMOOTHING * (f64::from(u8::from(stood)) - self.luck);
         }
         if stood {
             self.note_open(now, to, tandem);
         } else {
-            self.ways.insert((to, tandem), Way { back: now + WAY_BACK, open: now - WAY_OPEN });
+            self.ways.insert((to, tandem), Way { back: now + TURNED_BACK_TIME, open: now - PATH_OPEN_TIME });
         }
     }
 
--- a/src/routing/control/tick.rs
+++ b/src/routing/control/tick.rs
@@ -4,22 +4,22 @@
 
 impl Controller {
     pub(super) fn on_tick(&mut self, now: Micros, out: &mut Vec<Action>) {
-        out.push(Action::SetTimer { after: TICK, token: 0 });
+        out.push(Action::SetTimer { after: TICK_INTERVAL, token: 0 });
         if self.list_due.is_some_and(|due| now >= due) {
             self.list_due = None;
             out.push(Action::Subscribe);
         }
         if self.tell_due.is_some_and(|due| now >= due) {
-            self.tell_due = Some(now + TELL_EVERY);
+            self.tell_due = Some(now + GROUP_MESSAGE_INTERVAL);
             self.tell_groups(out);
         }
-        let silence = SILENCE * self.mean_aim;
+        let silence = UNRESPONSIVE_SHARE * self.mean_aim;
         let hangs = |o: &ExchangeState| o.silent(now, self.woke, silence) && !o.by_chance(o.out.len());
         for o in self.offices.iter_mut().filter(|o| hangs(o)) {
             o.shut(now, 0);
         }
         self.call_off_lost(now, out);
-        self.ways.retain(|_, w| w.back > now || now - w.open < WAY_OPEN);
+        self.ways.retain(|_, w| w.back > now || now - w.open < PATH_OPEN_TIME);
         self.numbers.retain(|_, until| *until > now);
         self.serve_held(now, None, true, out);
     }
