--- a/src/routing/control/call.rs
+++ b/src/routing/control/call.rs
@@ -13,14 +13,14 @@
 
 #[derive(Clone, Debug)]
 pub(super) struct Call {
-    pub(super) ask: NewCall,
+    pub(super) request: NewCall,
     pub(super) arrived: Micros,
     pub(super) deadline: Micros,
     pub(super) stage: Stage,
     /// Attempts made.
-    pub(super) tries: u32,
+    pub(super) attempts: u32,
     /// Tandems that were tried.
-    pub(super) tried: Vec<usize>,
+    pub(super) tandems_tried: Vec<usize>,
     /// An attempt may have run.
-    pub(super) ran: bool,
+    pub(super) may_have_run: bool,
 }
--- a/src/routing/control/call_queue.rs
+++ b/src/routing/control/call_queue.rs
@@ -35,7 +35,15 @@
             self.note_open(now, ask.destination, i);
         }
         let ran = from > now;
-        let call = Call { ask, arrived, deadline, stage, tries: 0, tried: Vec::new(), ran };
+        let call = Call {
+            request: ask,
+            arrived,
+            deadline,
+            stage,
+            attempts: 0,
+            tandems_tried: Vec::new(),
+            may_have_run: ran,
+        };
         self.calls.insert(id, call);
         self.try_call(now, id, out);
     }
@@ -44,13 +52,13 @@
     pub(super) fn try_call(&mut self, now: Micros, id: CallId, out: &mut Vec<Action>) {
         let Some(call) = self.calls.get(&id).cloned() else { return };
         let Stage::Held { from, until } = call.stage else { return };
-        let spent = self.settings.max_attempts > 0 && call.tries >= self.settings.max_attempts;
+        let spent = self.settings.max_attempts > 0 && call.attempts >= self.settings.max_attempts;
         let route = if now < from && from >= until {
             Route::Closed
         } else if now < from {
             Route::Blocked
         } else if spent
-            || (call.ran && self.guarded(&call))
+            || (call.may_have_run && self.guarded(&call))
             || now >= call.deadline - self.settings.min_batch_interval
         {
             Route::Closed
@@ -63,7 +71,7 @@
             // the less time seems left.
             Route::Blocked
                 if now < from && self.own_delay(now) <= TARGET_DELAY_SHARE * self.mean_aim
-                    || now + (self.own_delay(now) as Micros) < until && !call.ask.transit =>
+                    || now + (self.own_delay(now) as Micros) < until && !call.request.transit =>
             {
                 self.held.insert(self.held_key(&call));
             }
@@ -72,15 +80,18 @@
     }
 
     pub(super) fn guarded(&self, call: &Call) -> bool {
-        self.settings.classes.get(call.ask.class).is_some_and(|c| c.retry_policy == RetryPolicy::AtMostOnce)
+        self.settings
+            .classes
+            .get(call.request.class)
+            .is_some_and(|c| c.retry_policy == RetryPolicy::AtMostOnce)
     }
 
     /// Dearest first by what the call can still earn, then oldest. Danger: redials, past the aim of their
     /// first try, take each freed circuit before first tries, which then come late too.
     pub(super) fn held_key(&self, call: &Call) -> (i64, Micros, CallId) {
-        let earns = |c: &Class| if call.ask.redialled { c.value * c.late_value } else { c.value };
-        let worth = self.settings.classes.get(call.ask.class).map_or(1.0, earns);
-        (-((worth * 1000.0) as i64), call.arrived, call.ask.call)
+        let earns = |c: &Class| if call.request.redialled { c.value * c.late_value } else { c.value };
+        let worth = self.settings.classes.get(call.request.class).map_or(1.0, earns);
+        (-((worth * 1000.0) as i64), call.arrived, call.request.call)
     }
 
     pub(super) fn send(&mut self, now: Micros, id: CallId, office: usize, out: &mut Vec<Action>) {
@@ -91,30 +102,30 @@
         let Some(call) = self.calls.get_mut(&id) else { return };
         let o = &mut self.offices[office];
         // Danger: a set-up lost to a dead office keeps the one place that a narrow gate has.
-        let timeout = o.gate.suspect().then_some(self.shortest_aim);
-        if o.exchange != call.ask.destination {
-            call.tried.push(office);
+        let timeout = o.concurrency.on_probation().then_some(self.shortest_aim);
+        if o.exchange != call.request.destination {
+            call.tandems_tried.push(office);
         }
-        call.tries += 1;
+        call.attempts += 1;
         call.stage = Stage::Out { office, since: now };
         if let Some(g) = &mut o.group {
-            g.0 -= f64::from(call.ask.circuits);
+            g.0 -= f64::from(call.request.circuits);
         }
-        o.out.insert((now, id));
+        o.pending.insert((now, id));
         self.busy.insert(office);
-        o.cold_wait = (now, 1.0 - spare);
+        o.cold_start_debt = (now, 1.0 - spare);
         self.sent.push_back(now);
         while self.sent.front().is_some_and(|&t| now - t >= RATE_WINDOW) {
             self.sent.pop_front();
         }
-        out.push(Action::SetUp { call: id, exchange_id: o.id, timeout });
+        out.push(Action::SetUp { call: id, exchange_id: o.exchange_id, timeout });
     }
 
     /// Ends a call that this controller still owes an answer.
     pub(super) fn refuse(&mut self, now: Micros, id: CallId, out: &mut Vec<Action>) {
         let Some(call) = self.forget(id) else { return };
         let late = now >= call.deadline - self.settings.min_batch_interval;
-        let fail = late || (call.ran && self.guarded(&call));
+        let fail = late || (call.may_have_run && self.guarded(&call));
         out.push(if fail {
             Action::Fail(id)
         } else {
@@ -134,7 +145,7 @@
 
     /// A set-up is out no more.
     pub(super) fn back_in(&mut self, office: usize, since: Micros, id: CallId) {
-        let out = &mut self.offices[office].out;
+        let out = &mut self.offices[office].pending;
         out.remove(&(since, id));
         if out.is_empty() {
             self.busy.remove(&office);
--- a/src/routing/control/concurrency_limit.rs
+++ b/src/routing/control/concurrency_limit.rs
@@ -16,34 +16,34 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct ConcurrencyLimit {
     /// Nothing before then.
-    pub(super) shut: Micros,
+    pub(super) open_until: Micros,
     /// Set-ups that may be out.
-    pub(super) width: f64,
+    pub(super) limit: f64,
     /// The next shut lasts this long.
-    pub(super) wait: Micros,
+    pub(super) next_open_time: Micros,
     /// When it was last narrowed.
-    pub(super) cut: Micros,
+    pub(super) reduced_at: Micros,
 }
 
 impl ConcurrencyLimit {
-    pub(super) const OPEN: ConcurrencyLimit =
-        ConcurrencyLimit { shut: 0, width: BASE_LIMIT, wait: MIN_OPEN_TIME, cut: 0 };
+    pub(super) const INITIAL: ConcurrencyLimit =
+        ConcurrencyLimit { open_until: 0, limit: BASE_LIMIT, next_open_time: MIN_OPEN_TIME, reduced_at: 0 };
 
-    pub(super) fn shut(&mut self, now: Micros, at_least: Micros) {
-        if now >= self.shut {
-            self.shut = now + self.wait.max(at_least);
-            self.wait = (self.wait * 2).min(MAX_OPEN_TIME);
-            self.width = 1.0;
+    pub(super) fn trip(&mut self, now: Micros, at_least: Micros) {
+        if now >= self.open_until {
+            self.open_until = now + self.next_open_time.max(at_least);
+            self.next_open_time = (self.next_open_time * 2).min(MAX_OPEN_TIME);
+            self.limit = 1.0;
         }
     }
 
     /// It was shut and nothing has stood since.
-    pub(super) fn suspect(&self) -> bool {
-        self.wait > MIN_OPEN_TIME
+    pub(super) fn on_probation(&self) -> bool {
+        self.next_open_time > MIN_OPEN_TIME
     }
 
     /// A set-up stood after `took`; `delay` is what it tells of this gate's processor.
-    pub(super) fn stood(
+    pub(super) fn on_established(
         &mut self,
         now: Micros,
         took: Micros,
@@ -51,16 +51,16 @@
         target: f64,
         (least, widest): (f64, f64),
     ) {
-        self.wait = MIN_OPEN_TIME;
+        self.next_open_time = MIN_OPEN_TIME;
         if delay <= target {
-            self.width = (self.width + LIMIT_INCREASE).min(widest);
-        } else if now - took > self.cut {
-            self.width = (self.width * LIMIT_DECREASE_FACTOR).max(least);
-            self.cut = now;
+            self.limit = (self.limit + LIMIT_INCREASE).min(widest);
+        } else if now - took > self.reduced_at {
+            self.limit = (self.limit * LIMIT_DECREASE_FACTOR).max(least);
+            self.reduced_at = now;
         }
     }
 
-    pub(super) fn lets_in(&self, now: Micros, out: usize) -> bool {
-        now >= self.shut && (out as f64) < self.width
+    pub(super) fn admits(&self, now: Micros, out: usize) -> bool {
+        now >= self.open_until && (out as f64) < self.limit
     }
 }
--- a/src/routing/control/exchange_state.rs
+++ b/src/routing/control/exchange_state.rs
@@ -16,7 +16,7 @@
 /// What this exchange knows of another. Moments start at 0, the beginning of the clock.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ExchangeState {
-    pub(super) id: ExchangeId,
+    pub(super) exchange_id: ExchangeId,
     pub(super) exchange: ExchangeNumber,
     pub(super) state: ListState,
     /// Start of the processor, while that matters.
@@ -24,69 +24,69 @@
     /// Free circuits and size of the group, less own sends since the last figure.
     pub(super) group: Option<(f64, f64)>,
     /// As a tandem not accepting until then.
-    pub(super) pressed: Micros,
+    pub(super) overloaded_until: Micros,
     /// Set-ups out: when sent, call.
-    pub(super) out: BTreeSet<(Micros, CallId)>,
+    pub(super) pending: BTreeSet<(Micros, CallId)>,
     /// Last sign of life.
-    pub(super) heard: Micros,
+    pub(super) last_heard: Micros,
     /// When the latest set-up that stood was sent.
-    pub(super) stood_sent: Micros,
+    pub(super) last_established_sent: Micros,
     /// How long the last set-up took that stood or was called off.
-    pub(super) last_took: Micros,
+    pub(super) last_setup_time: Micros,
     /// Share of its set-ups that ended in a signalling fault, smoothed.
-    pub(super) faults: f64,
+    pub(super) fault_rate: f64,
     /// Share of them that was never answered while later ones were, smoothed.
-    pub(super) losses: f64,
-    pub(super) gate: ConcurrencyLimit,
+    pub(super) loss_rate: f64,
+    pub(super) concurrency: ConcurrencyLimit,
     /// While it is cold: since when set-ups are earned, and how much of one was owed then: a random part at
     /// its start, so that senders do not come in step.
-    pub(super) cold_wait: (Micros, f64),
+    pub(super) cold_start_debt: (Micros, f64),
     /// One bit for each exchange that it said to have a group with; empty if it did not say.
-    pub(super) links: Vec<u8>,
+    pub(super) group_bitmap: Vec<u8>,
 }
 
 impl ExchangeState {
     pub(super) fn new(e: &ListEntry, now: Micros) -> Self {
-        let (gate, earned) = (ConcurrencyLimit::OPEN, (now, 1.0));
+        let (gate, earned) = (ConcurrencyLimit::INITIAL, (now, 1.0));
         let known = ExchangeState {
-            id: e.exchange_id,
+            exchange_id: e.exchange_id,
             exchange: e.exchange,
             state: e.state,
             ..ExchangeState::default()
         };
         ExchangeState {
             started: e.last_start,
-            heard: now,
-            last_took: Micros::MAX,
-            gate,
-            cold_wait: earned,
+            last_heard: now,
+            last_setup_time: Micros::MAX,
+            concurrency: gate,
+            cold_start_debt: earned,
             ..known
         }
     }
 
     /// Nothing heard since the oldest set-up out was sent, `span` ago or more, nor since this one `woke`.
-    pub(super) fn silent(&self, now: Micros, woke: Micros, span: f64) -> bool {
-        self.out.first().is_some_and(|o| (now - o.0.max(woke)) as f64 > span && self.heard <= o.0)
+    pub(super) fn unresponsive(&self, now: Micros, woke: Micros, span: f64) -> bool {
+        self.pending.first().is_some_and(|o| (now - o.0.max(woke)) as f64 > span && self.last_heard <= o.0)
     }
 
     /// Whether it may well answer, though so many set-ups are unanswered.
-    pub(super) fn by_chance(&self, unanswered: usize) -> bool {
-        self.losses.powf(unanswered as f64) >= MIN_LOSS_CHANCE
+    pub(super) fn explained_by_loss(&self, unanswered: usize) -> bool {
+        self.loss_rate.powf(unanswered as f64) >= MIN_LOSS_CHANCE
     }
 
     /// Set-ups out for less than `span`. Danger: older ones are lost or hopeless, and a few lost ones would
     /// fill a window for as long as their callers wait.
-    pub(super) fn waiting(&self, now: Micros, span: f64) -> usize {
-        self.out.iter().rev().take_while(|o| (now - o.0) as f64 <= span).count()
+    pub(super) fn pending_since(&self, now: Micros, span: f64) -> usize {
+        self.pending.iter().rev().take_while(|o| (now - o.0) as f64 <= span).count()
     }
 
-    pub(super) fn free(&self) -> f64 {
+    pub(super) fn free_circuits(&self) -> f64 {
         self.group.map_or(f64::INFINITY, |g| g.0)
     }
 
     /// Whether it may have a group with that exchange.
-    pub(super) fn leads_to(&self, to: ExchangeNumber) -> bool {
-        self.links.get(usize::from(to.0 / 8)).is_none_or(|bits| bits & (1 << (to.0 % 8)) != 0)
+    pub(super) fn may_reach(&self, to: ExchangeNumber) -> bool {
+        self.group_bitmap.get(usize::from(to.0 / 8)).is_none_or(|bits| bits & (1 << (to.0 % 8)) != 0)
     }
 
     pub(super) fn headroom(&self) -> f64 {
@@ -95,20 +95,20 @@
 
     /// How long the oldest set-up has been out. Danger: answers alone are blind to a jam, since the late ones
     /// have not come yet.
-    pub(super) fn age(&self, now: Micros) -> f64 {
-        self.out.first().map_or(0.0, |o| (now - o.0) as f64)
+    pub(super) fn oldest_pending_age(&self, now: Micros) -> f64 {
+        self.pending.first().map_or(0.0, |o| (now - o.0) as f64)
     }
 
     /// Notes whether its processor seems pressed. Danger: with news of it once in several seconds, a slow
     /// tandem would be back in turn before the next; so bad news lasts longer than good news takes to come
     /// where there is traffic, and the first good news ends it.
-    pub(super) fn note_pressed(&mut self, now: Micros, pressed: bool) {
-        self.pressed = if pressed { now + OVERLOAD_TIME } else { now };
+    pub(super) fn note_overload(&mut self, now: Micros, pressed: bool) {
+        self.overloaded_until = if pressed { now + OVERLOAD_TIME } else { now };
     }
 
     /// It failed: nothing for a while, and no tandem for longer.
-    pub(super) fn shut(&mut self, now: Micros, at_least: Micros) {
-        self.gate.shut(now, at_least);
-        self.note_pressed(now, true);
+    pub(super) fn trip(&mut self, now: Micros, at_least: Micros) {
+        self.concurrency.trip(now, at_least);
+        self.note_overload(now, true);
     }
 }
--- a/src/routing/control/load.rs
+++ b/src/routing/control/load.rs
@@ -8,10 +8,10 @@
         let o = &self.offices[i];
         // Danger: a suspicion may be wrong, and only an answer shows it: one set-up at a time goes on.
         let most = if self.suspected.contains(&o.exchange) { 0 } else { usize::MAX };
-        let waiting = o.waiting(now, self.mean_aim);
+        let waiting = o.pending_since(now, self.mean_aim);
         o.state == ListState::Ready
             && waiting <= most
-            && o.gate.lets_in(now, waiting)
+            && o.concurrency.admits(now, waiting)
             && self.cold_credit(now, o).is_none_or(|c| c >= 0.0)
     }
 
@@ -37,6 +37,7 @@
 
     /// The design's "accepting": not pressed by the last news of its processor, nor by a set-up out long.
     pub(super) fn accepting(&self, now: Micros, o: &ExchangeState) -> bool {
-        now >= o.pressed && o.age(now) <= ACCEPT_LOAD * FULL_LOAD_WAIT * self.shortest_aim as f64
+        now >= o.overloaded_until
+            && o.oldest_pending_age(now) <= ACCEPT_LOAD * FULL_LOAD_WAIT * self.shortest_aim as f64
     }
 }
--- a/src/routing/control/membership.rs
+++ b/src/routing/control/membership.rs
@@ -21,7 +21,7 @@
         if complete {
             let named: BTreeSet<ExchangeId> = entries.iter().map(|e| e.exchange_id).collect();
             for o in &mut self.offices {
-                if !named.contains(&o.id) {
+                if !named.contains(&o.exchange_id) {
                     o.state = ListState::Gone;
                 }
             }
@@ -42,14 +42,14 @@
         let known = self.by_id.get(&e.exchange_id).copied();
         let i = known.unwrap_or_else(|| {
             // Danger: replaced machines would fill the table for good; one that is gone gives up its place.
-            let gone = self.offices.iter().position(|o| o.state == ListState::Gone && o.out.is_empty());
+            let gone = self.offices.iter().position(|o| o.state == ListState::Gone && o.pending.is_empty());
             let i = gone.unwrap_or(self.offices.len());
             let mut office = ExchangeState::new(e, now);
             // One that was not there before may be fresh from start.
             office.started = e.last_start.or(self.listed.then_some(now));
-            office.cold_wait.1 = part;
+            office.cold_start_debt.1 = part;
             if gone.is_some() {
-                self.by_id.remove(&self.offices[i].id);
+                self.by_id.remove(&self.offices[i].exchange_id);
                 self.ways.retain(|way, _| way.1 != i);
                 self.offices[i] = office;
             } else {
@@ -64,9 +64,9 @@
         if e.last_start.is_some() && e.last_start != o.started {
             // Restarted: what was known of the old processor is void.
             o.started = e.last_start;
-            o.cold_wait = (now, part);
-            o.gate = ConcurrencyLimit { width: 1.0, ..ConcurrencyLimit::OPEN };
-            o.pressed = now;
+            o.cold_start_debt = (now, part);
+            o.concurrency = ConcurrencyLimit { limit: 1.0, ..ConcurrencyLimit::INITIAL };
+            o.overloaded_until = now;
         }
     }
 }
--- a/src/routing/control/mod.rs
+++ b/src/routing/control/mod.rs
@@ -24,7 +24,7 @@
 use exchange_state::ExchangeState;
 use route::Route;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use tandem::Way;
+use tandem::TandemPath;
 
 /// Load (share of a full processor) below which a tandem accepts and a processor passes transit on: the
 /// design page's phi.
@@ -87,7 +87,7 @@
     /// Share of the set-ups out long that were lost rather than slow, smoothed.
     lost: f64,
     /// Ways to each destination, by tandem.
-    ways: BTreeMap<(ExchangeNumber, usize), Way>,
+    ways: BTreeMap<(ExchangeNumber, usize), TandemPath>,
     numbers: BTreeMap<u64, Micros>,
     /// Own set-ups of the last while.
     sent: VecDeque<Micros>,
@@ -129,7 +129,7 @@
         Controller {
             shortest_aim: aims.clone().min().unwrap_or(1_000_000).max(1),
             mean_aim: aims.sum::<Micros>() as f64 / settings.classes.len().max(1) as f64,
-            own_gate: ConcurrencyLimit::OPEN,
+            own_gate: ConcurrencyLimit::INITIAL,
             rotor: (seed >> 32) as usize,
             luck: 1.0,
             lost: 0.5,
@@ -156,7 +156,7 @@
         self.last = now;
         // Danger: what is tried again on every event costs more the more offices there are. Held calls wait
         // for a circuit (the group changes) or a place of the own window; the rest shows on a tick.
-        let full = !self.own_gate.lets_in(now, self.own_out(now));
+        let full = !self.own_gate.admits(now, self.own_out(now));
         let freed = full && matches!(event, Event::Established { .. } | Event::Ended(_));
         match event {
             Event::List(news) => self.on_list(now, news),
--- a/src/routing/control/outcome.rs
+++ b/src/routing/control/outcome.rs
@@ -21,26 +21,26 @@
         let quick = took as f64 <= ACCEPT_LOAD * FULL_LOAD_WAIT * self.shortest_aim as f64;
         if let Some(&i) = self.by_id.get(&office) {
             let o = &mut self.offices[i];
-            o.heard = now;
+            o.last_heard = now;
             self.heard = now;
             self.recent.push_back((now, took));
             self.recent.drain(..self.recent.len().saturating_sub(RECENT_SETUP_TIMES));
-            o.stood_sent = o.stood_sent.max(now - took);
-            o.last_took = took;
-            o.faults -= FAULT_RATE_SMOOTHING * o.faults;
-            o.losses -= LOSS_RATE_SMOOTHING * o.losses;
+            o.last_established_sent = o.last_established_sent.max(now - took);
+            o.last_setup_time = took;
+            o.fault_rate -= FAULT_RATE_SMOOTHING * o.fault_rate;
+            o.loss_rate -= LOSS_RATE_SMOOTHING * o.loss_rate;
             self.stood_sent = self.stood_sent.max(now - took);
             // One that stands at once when sent again was lost before; one that stands late was slow.
             let late = took as f64 > OVERTAKEN_SHARE * self.mean_aim;
-            if late || self.calls.get(&id).is_some_and(|c| c.ran) {
+            if late || self.calls.get(&id).is_some_and(|c| c.may_have_run) {
                 self.lost += RATE_SMOOTHING * (f64::from(u8::from(!late)) - self.lost);
             }
-            o.gate.stood(now, took, took as f64, target, (1.0, widest));
-            self.own_gate.stood(now, took, self.own_delay(now), target, (MIN_OWN_LIMIT, widest));
-            let to = self.calls.get(&id).map(|c| c.ask.destination);
+            o.concurrency.on_established(now, took, took as f64, target, (1.0, widest));
+            self.own_gate.on_established(now, took, self.own_delay(now), target, (MIN_OWN_LIMIT, widest));
+            let to = self.calls.get(&id).map(|c| c.request.destination);
             let beyond = to.filter(|&to| to != self.offices[i].exchange);
             if quick || beyond.is_none() {
-                self.offices[i].note_pressed(now, !quick);
+                self.offices[i].note_overload(now, !quick);
             }
             if let Some(to) = beyond {
                 self.note_turn(now, to, i, true);
@@ -51,10 +51,10 @@
 
     /// What an outcome tells of the office it came from.
     pub(super) fn judge(&mut self, now: Micros, i: usize, o: &Outcome) {
-        let destination = self.calls.get(&o.call).map(|c| c.ask.destination);
+        let destination = self.calls.get(&o.call).map(|c| c.request.destination);
         let office = &mut self.offices[i];
         if !matches!(o.ending, Ending::TimedOut | Ending::Unreachable | Ending::NotSent | Ending::Cancelled) {
-            office.heard = now;
+            office.last_heard = now;
             self.heard = now;
         }
         // Danger: callers who wait for less than a set-up takes would have each office shut in turn.
@@ -62,34 +62,37 @@
         if o.ending == Ending::TimedOut && waited {
             self.lost += RATE_SMOOTHING * (1.0 - self.lost);
         }
-        let overtaken = office.stood_sent > now - o.elapsed;
+        let overtaken = office.last_established_sent > now - o.elapsed;
         if overtaken && (o.ending == Ending::Cancelled || o.ending == Ending::TimedOut && waited) {
-            office.losses += LOSS_RATE_SMOOTHING * (1.0 - office.losses);
+            office.loss_rate += LOSS_RATE_SMOOTHING * (1.0 - office.loss_rate);
         }
         match (o.ending, o.cause) {
             (Ending::Full, Cause::TurnedBack) => {
                 // One turned back for its destination's faults tells nothing of the way.
                 let faults =
-                    |d: &ExchangeNumber| self.by_exchange.get(d).map_or(0.0, |&f| self.offices[f].faults);
+                    |d: &ExchangeNumber| self.by_exchange.get(d).map_or(0.0, |&f| self.offices[f].fault_rate);
                 if let Some(d) = destination.filter(|d| faults(d) < RETRY_FAULT_RATE_MIN) {
                     self.note_turn(now, d, i, false);
                 }
             }
             (Ending::Full, Cause::FarProcessorFull) => {
                 if let Some(&f) = destination.and_then(|d| self.by_exchange.get(&d)) {
-                    self.offices[f].shut(now, 0);
+                    self.offices[f].trip(now, 0);
                 }
             }
             (Ending::Full, Cause::ProcessorFull(wait)) => {
-                office.shut(now, wait.unwrap_or(0).min(MAX_OPEN_TIME));
+                office.trip(now, wait.unwrap_or(0).min(MAX_OPEN_TIME));
             }
-            (Ending::Cancelled, _) => office.last_took = o.elapsed,
+            (Ending::Cancelled, _) => office.last_setup_time = o.elapsed,
             // Danger: an answer was lost, but the office works: it answered what was sent later.
-            (Ending::TimedOut, _) if !waited || overtaken || office.by_chance(office.out.len() + 1) => {}
-            (Ending::Unreachable | Ending::TimedOut, _) => office.shut(now, 0),
-            (Ending::Fault, Cause::None) => office.faults += FAULT_RATE_SMOOTHING * (1.0 - office.faults),
+            (Ending::TimedOut, _)
+                if !waited || overtaken || office.explained_by_loss(office.pending.len() + 1) => {}
+            (Ending::Unreachable | Ending::TimedOut, _) => office.trip(now, 0),
+            (Ending::Fault, Cause::None) => {
+                office.fault_rate += FAULT_RATE_SMOOTHING * (1.0 - office.fault_rate)
+            }
             (_, Cause::LinesBusy) => {
-                let number = self.calls.get(&o.call).and_then(|c| c.ask.number);
+                let number = self.calls.get(&o.call).and_then(|c| c.request.number);
                 if let Some(n) = number.filter(|_| self.numbers.len() < MAX_CONGESTED_NUMBERS) {
                     self.numbers.insert(n, now + CONGESTED_NUMBER_TIME);
                 }
@@ -106,7 +109,7 @@
         }
         if r.wait.is_some() || r.busy.is_some() || r.reduction.is_some() {
             let load = r.wait.map_or(0.0, |w| w as f64 / full).max(r.busy.unwrap_or(0.0));
-            o.note_pressed(now, load >= ACCEPT_LOAD || r.reduction.is_some_and(|c| c > 0.0));
+            o.note_overload(now, load >= ACCEPT_LOAD || r.reduction.is_some_and(|c| c > 0.0));
         }
     }
 
@@ -122,7 +125,7 @@
             return;
         }
         let to = toward.map(|i| self.offices[i].exchange);
-        let wanted = |c: &Call| to.is_none_or(|to| c.ask.destination == to);
+        let wanted = |c: &Call| to.is_none_or(|to| c.request.destination == to);
         let waiting = self.held.iter().map(|h| h.2).filter(|id| self.calls.get(id).is_some_and(wanted));
         for id in waiting.collect::<Vec<_>>() {
             self.try_call(now, id, out);
--- a/src/routing/control/own_state.rs
+++ b/src/routing/control/own_state.rs
@@ -16,7 +16,7 @@
         let n = delays.iter_mut().zip(fresh).map(|(d, r)| *d = r.1).count();
         delays[..n].sort_unstable();
         let usual = delays[n / 4];
-        let oldest = self.busy.iter().filter_map(|&i| self.offices[i].out.first()).map(|o| o.0).min();
+        let oldest = self.busy.iter().filter_map(|&i| self.offices[i].pending.first()).map(|o| o.0).min();
         usual.max(oldest.map_or(0, |sent| now - sent.max(self.heard).max(self.woke))) as f64
     }
 
@@ -25,9 +25,9 @@
     pub(super) fn own_out(&self, now: Micros) -> usize {
         let alive = now - self.heard < RECENT_ANSWER_TIME;
         let silent = |o: &ExchangeState| {
-            o.gate.suspect() || o.silent(now, self.woke, UNRESPONSIVE_SHARE * self.mean_aim)
+            o.concurrency.on_probation() || o.unresponsive(now, self.woke, UNRESPONSIVE_SHARE * self.mean_aim)
         };
         let counted = self.busy.iter().map(|&i| &self.offices[i]).filter(|o| !alive || !silent(o));
-        counted.map(|o| o.waiting(now, self.mean_aim)).sum()
+        counted.map(|o| o.pending_since(now, self.mean_aim)).sum()
     }
 }
--- a/src/routing/control/peers.rs
+++ b/src/routing/control/peers.rs
@@ -33,7 +33,7 @@
             let bound = *self.voices.entry(from).or_insert(named) == named
                 && !self.voices.iter().any(|(p, e)| *p != from && *e == named);
             if let Some(&i) = self.by_exchange.get(&named).filter(|_| bound) {
-                self.offices[i].links = links.to_vec();
+                self.offices[i].group_bitmap = links.to_vec();
             }
         }
     }
--- a/src/routing/control/retry.rs
+++ b/src/routing/control/retry.rs
@@ -11,7 +11,7 @@
         if let Some(&i) = self.by_id.get(&o.exchange_id) {
             self.note_report(now, i, o.report);
         }
-        let last = self.calls.get(&o.call).filter(|c| c.tries == u32::from(o.attempt.0) + 1);
+        let last = self.calls.get(&o.call).filter(|c| c.attempts == u32::from(o.attempt.0) + 1);
         let Some(Stage::Out { office, since }) = last.map(|c| c.stage) else { return };
         self.back_in(office, since, o.call);
         self.judge(now, office, &o);
@@ -24,14 +24,14 @@
         } else {
             0
         };
-        let aim = self.calls.get(&o.call).map_or(self.shortest_aim, |c| self.aim(&c.ask));
+        let aim = self.calls.get(&o.call).map_or(self.shortest_aim, |c| self.aim(&c.request));
         let Some(call) = self.calls.get_mut(&o.call) else { return };
-        call.ran |= !matches!(o.ending, Ending::Full | Ending::Unreachable | Ending::NotSent);
-        let direct = self.offices[office].exchange == call.ask.destination;
-        let faults = self.offices[office].faults;
+        call.may_have_run |= !matches!(o.ending, Ending::Full | Ending::Unreachable | Ending::NotSent);
+        let direct = self.offices[office].exchange == call.request.destination;
+        let faults = self.offices[office].fault_rate;
         if o.ending == Ending::Fault {
             // It tells nothing of the way: the same tandem may be asked again.
-            call.tried.retain(|&t| t != office);
+            call.tandems_tried.retain(|&t| t != office);
         }
         let again = match (o.ending, o.cause) {
             (Ending::Full, Cause::FarProcessorFull) | (_, Cause::LinesBusy) => false,
@@ -44,7 +44,7 @@
         };
         let hold = call.arrived + (QUEUE_TIME_SHARE * aim as f64) as Micros;
         let until = hold.max(now + release + 1).min(call.deadline - ANSWER_MARGIN);
-        if again && now + release < until.max(now + 1) && !(call.ask.transit && release > 0) {
+        if again && now + release < until.max(now + 1) && !(call.request.transit && release > 0) {
             call.stage = Stage::Held { from: now + release, until };
             if o.ending == Ending::NotSent {
                 if let Some(g) = &mut self.offices[office].group {
@@ -64,13 +64,13 @@
         let patience = (OVERTAKEN_SHARE * self.mean_aim) as Micros;
         let busy = self.busy.iter().map(|&i| &self.offices[i]);
         for o in busy.filter(|_| self.settings.may_cancel && now - self.woke > patience) {
-            let any = o.last_took < patience / 2 && self.lost >= MIN_OVERDUE_LOSS_RATE;
-            let newest = if any { self.stood_sent } else { o.stood_sent };
+            let any = o.last_setup_time < patience / 2 && self.lost >= MIN_OVERDUE_LOSS_RATE;
+            let newest = if any { self.stood_sent } else { o.last_established_sent };
             let lost = |s: &&(Micros, CallId)| now - s.0 > patience && newest - s.0 > patience / 2;
-            for call in o.out.iter().take_while(lost).filter_map(|s| self.calls.get(&s.1)) {
-                if !call.ask.transit && !self.guarded(call) {
-                    let attempt = AttemptNumber((call.tries - 1) as u8);
-                    out.push(Action::Cancel { call: call.ask.call, attempt });
+            for call in o.pending.iter().take_while(lost).filter_map(|s| self.calls.get(&s.1)) {
+                if !call.request.transit && !self.guarded(call) {
+                    let attempt = AttemptNumber((call.attempts - 1) as u8);
+                    out.push(Action::Cancel { call: call.request.call, attempt });
                 }
             }
         }
--- a/src/routing/control/route.rs
+++ b/src/routing/control/route.rs
@@ -25,7 +25,7 @@
     /// Direct while the group has room; then the next tandem in turn that accepts, keeps headroom on its
     /// first leg and did not just turn such a call back; else none. In transit: on, or back.
     pub(super) fn route(&mut self, now: Micros, call: &Call) -> Route {
-        let ask = &call.ask;
+        let ask = &call.request;
         let width = f64::from(ask.circuits);
         let Some(&direct) = self.by_exchange.get(&ask.destination) else { return Route::Closed };
         if planted(Planted::ColdFlooded) {
@@ -53,14 +53,14 @@
         }
         // Danger: redials, past their aim, fill the window before first tries.
         let spare = usize::from(ask.redialled);
-        if !self.own_gate.lets_in(now, self.own_out(now) + spare) {
+        if !self.own_gate.admits(now, self.own_out(now) + spare) {
             return Route::Blocked;
         }
-        let room = open && d.free() >= width + if ask.redialled { d.headroom() } else { 0.0 };
+        let room = open && d.free_circuits() >= width + if ask.redialled { d.headroom() } else { 0.0 };
         // Danger: where most set-ups meet a fault, a call has too few tries. The last one goes over a tandem,
         // whose call server asks as often again.
-        let last = call.tries + 1 == self.settings.max_attempts
-            && d.faults >= RETRY_FAULT_RATE_MIN
+        let last = call.attempts + 1 == self.settings.max_attempts
+            && d.fault_rate >= RETRY_FAULT_RATE_MIN
             && !ask.redialled;
         if room && !last {
             return Route::Via(direct);
@@ -71,8 +71,9 @@
         let turn = self.rotor % self.offices.len();
         let mut plain = (turn..self.offices.len()).chain(0..turn);
         let found = if self.luck >= MIN_UNTESTED_SUCCESS_RATE {
-            let trusted =
-                |o: &ExchangeState| o.faults < MAX_TANDEM_FAULT_RATE && !self.suspected.contains(&o.exchange);
+            let trusted = |o: &ExchangeState| {
+                o.fault_rate < MAX_TANDEM_FAULT_RATE && !self.suspected.contains(&o.exchange)
+            };
             let sound = |&i: &usize| trusted(&self.offices[i]) && self.serves(now, i, call);
             let any = plain.clone();
             plain.find(sound).or_else(|| any.into_iter().find(|&i| !last && self.serves(now, i, call)))
@@ -83,8 +84,8 @@
             let (on, before) =
                 (self.ways.range((to, turn)..=(to, usize::MAX)), self.ways.range((to, 0)..(to, turn)));
             let mut known =
-                on.chain(before).filter(|w| now - w.1.open < PATH_OPEN_TIME).map(|w| w.0 .1).peekable();
-            if known.peek().is_none() && call.tried.is_empty() {
+                on.chain(before).filter(|w| now - w.1.last_open < PATH_OPEN_TIME).map(|w| w.0 .1).peekable();
+            if known.peek().is_none() && call.tandems_tried.is_empty() {
                 plain.find(|&i| self.serves(now, i, call))
             } else {
                 known.find(|&i| self.serves(now, i, call))
@@ -102,14 +103,14 @@
 
     /// Whether the call may take that tandem (or pool of second choice) now.
     pub(super) fn serves(&self, now: Micros, i: usize, call: &Call) -> bool {
-        let (ask, t) = (&call.ask, &self.offices[i]);
+        let (ask, t) = (&call.request, &self.offices[i]);
         t.exchange != ask.destination
             && Some(t.exchange) != self.settings.own_exchange
             && self.skilled(ask, t.exchange)
             && t.group.is_some_and(|g| g.0 >= self.least_free(ask, g.1) + t.headroom())
-            && !call.tried.contains(&i)
-            && t.leads_to(ask.destination)
-            && self.ways.get(&(ask.destination, i)).is_none_or(|w| now >= w.back)
+            && !call.tandems_tried.contains(&i)
+            && t.may_reach(ask.destination)
+            && self.ways.get(&(ask.destination, i)).is_none_or(|w| now >= w.blocked_until)
             && self.accepting(now, t)
             && self.takes_setups(now, i)
     }
--- a/src/routing/control/slow_start.rs
+++ b/src/routing/control/slow_start.rs
@@ -11,7 +11,7 @@
     /// Danger: a processor fresh from start falls over. Each sender earns them by the share of its usual rate
     /// that the processor can surely do: one at once from each would be too many where senders are many.
     pub(super) fn cold_credit(&self, now: Micros, o: &ExchangeState) -> Option<f64> {
-        let (since, owed) = o.cold_wait;
+        let (since, owed) = o.cold_start_debt;
         let share = self.cold_share(now, o)? * self.settings.overload_factor * COLD_START_USE;
         Some((now - since) as f64 * self.usual_rate(now) * share - owed)
     }
--- a/src/routing/control/tandem.rs
+++ b/src/routing/control/tandem.rs
@@ -9,28 +9,32 @@
 /// Danger: where many pairs have no group or a thin one, plain turns meet mostly tandems that have no way on,
 /// and each turned-back call is work for two processors.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Way {
+pub(super) struct TandemPath {
     /// Passed over until then, since it turned a call back.
-    pub(super) back: Micros,
+    pub(super) blocked_until: Micros,
     /// When the centre last named it, or a call last stood over it.
-    pub(super) open: Micros,
+    pub(super) last_open: Micros,
 }
 
 impl Controller {
     /// Notes how a call to there over that tandem went, as far as the tandem's own groups decided it.
     pub(super) fn note_turn(&mut self, now: Micros, to: ExchangeNumber, tandem: usize, stood: bool) {
-        if self.ways.get(&(to, tandem)).is_none_or(|w| now - w.open >= PATH_OPEN_TIME) {
+        if self.ways.get(&(to, tandem)).is_none_or(|w| now - w.last_open >= PATH_OPEN_TIME) {
             self.luck += RATE_SMOOTHING * (f64::from(u8::from(stood)) - self.luck);
         }
         if stood {
             self.note_open(now, to, tandem);
         } else {
-            self.ways.insert((to, tandem), Way { back: now + TURNED_BACK_TIME, open: now - PATH_OPEN_TIME });
+            self.ways.insert(
+                (to, tandem),
+                TandemPath { blocked_until: now + TURNED_BACK_TIME, last_open: now - PATH_OPEN_TIME },
+            );
         }
     }
 
     /// Notes that the way over that tandem is open.
     pub(super) fn note_open(&mut self, now: Micros, to: ExchangeNumber, tandem: usize) {
-        self.ways.entry((to, tandem)).or_insert(Way { back: 0, open: now }).open = now;
+        self.ways.entry((to, tandem)).or_insert(TandemPath { blocked_until: 0, last_open: now }).last_open =
+            now;
     }
 }
--- a/src/routing/control/tick.rs
+++ b/src/routing/control/tick.rs
@@ -14,12 +14,14 @@
             self.tell_groups(out);
         }
         let silence = UNRESPONSIVE_SHARE * self.mean_aim;
-        let hangs = |o: &ExchangeState| o.silent(now, self.woke, silence) && !o.by_chance(o.out.len());
+        let hangs = |o: &ExchangeState| {
+            o.unresponsive(now, self.woke, silence) && !o.explained_by_loss(o.pending.len())
+        };
         for o in self.offices.iter_mut().filter(|o| hangs(o)) {
-            o.shut(now, 0);
+            o.trip(now, 0);
         }
         self.call_off_lost(now, out);
-        self.ways.retain(|_, w| w.back > now || now - w.open < PATH_OPEN_TIME);
+        self.ways.retain(|_, w| w.blocked_until > now || now - w.last_open < PATH_OPEN_TIME);
         self.numbers.retain(|_, until| *until > now);
         self.serve_held(now, None, true, out);
     }
