--- a/src/routing/control/mod.rs
+++ b/src/routing/control/mod.rs
@@ -75,51 +75,51 @@
     settings: Settings,
     calls: BTreeMap<CallId, Call>,
     /// Calls held, in the order of `held_key`.
-    held: BTreeSet<(i64, Micros, CallId)>,
-    offices: Vec<ExchangeState>,
-    by_id: BTreeMap<ExchangeId, usize>,
-    by_exchange: BTreeMap<ExchangeNumber, usize>,
-    seed: u64,
+    queue: BTreeSet<(i64, Micros, CallId)>,
+    exchanges: Vec<ExchangeState>,
+    index_by_id: BTreeMap<ExchangeId, usize>,
+    index_by_number: BTreeMap<ExchangeNumber, usize>,
+    random_state: u64,
     /// Next tandem in turn.
-    rotor: usize,
+    next_tandem: usize,
     /// Share of plain turns that went through, smoothed.
-    luck: f64,
+    untested_success_rate: f64,
     /// Share of the set-ups out long that were lost rather than slow, smoothed.
-    lost: f64,
+    overdue_loss_rate: f64,
     /// Ways to each destination, by tandem.
-    ways: BTreeMap<(ExchangeNumber, usize), TandemPath>,
-    numbers: BTreeMap<u64, Micros>,
+    tandem_paths: BTreeMap<(ExchangeNumber, usize), TandemPath>,
+    congested_numbers: BTreeMap<u64, Micros>,
     /// Own set-ups of the last while.
-    sent: VecDeque<Micros>,
-    born: Option<Micros>,
-    listed: bool,
+    recent_setups: VecDeque<Micros>,
+    first_event: Option<Micros>,
+    list_received: bool,
     /// Offices in service.
-    ready: usize,
-    list_due: Option<Micros>,
-    tell_due: Option<Micros>,
-    shortest_aim: Micros,
-    mean_aim: f64,
-    own_gate: ConcurrencyLimit,
+    ready_exchanges: usize,
+    subscribe_at: Option<Micros>,
+    next_group_message: Option<Micros>,
+    shortest_objective: Micros,
+    mean_objective: f64,
+    own_concurrency: ConcurrencyLimit,
     /// The last set-ups that stood: when, and after how long.
-    recent: VecDeque<(Micros, Micros)>,
+    recent_setup_times: VecDeque<(Micros, Micros)>,
     /// Last sign of life of any office.
-    heard: Micros,
+    last_heard: Micros,
     /// When the latest set-up that stood was sent.
-    stood_sent: Micros,
+    last_established_sent: Micros,
     /// Longest patience of a first try, by class.
-    patience: BTreeMap<usize, Micros>,
+    max_remaining_time: BTreeMap<usize, Micros>,
     /// The last event; the last waking after standing still, and for how long that was.
-    last: Micros,
-    woke: Micros,
-    stood_still: Micros,
+    last_event: Micros,
+    resumed_at: Micros,
+    stall: Micros,
     /// Offices with set-ups out.
-    busy: BTreeSet<usize>,
+    pending_exchanges: BTreeSet<usize>,
     /// What operators took out of service.
-    withdrawn: OutOfService,
+    out_of_service: OutOfService,
     /// What others' evidence speaks against.
     suspected: BTreeSet<ExchangeNumber>,
     /// The exchange that each peer speaks for.
-    voices: BTreeMap<PeerNumber, ExchangeNumber>,
+    peer_exchanges: BTreeMap<PeerNumber, ExchangeNumber>,
 }
 
 impl Controller {
@@ -127,60 +127,61 @@
     pub fn new(settings: Settings, seed: u64) -> Self {
         let aims = settings.classes.iter().map(|c| c.latency_objective);
         Controller {
-            shortest_aim: aims.clone().min().unwrap_or(1_000_000).max(1),
-            mean_aim: aims.sum::<Micros>() as f64 / settings.classes.len().max(1) as f64,
-            own_gate: ConcurrencyLimit::INITIAL,
-            rotor: (seed >> 32) as usize,
-            luck: 1.0,
-            lost: 0.5,
+            shortest_objective: aims.clone().min().unwrap_or(1_000_000).max(1),
+            mean_objective: aims.sum::<Micros>() as f64 / settings.classes.len().max(1) as f64,
+            own_concurrency: ConcurrencyLimit::INITIAL,
+            next_tandem: (seed >> 32) as usize,
+            untested_success_rate: 1.0,
+            overdue_loss_rate: 0.5,
             settings,
-            seed,
+            random_state: seed,
             ..Controller::default()
         }
     }
 
     /// Takes one event and adds what is to be done about it to `out`.
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
-        if self.born.is_none() {
-            self.born = Some(now);
-            self.list_due = (self.settings.membership_mode == MembershipMode::OnRequest).then_some(now);
-            let first = now + TICK_INTERVAL + (self.seed % (GROUP_MESSAGE_INTERVAL / 20) as u64) as Micros;
-            self.tell_due = self.settings.may_message_peers.then_some(first);
+        if self.first_event.is_none() {
+            self.first_event = Some(now);
+            self.subscribe_at = (self.settings.membership_mode == MembershipMode::OnRequest).then_some(now);
+            let first =
+                now + TICK_INTERVAL + (self.random_state % (GROUP_MESSAGE_INTERVAL / 20) as u64) as Micros;
+            self.next_group_message = self.settings.may_message_peers.then_some(first);
             out.push(Action::SetTimer { after: TICK_INTERVAL, token: 0 });
         }
         // Danger: a call server that stood still takes its own silence for that of the offices, and what
         // waited for it for slow.
-        if now - self.last > MIN_STALL {
-            (self.woke, self.stood_still) = (now, now - self.last);
+        if now - self.last_event > MIN_STALL {
+            (self.resumed_at, self.stall) = (now, now - self.last_event);
         }
-        self.last = now;
+        self.last_event = now;
         // Danger: what is tried again on every event costs more the more offices there are. Held calls wait
         // for a circuit (the group changes) or a place of the own window; the rest shows on a tick.
-        let full = !self.own_gate.admits(now, self.own_out(now));
+        let full = !self.own_concurrency.admits(now, self.own_pending(now));
         let freed = full && matches!(event, Event::Established { .. } | Event::Ended(_));
         match event {
             Event::List(news) => self.on_list(now, news),
             Event::Call(ask) => self.on_call(now, ask, out),
             Event::Established { call, exchange_id: office, setup_time: took, .. } => {
-                self.on_stands(now, call, office, took)
+                self.on_established(now, call, office, took)
             }
             Event::Ended(o) => self.on_ended(now, o, out),
             Event::GroupReport { exchange_id: office, report } => {
-                if let Some(&i) = self.by_id.get(&office) {
-                    self.note_report(now, i, report);
-                    self.serve_held(now, Some(i), !full, out);
+                if let Some(&i) = self.index_by_id.get(&office) {
+                    self.record_report(now, i, report);
+                    self.retry_queued(now, Some(i), !full, out);
                 }
             }
             Event::PeerMessage { from, body } => self.on_peer(from, &body),
             Event::ProbeFailed(_) => {}
             Event::Suspected(s) => self.suspected = s,
             Event::OutOfService(w) => {
-                self.withdrawn = w;
-                self.serve_held(now, None, true, out);
+                self.out_of_service = w;
+                self.retry_queued(now, None, true, out);
             }
-            Event::CallAbandoned(call) => drop(self.forget(call)),
+            Event::CallAbandoned(call) => drop(self.remove_call(call)),
             Event::Timer(_) => self.on_tick(now, out),
         }
-        self.serve_held(now, None, freed, out);
+        self.retry_queued(now, None, freed, out);
     }
 }
--- a/src/routing/control/outcome.rs
+++ b/src/routing/control/outcome.rs
@@ -15,52 +15,59 @@
 const MAX_CONGESTED_NUMBERS: usize = 64;
 
 impl Controller {
-    pub(super) fn on_stands(&mut self, now: Micros, id: CallId, office: ExchangeId, took: Micros) {
-        let (target, widest) = (TARGET_DELAY_SHARE * self.mean_aim, self.widest(now));
-        let took = if now == self.woke { (took - self.stood_still).max(0) } else { took };
-        let quick = took as f64 <= ACCEPT_LOAD * FULL_LOAD_WAIT * self.shortest_aim as f64;
-        if let Some(&i) = self.by_id.get(&office) {
-            let o = &mut self.offices[i];
+    pub(super) fn on_established(&mut self, now: Micros, id: CallId, office: ExchangeId, took: Micros) {
+        let (target, widest) = (TARGET_DELAY_SHARE * self.mean_objective, self.max_limit(now));
+        let took = if now == self.resumed_at { (took - self.stall).max(0) } else { took };
+        let quick = took as f64 <= ACCEPT_LOAD * FULL_LOAD_WAIT * self.shortest_objective as f64;
+        if let Some(&i) = self.index_by_id.get(&office) {
+            let o = &mut self.exchanges[i];
             o.last_heard = now;
-            self.heard = now;
-            self.recent.push_back((now, took));
-            self.recent.drain(..self.recent.len().saturating_sub(RECENT_SETUP_TIMES));
+            self.last_heard = now;
+            self.recent_setup_times.push_back((now, took));
+            self.recent_setup_times.drain(..self.recent_setup_times.len().saturating_sub(RECENT_SETUP_TIMES));
             o.last_established_sent = o.last_established_sent.max(now - took);
             o.last_setup_time = took;
             o.fault_rate -= FAULT_RATE_SMOOTHING * o.fault_rate;
             o.loss_rate -= LOSS_RATE_SMOOTHING * o.loss_rate;
-            self.stood_sent = self.stood_sent.max(now - took);
+            self.last_established_sent = self.last_established_sent.max(now - took);
             // One that stands at once when sent again was lost before; one that stands late was slow.
-            let late = took as f64 > OVERTAKEN_SHARE * self.mean_aim;
+            let late = took as f64 > OVERTAKEN_SHARE * self.mean_objective;
             if late || self.calls.get(&id).is_some_and(|c| c.may_have_run) {
-                self.lost += RATE_SMOOTHING * (f64::from(u8::from(!late)) - self.lost);
+                self.overdue_loss_rate +=
+                    RATE_SMOOTHING * (f64::from(u8::from(!late)) - self.overdue_loss_rate);
             }
             o.concurrency.on_established(now, took, took as f64, target, (1.0, widest));
-            self.own_gate.on_established(now, took, self.own_delay(now), target, (MIN_OWN_LIMIT, widest));
+            self.own_concurrency.on_established(
+                now,
+                took,
+                self.own_delay(now),
+                target,
+                (MIN_OWN_LIMIT, widest),
+            );
             let to = self.calls.get(&id).map(|c| c.request.destination);
-            let beyond = to.filter(|&to| to != self.offices[i].exchange);
+            let beyond = to.filter(|&to| to != self.exchanges[i].exchange);
             if quick || beyond.is_none() {
-                self.offices[i].note_overload(now, !quick);
+                self.exchanges[i].note_overload(now, !quick);
             }
             if let Some(to) = beyond {
-                self.note_turn(now, to, i, true);
+                self.record_tandem_result(now, to, i, true);
             }
         }
-        self.forget(id);
+        self.remove_call(id);
     }
 
     /// What an outcome tells of the office it came from.
-    pub(super) fn judge(&mut self, now: Micros, i: usize, o: &Outcome) {
+    pub(super) fn record_outcome(&mut self, now: Micros, i: usize, o: &Outcome) {
         let destination = self.calls.get(&o.call).map(|c| c.request.destination);
-        let office = &mut self.offices[i];
+        let office = &mut self.exchanges[i];
         if !matches!(o.ending, Ending::TimedOut | Ending::Unreachable | Ending::NotSent | Ending::Cancelled) {
             office.last_heard = now;
-            self.heard = now;
+            self.last_heard = now;
         }
         // Danger: callers who wait for less than a set-up takes would have each office shut in turn.
-        let waited = o.elapsed as f64 > UNRESPONSIVE_SHARE * self.mean_aim;
+        let waited = o.elapsed as f64 > UNRESPONSIVE_SHARE * self.mean_objective;
         if o.ending == Ending::TimedOut && waited {
-            self.lost += RATE_SMOOTHING * (1.0 - self.lost);
+            self.overdue_loss_rate += RATE_SMOOTHING * (1.0 - self.overdue_loss_rate);
         }
         let overtaken = office.last_established_sent > now - o.elapsed;
         if overtaken && (o.ending == Ending::Cancelled || o.ending == Ending::TimedOut && waited) {
@@ -69,15 +76,16 @@
         match (o.ending, o.cause) {
             (Ending::Full, Cause::TurnedBack) => {
                 // One turned back for its destination's faults tells nothing of the way.
-                let faults =
-                    |d: &ExchangeNumber| self.by_exchange.get(d).map_or(0.0, |&f| self.offices[f].fault_rate);
+                let faults = |d: &ExchangeNumber| {
+                    self.index_by_number.get(d).map_or(0.0, |&f| self.exchanges[f].fault_rate)
+                };
                 if let Some(d) = destination.filter(|d| faults(d) < RETRY_FAULT_RATE_MIN) {
-                    self.note_turn(now, d, i, false);
+                    self.record_tandem_result(now, d, i, false);
                 }
             }
             (Ending::Full, Cause::FarProcessorFull) => {
-                if let Some(&f) = destination.and_then(|d| self.by_exchange.get(&d)) {
-                    self.offices[f].trip(now, 0);
+                if let Some(&f) = destination.and_then(|d| self.index_by_number.get(&d)) {
+                    self.exchanges[f].trip(now, 0);
                 }
             }
             (Ending::Full, Cause::ProcessorFull(wait)) => {
@@ -93,17 +101,17 @@
             }
             (_, Cause::LinesBusy) => {
                 let number = self.calls.get(&o.call).and_then(|c| c.request.number);
-                if let Some(n) = number.filter(|_| self.numbers.len() < MAX_CONGESTED_NUMBERS) {
-                    self.numbers.insert(n, now + CONGESTED_NUMBER_TIME);
+                if let Some(n) = number.filter(|_| self.congested_numbers.len() < MAX_CONGESTED_NUMBERS) {
+                    self.congested_numbers.insert(n, now + CONGESTED_NUMBER_TIME);
                 }
             }
             _ => {}
         }
     }
 
-    pub(super) fn note_report(&mut self, now: Micros, i: usize, r: LoadReport) {
-        let full = FULL_LOAD_WAIT * self.shortest_aim as f64;
-        let o = &mut self.offices[i];
+    pub(super) fn record_report(&mut self, now: Micros, i: usize, r: LoadReport) {
+        let full = FULL_LOAD_WAIT * self.shortest_objective as f64;
+        let o = &mut self.exchanges[i];
         if let (Some(free), Some(size)) = (r.free, r.size) {
             o.group = Some((free, size));
         }
@@ -114,7 +122,7 @@
     }
 
     /// Tries held calls again, those toward one office or all, where what they wait for has changed.
-    pub(super) fn serve_held(
+    pub(super) fn retry_queued(
         &mut self,
         now: Micros,
         toward: Option<usize>,
@@ -124,9 +132,9 @@
         if !changed {
             return;
         }
-        let to = toward.map(|i| self.offices[i].exchange);
+        let to = toward.map(|i| self.exchanges[i].exchange);
         let wanted = |c: &Call| to.is_none_or(|to| c.request.destination == to);
-        let waiting = self.held.iter().map(|h| h.2).filter(|id| self.calls.get(id).is_some_and(wanted));
+        let waiting = self.queue.iter().map(|h| h.2).filter(|id| self.calls.get(id).is_some_and(wanted));
         for id in waiting.collect::<Vec<_>>() {
             self.try_call(now, id, out);
         }
--- a/src/routing/control/peers.rs
+++ b/src/routing/control/peers.rs
@@ -9,12 +9,12 @@
     /// Tells the peers which exchanges this one has groups with, where some have none. Danger: a call by a
     /// tandem without a group onward is turned back, and nothing but trying shows it. Nothing rests on the
     /// message: without it tandems are tried in turn.
-    pub(super) fn tell_groups(&self, out: &mut Vec<Action>) {
+    pub(super) fn send_groups(&self, out: &mut Vec<Action>) {
         let Some(own) = self.settings.own_exchange else { return };
         let mut body = vec![GROUPS_MESSAGE];
         body.extend(own.0.to_be_bytes());
         let mut lacking = false;
-        for o in self.offices.iter().filter(|o| o.state != ListState::Gone && o.exchange != own) {
+        for o in self.exchanges.iter().filter(|o| o.state != ListState::Gone && o.exchange != own) {
             let at = 3 + usize::from(o.exchange.0 / 8);
             body.resize(body.len().max(at + 1), 0);
             let linked = o.group.is_some_and(|g| g.1 >= 1.0);
@@ -30,10 +30,10 @@
         if let [GROUPS_MESSAGE, high, low, links @ ..] = body {
             let named = ExchangeNumber(u16::from_be_bytes([*high, *low]));
             // Danger: one peer could speak for another's exchange.
-            let bound = *self.voices.entry(from).or_insert(named) == named
-                && !self.voices.iter().any(|(p, e)| *p != from && *e == named);
-            if let Some(&i) = self.by_exchange.get(&named).filter(|_| bound) {
-                self.offices[i].group_bitmap = links.to_vec();
+            let bound = *self.peer_exchanges.entry(from).or_insert(named) == named
+                && !self.peer_exchanges.iter().any(|(p, e)| *p != from && *e == named);
+            if let Some(&i) = self.index_by_number.get(&named).filter(|_| bound) {
+                self.exchanges[i].group_bitmap = links.to_vec();
             }
         }
     }
--- a/src/routing/control/route.rs
+++ b/src/routing/control/route.rs
@@ -27,33 +27,34 @@
     pub(super) fn route(&mut self, now: Micros, call: &Call) -> Route {
         let ask = &call.request;
         let width = f64::from(ask.circuits);
-        let Some(&direct) = self.by_exchange.get(&ask.destination) else { return Route::Closed };
+        let Some(&direct) = self.index_by_number.get(&ask.destination) else { return Route::Closed };
         if planted(Planted::ColdFlooded) {
-            let cold = |o: &ExchangeState| o.state == ListState::Ready && self.cold_share(now, o).is_some();
-            if let Some(i) = self.offices.iter().position(cold) {
+            let cold =
+                |o: &ExchangeState| o.state == ListState::Ready && self.cold_start_share(now, o).is_some();
+            if let Some(i) = self.exchanges.iter().position(cold) {
                 return Route::Via(i);
             }
         }
         // Danger: a call for what will not come back soon would wait, and be refused at its end.
-        if self.withdrawn.controller || self.withdrawn.exchanges.contains(&ask.destination) {
+        if self.out_of_service.controller || self.out_of_service.exchanges.contains(&ask.destination) {
             return Route::Closed;
         }
         // Danger: while another call server restarts, calls of its subscribers come here, some of them for
         // this exchange. Nothing may be sent to the own one, but a tandem has a group back to it.
         let own = Some(ask.destination) == self.settings.own_exchange;
-        if own && (ask.transit || ask.redialled) || !self.skilled(ask, ask.destination) {
+        if own && (ask.transit || ask.redialled) || !self.class_may_use(ask, ask.destination) {
             return Route::Closed;
         }
-        let open = !own && self.takes_setups(now, direct);
-        let d = &self.offices[direct];
+        let open = !own && self.accepts_setups(now, direct);
+        let d = &self.exchanges[direct];
         if ask.transit {
             let room = d.group.is_none_or(|g| g.0 >= width && 1.0 - g.0 / g.1.max(1.0) <= ACCEPT_LOAD);
-            let pressed = self.own_delay(now) > ACCEPT_LOAD * OWN_FULL_SHARE * self.shortest_aim as f64;
+            let pressed = self.own_delay(now) > ACCEPT_LOAD * OWN_FULL_SHARE * self.shortest_objective as f64;
             return if open && room && !pressed { Route::Via(direct) } else { Route::Closed };
         }
         // Danger: redials, past their aim, fill the window before first tries.
         let spare = usize::from(ask.redialled);
-        if !self.own_gate.admits(now, self.own_out(now) + spare) {
+        if !self.own_concurrency.admits(now, self.own_pending(now) + spare) {
             return Route::Blocked;
         }
         let room = open && d.free_circuits() >= width + if ask.redialled { d.headroom() } else { 0.0 };
@@ -68,32 +69,36 @@
         if self.settings.topology == Topology::Mesh && (!open && !own || ask.redialled) {
             return Route::Blocked;
         }
-        let turn = self.rotor % self.offices.len();
-        let mut plain = (turn..self.offices.len()).chain(0..turn);
-        let found = if self.luck >= MIN_UNTESTED_SUCCESS_RATE {
+        let turn = self.next_tandem % self.exchanges.len();
+        let mut plain = (turn..self.exchanges.len()).chain(0..turn);
+        let found = if self.untested_success_rate >= MIN_UNTESTED_SUCCESS_RATE {
             let trusted = |o: &ExchangeState| {
                 o.fault_rate < MAX_TANDEM_FAULT_RATE && !self.suspected.contains(&o.exchange)
             };
-            let sound = |&i: &usize| trusted(&self.offices[i]) && self.serves(now, i, call);
+            let sound = |&i: &usize| trusted(&self.exchanges[i]) && self.can_use_tandem(now, i, call);
             let any = plain.clone();
-            plain.find(sound).or_else(|| any.into_iter().find(|&i| !last && self.serves(now, i, call)))
+            plain
+                .find(sound)
+                .or_else(|| any.into_iter().find(|&i| !last && self.can_use_tandem(now, i, call)))
         } else {
             // Danger: where few plain turns go through, each is work for two processors. Then the turn is
             // over the ways known to be open, and plain only for a first try while none is known.
             let to = ask.destination;
-            let (on, before) =
-                (self.ways.range((to, turn)..=(to, usize::MAX)), self.ways.range((to, 0)..(to, turn)));
+            let (on, before) = (
+                self.tandem_paths.range((to, turn)..=(to, usize::MAX)),
+                self.tandem_paths.range((to, 0)..(to, turn)),
+            );
             let mut known =
                 on.chain(before).filter(|w| now - w.1.last_open < PATH_OPEN_TIME).map(|w| w.0 .1).peekable();
             if known.peek().is_none() && call.tandems_tried.is_empty() {
-                plain.find(|&i| self.serves(now, i, call))
+                plain.find(|&i| self.can_use_tandem(now, i, call))
             } else {
-                known.find(|&i| self.serves(now, i, call))
+                known.find(|&i| self.can_use_tandem(now, i, call))
             }
         };
         match found {
             Some(i) => {
-                self.rotor = i + 1;
+                self.next_tandem = i + 1;
                 Route::Via(i)
             }
             None if room => Route::Via(direct),
@@ -102,29 +107,29 @@
     }
 
     /// Whether the call may take that tandem (or pool of second choice) now.
-    pub(super) fn serves(&self, now: Micros, i: usize, call: &Call) -> bool {
-        let (ask, t) = (&call.request, &self.offices[i]);
+    pub(super) fn can_use_tandem(&self, now: Micros, i: usize, call: &Call) -> bool {
+        let (ask, t) = (&call.request, &self.exchanges[i]);
         t.exchange != ask.destination
             && Some(t.exchange) != self.settings.own_exchange
-            && self.skilled(ask, t.exchange)
-            && t.group.is_some_and(|g| g.0 >= self.least_free(ask, g.1) + t.headroom())
+            && self.class_may_use(ask, t.exchange)
+            && t.group.is_some_and(|g| g.0 >= self.required_circuits(ask, g.1) + t.headroom())
             && !call.tandems_tried.contains(&i)
             && t.may_reach(ask.destination)
-            && self.ways.get(&(ask.destination, i)).is_none_or(|w| now >= w.blocked_until)
-            && self.accepting(now, t)
-            && self.takes_setups(now, i)
+            && self.tandem_paths.get(&(ask.destination, i)).is_none_or(|w| now >= w.blocked_until)
+            && self.accepts_as_tandem(now, t)
+            && self.accepts_setups(now, i)
     }
 
     /// Free circuits that a call needs of a tandem's group of that size, beside the headroom. Back to the own
     /// exchange it takes as many again, and the tandem turns it back when the group is busier than it may be.
-    pub(super) fn least_free(&self, ask: &NewCall, size: f64) -> f64 {
+    pub(super) fn required_circuits(&self, ask: &NewCall, size: f64) -> f64 {
         let width = f64::from(ask.circuits);
         let back = Some(ask.destination) == self.settings.own_exchange;
         width + if back { width + (1.0 - ACCEPT_LOAD) * size } else { 0.0 }
     }
 
     /// Whether the class may go to that pool (always, between exchanges).
-    pub(super) fn skilled(&self, ask: &NewCall, exchange: ExchangeNumber) -> bool {
+    pub(super) fn class_may_use(&self, ask: &NewCall, exchange: ExchangeNumber) -> bool {
         let pools = self.settings.classes.get(ask.class).map_or(&[][..], |c| &c.allowed_pools);
         self.settings.topology == Topology::Mesh || pools.is_empty() || pools.contains(&exchange)
     }
--- a/src/routing/control/slow_start.rs
+++ b/src/routing/control/slow_start.rs
@@ -10,14 +10,14 @@
     /// Set-ups that a cold office may be sent by now, less one: below 0 none; `None` once it is warm.
     /// Danger: a processor fresh from start falls over. Each sender earns them by the share of its usual rate
     /// that the processor can surely do: one at once from each would be too many where senders are many.
-    pub(super) fn cold_credit(&self, now: Micros, o: &ExchangeState) -> Option<f64> {
+    pub(super) fn cold_start_credit(&self, now: Micros, o: &ExchangeState) -> Option<f64> {
         let (since, owed) = o.cold_start_debt;
-        let share = self.cold_share(now, o)? * self.settings.overload_factor * COLD_START_USE;
-        Some((now - since) as f64 * self.usual_rate(now) * share - owed)
+        let share = self.cold_start_share(now, o)? * self.settings.overload_factor * COLD_START_USE;
+        Some((now - since) as f64 * self.setup_rate(now) * share - owed)
     }
 
     /// Share of its capacity that a starting processor surely has; `None` once it is warm.
-    pub(super) fn cold_share(&self, now: Micros, o: &ExchangeState) -> Option<f64> {
+    pub(super) fn cold_start_share(&self, now: Micros, o: &ExchangeState) -> Option<f64> {
         let age = now - o.started?;
         let done = age as f64 / self.settings.cold_start_period.max(1) as f64;
         (done < 1.0)
--- a/src/routing/control/tandem.rs
+++ b/src/routing/control/tandem.rs
@@ -18,14 +18,21 @@
 
 impl Controller {
     /// Notes how a call to there over that tandem went, as far as the tandem's own groups decided it.
-    pub(super) fn note_turn(&mut self, now: Micros, to: ExchangeNumber, tandem: usize, stood: bool) {
-        if self.ways.get(&(to, tandem)).is_none_or(|w| now - w.last_open >= PATH_OPEN_TIME) {
-            self.luck += RATE_SMOOTHING * (f64::from(u8::from(stood)) - self.luck);
+    pub(super) fn record_tandem_result(
+        &mut self,
+        now: Micros,
+        to: ExchangeNumber,
+        tandem: usize,
+        stood: bool,
+    ) {
+        if self.tandem_paths.get(&(to, tandem)).is_none_or(|w| now - w.last_open >= PATH_OPEN_TIME) {
+            self.untested_success_rate +=
+                RATE_SMOOTHING * (f64::from(u8::from(stood)) - self.untested_success_rate);
         }
         if stood {
-            self.note_open(now, to, tandem);
+            self.record_open_path(now, to, tandem);
         } else {
-            self.ways.insert(
+            self.tandem_paths.insert(
                 (to, tandem),
                 TandemPath { blocked_until: now + TURNED_BACK_TIME, last_open: now - PATH_OPEN_TIME },
             );
@@ -33,8 +40,10 @@
     }
 
     /// Notes that the way over that tandem is open.
-    pub(super) fn note_open(&mut self, now: Micros, to: ExchangeNumber, tandem: usize) {
-        self.ways.entry((to, tandem)).or_insert(TandemPath { blocked_until: 0, last_open: now }).last_open =
-            now;
+    pub(super) fn record_open_path(&mut self, now: Micros, to: ExchangeNumber, tandem: usize) {
+        self.tandem_paths
+            .entry((to, tandem))
+            .or_insert(TandemPath { blocked_until: 0, last_open: now })
+            .last_open = now;
     }
 }
