--- a/src/routing/control/call.rs
+++ b/src/routing/control/call.rs
@@ -1,26 +1,29 @@
-//! A call, as the decisions know it.
+//! State of a call within the decision module.
 
 use super::*;
 
-/// Where a call is.
+/// Stage of a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Stage {
-    /// Waits for a circuit, a gate or a release: not before, not after.
-    Held { from: Micros, until: Micros },
-    /// A set-up is out.
-    Out { office: usize, since: Micros },
+    /// Waiting for a circuit, a concurrency limit or the quiet period: no attempt before `earliest`, none after
+    /// `latest`.
+    Queued { earliest: Micros, latest: Micros },
+    /// A set-up is pending at the exchange with this index.
+    Pending { index: usize, since: Micros },
 }
 
 #[derive(Clone, Debug)]
 pub(super) struct Call {
     pub(super) request: NewCall,
+    /// Arrival of the call, moved back by the time it waited during a stall of this controller.
     pub(super) arrived: Micros,
+    /// When the caller abandons the call.
     pub(super) deadline: Micros,
     pub(super) stage: Stage,
-    /// Attempts made.
+    /// Number of attempts made.
     pub(super) attempts: u32,
-    /// Tandems that were tried.
+    /// Indexes of the tandems tried.
     pub(super) tandems_tried: Vec<usize>,
-    /// An attempt may have run.
+    /// Whether an attempt may have run.
     pub(super) may_have_run: bool,
 }
--- a/src/routing/control/exchange_state.rs
+++ b/src/routing/control/exchange_state.rs
@@ -1,83 +1,86 @@
-//! What is known of one exchange.
+//! State kept for each of the other exchanges.
 
 use super::*;
 
-/// How long a processor counts as pressed after bad news of it, unless good news comes (µs).
+/// How long a processor counts as overloaded after a bad report, unless a good one arrives (µs).
 const OVERLOAD_TIME: Micros = 10_000_000;
-/// Share of a group kept free on a tandem's first leg: a spilled call takes two circuits, which only pays
-/// where direct calls don't need them.
+/// Share of a group kept free on a tandem's first leg. An overflow call occupies two circuits, which pays only where
+/// direct calls do not need them.
 const HEADROOM_SHARE: f64 = 0.03;
-/// Circuits kept free there at the least.
+/// Minimum number of circuits kept free there.
 const HEADROOM_MIN: f64 = 2.0;
-/// A silent office is shut once chance alone leaves so many set-ups unanswered less often than this. Danger:
-/// one that leaves some unanswered is soon silent on a thin link, and calls that it would answer are lost.
+/// The circuit breaker of an unresponsive exchange trips once the usual loss of answers would leave that many set-ups
+/// unanswered with less than this probability. An exchange that loses some answers soon looks unresponsive where few
+/// set-ups are sent, and calls that it would answer would be lost.
 const MIN_LOSS_CHANCE: f64 = 0.01;
 
-/// What this exchange knows of another. Moments start at 0, the beginning of the clock.
+/// State of one other exchange. Times default to 0, the origin of the clock.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ExchangeState {
     pub(super) exchange_id: ExchangeId,
     pub(super) exchange: ExchangeNumber,
     pub(super) state: ListState,
-    /// Start of the processor, while that matters.
+    /// Start of the processor; `None` if it has long been warm.
     pub(super) started: Option<Micros>,
-    /// Free circuits and size of the group, less own sends since the last figure.
+    /// Free circuits and size of the group, less the set-ups sent since the last report.
     pub(super) group: Option<(f64, f64)>,
-    /// As a tandem not accepting until then.
+    /// Until when the exchange is not used as a tandem.
     pub(super) overloaded_until: Micros,
-    /// Set-ups out: when sent, call.
+    /// Pending set-ups: when they were sent, and their call.
     pub(super) pending: BTreeSet<(Micros, CallId)>,
-    /// Last sign of life.
+    /// When the exchange last responded.
     pub(super) last_heard: Micros,
-    /// When the latest set-up that stood was sent.
+    /// When the latest set-up that was answered was sent.
     pub(super) last_established_sent: Micros,
-    /// How long the last set-up took that stood or was called off.
+    /// Time that the last answered or cancelled set-up was pending.
     pub(super) last_setup_time: Micros,
-    /// Share of its set-ups that ended in a signalling fault, smoothed.
+    /// Smoothed share of its set-ups that ended in a signalling fault.
     pub(super) fault_rate: f64,
-    /// Share of them that was never answered while later ones were, smoothed.
+    /// Smoothed share of its set-ups that stayed unanswered while later ones were answered.
     pub(super) loss_rate: f64,
     pub(super) concurrency: ConcurrencyLimit,
-    /// While it is cold: since when set-ups are earned, and how much of one was owed then: a random part at
-    /// its start, so that senders do not come in step.
+    /// During a cold start: since when credit for set-ups accrues, and the debt in set-ups at that time. The first
+    /// debt is random so that senders do not synchronize.
     pub(super) cold_start_debt: (Micros, f64),
-    /// One bit for each exchange that it said to have a group with; empty if it did not say.
+    /// One bit per exchange that it reports a group with; empty if it has not reported any.
     pub(super) group_bitmap: Vec<u8>,
 }
 
 impl ExchangeState {
-    pub(super) fn new(e: &ListEntry, now: Micros) -> Self {
-        let (gate, earned) = (ConcurrencyLimit::INITIAL, (now, 1.0));
-        let known = ExchangeState {
-            exchange_id: e.exchange_id,
-            exchange: e.exchange,
-            state: e.state,
+    pub(super) fn new(entry: &ListEntry, now: Micros) -> Self {
+        let listed = ExchangeState {
+            exchange_id: entry.exchange_id,
+            exchange: entry.exchange,
+            state: entry.state,
             ..ExchangeState::default()
         };
         ExchangeState {
-            started: e.last_start,
+            started: entry.last_start,
             last_heard: now,
             last_setup_time: Micros::MAX,
-            concurrency: gate,
-            cold_start_debt: earned,
-            ..known
+            concurrency: ConcurrencyLimit::INITIAL,
+            cold_start_debt: (now, 1.0),
+            ..listed
         }
     }
 
-    /// Nothing heard since the oldest set-up out was sent, `span` ago or more, nor since this one `woke`.
-    pub(super) fn unresponsive(&self, now: Micros, woke: Micros, span: f64) -> bool {
-        self.pending.first().is_some_and(|o| (now - o.0.max(woke)) as f64 > span && self.last_heard <= o.0)
+    /// Whether nothing was heard since the oldest pending set-up was sent, and more than `min_age` has passed since
+    /// then and since this controller resumed.
+    pub(super) fn unresponsive(&self, now: Micros, resumed_at: Micros, min_age: f64) -> bool {
+        self.pending
+            .first()
+            .is_some_and(|p| (now - p.0.max(resumed_at)) as f64 > min_age && self.last_heard <= p.0)
     }
 
-    /// Whether it may well answer, though so many set-ups are unanswered.
+    /// Whether the loss rate of the exchange can explain that many unanswered set-ups.
     pub(super) fn explained_by_loss(&self, unanswered: usize) -> bool {
         self.loss_rate.powf(unanswered as f64) >= MIN_LOSS_CHANCE
     }
 
-    /// Set-ups out for less than `span`. Danger: older ones are lost or hopeless, and a few lost ones would
-    /// fill a window for as long as their callers wait.
-    pub(super) fn pending_since(&self, now: Micros, span: f64) -> usize {
-        self.pending.iter().rev().take_while(|o| (now - o.0) as f64 <= span).count()
+    /// Number of set-ups pending for at most `max_age`. Older ones are lost or hopeless, and a few lost ones would
+    /// fill a limit for as long as their callers wait.
+    pub(super) fn pending_within(&self, now: Micros, max_age: f64) -> usize {
+        self.pending.iter().rev().take_while(|p| (now - p.0) as f64 <= max_age).count()
     }
 
     pub(super) fn free_circuits(&self) -> f64 {
@@ -85,30 +88,33 @@
     }
 
     /// Whether it may have a group with that exchange.
-    pub(super) fn may_reach(&self, to: ExchangeNumber) -> bool {
-        self.group_bitmap.get(usize::from(to.0 / 8)).is_none_or(|bits| bits & (1 << (to.0 % 8)) != 0)
+    pub(super) fn may_reach(&self, destination: ExchangeNumber) -> bool {
+        self.group_bitmap
+            .get(usize::from(destination.0 / 8))
+            .is_none_or(|bits| bits & (1 << (destination.0 % 8)) != 0)
     }
 
     pub(super) fn headroom(&self) -> f64 {
         self.group.map_or(0.0, |g| (g.1 * HEADROOM_SHARE).max(HEADROOM_MIN))
     }
 
-    /// How long the oldest set-up has been out. Danger: answers alone are blind to a jam, since the late ones
-    /// have not come yet.
+    /// Age of the oldest pending set-up. Answers alone do not show congestion, since the late ones have not arrived
+    /// yet.
     pub(super) fn oldest_pending_age(&self, now: Micros) -> f64 {
-        self.pending.first().map_or(0.0, |o| (now - o.0) as f64)
+        self.pending.first().map_or(0.0, |p| (now - p.0) as f64)
     }
 
-    /// Notes whether its processor seems pressed. Danger: with news of it once in several seconds, a slow
-    /// tandem would be back in turn before the next; so bad news lasts longer than good news takes to come
-    /// where there is traffic, and the first good news ends it.
-    pub(super) fn note_overload(&mut self, now: Micros, pressed: bool) {
-        self.overloaded_until = if pressed { now + OVERLOAD_TIME } else { now };
+    /// Records whether its processor appears overloaded. Reports may be several seconds apart, and a slow tandem
+    /// would return to the rotation before the next one; an overload therefore lasts longer than a good report takes
+    /// to arrive where there is traffic, and the first good report ends it.
+    pub(super) fn note_overload(&mut self, now: Micros, overloaded: bool) {
+        self.overloaded_until = if overloaded { now + OVERLOAD_TIME } else { now };
     }
 
-    /// It failed: nothing for a while, and no tandem for longer.
-    pub(super) fn trip(&mut self, now: Micros, at_least: Micros) {
-        self.concurrency.trip(now, at_least);
+    /// Trips the circuit breaker after a failure, for at least `min_open_time`, and marks the exchange as overloaded,
+    /// which excludes it as a tandem for longer.
+    pub(super) fn trip(&mut self, now: Micros, min_open_time: Micros) {
+        self.concurrency.trip(now, min_open_time);
         self.note_overload(now, true);
     }
 }
--- a/src/routing/control/membership.rs
+++ b/src/routing/control/membership.rs
@@ -1,72 +1,73 @@
-//! The list of exchanges.
+//! Updates of the list of exchanges.
 
 use super::*;
 
-/// The list is asked for again this long after a failure (on request; µs).
+/// Delay before the list is requested again after a failure (on request only; µs).
 const LIST_RETRY_DELAY: Micros = 1_000_000;
 
 impl Controller {
-    pub(super) fn on_list(&mut self, now: Micros, news: ListUpdate) {
-        let (entries, complete) = match news {
+    pub(super) fn on_list(&mut self, now: Micros, update: ListUpdate) {
+        let (entries, complete) = match update {
             ListUpdate::Failed => {
                 self.subscribe_at = Some(now + LIST_RETRY_DELAY);
                 return;
             }
-            ListUpdate::Changes(e) => (e, false),
-            ListUpdate::Complete(e) | ListUpdate::Cached(e) => (e, true),
+            ListUpdate::Changes(entries) => (entries, false),
+            ListUpdate::Complete(entries) | ListUpdate::Cached(entries) => (entries, true),
         };
-        for e in entries.iter() {
-            self.on_entry(now, e);
+        for entry in entries.iter() {
+            self.on_entry(now, entry);
         }
         if complete {
-            let named: BTreeSet<ExchangeId> = entries.iter().map(|e| e.exchange_id).collect();
-            for o in &mut self.exchanges {
-                if !named.contains(&o.exchange_id) {
-                    o.state = ListState::Gone;
+            let listed: BTreeSet<ExchangeId> = entries.iter().map(|e| e.exchange_id).collect();
+            for exchange in &mut self.exchanges {
+                if !listed.contains(&exchange.exchange_id) {
+                    exchange.state = ListState::Gone;
                 }
             }
         }
         self.list_received = true;
-        self.ready_exchanges = self.exchanges.iter().filter(|o| o.state == ListState::Ready).count();
+        self.ready_exchanges = self.exchanges.iter().filter(|e| e.state == ListState::Ready).count();
         self.index_by_number.clear();
-        for (i, o) in self.exchanges.iter().enumerate() {
-            let better = |&j: &usize| self.exchanges[j].state == ListState::Ready;
-            if !self.index_by_number.get(&o.exchange).is_some_and(better) {
-                self.index_by_number.insert(o.exchange, i);
+        for (i, exchange) in self.exchanges.iter().enumerate() {
+            let ready = |&j: &usize| self.exchanges[j].state == ListState::Ready;
+            if !self.index_by_number.get(&exchange.exchange).is_some_and(ready) {
+                self.index_by_number.insert(exchange.exchange, i);
             }
         }
     }
 
-    pub(super) fn on_entry(&mut self, now: Micros, e: &ListEntry) {
-        let part = self.random();
-        let known = self.index_by_id.get(&e.exchange_id).copied();
-        let i = known.unwrap_or_else(|| {
-            // Danger: replaced machines would fill the table for good; one that is gone gives up its place.
-            let gone = self.exchanges.iter().position(|o| o.state == ListState::Gone && o.pending.is_empty());
-            let i = gone.unwrap_or(self.exchanges.len());
-            let mut office = ExchangeState::new(e, now);
-            // One that was not there before may be fresh from start.
-            office.started = e.last_start.or(self.list_received.then_some(now));
-            office.cold_start_debt.1 = part;
-            if gone.is_some() {
-                self.index_by_id.remove(&self.exchanges[i].exchange_id);
-                self.tandem_paths.retain(|way, _| way.1 != i);
-                self.exchanges[i] = office;
+    pub(super) fn on_entry(&mut self, now: Micros, entry: &ListEntry) {
+        let initial_debt = self.random();
+        let known = self.index_by_id.get(&entry.exchange_id).copied();
+        let index = known.unwrap_or_else(|| {
+            // Reuses the slot of a removed machine; otherwise replaced machines would accumulate without bound.
+            let unused =
+                self.exchanges.iter().position(|e| e.state == ListState::Gone && e.pending.is_empty());
+            let index = unused.unwrap_or(self.exchanges.len());
+            let mut exchange = ExchangeState::new(entry, now);
+            // A machine that appears after the first list may have just started.
+            exchange.started = entry.last_start.or(self.list_received.then_some(now));
+            exchange.cold_start_debt.1 = initial_debt;
+            if unused.is_some() {
+                self.index_by_id.remove(&self.exchanges[index].exchange_id);
+                self.tandem_paths.retain(|path, _| path.1 != index);
+                self.exchanges[index] = exchange;
             } else {
-                self.exchanges.push(office);
+                self.exchanges.push(exchange);
             }
-            self.index_by_id.insert(e.exchange_id, i);
-            i
+            self.index_by_id.insert(entry.exchange_id, index);
+            index
         });
-        let o = &mut self.exchanges[i];
-        o.state = e.state;
-        o.exchange = e.exchange;
-        if e.last_start.is_some() && e.last_start != o.started {
-            // Restarted: what was known of the old processor is void.
-            o.started = e.last_start;
-            o.cold_start_debt = (now, part);
-            o.concurrency = ConcurrencyLimit { limit: 1.0, ..ConcurrencyLimit::INITIAL };
-            o.overloaded_until = now;
+        let exchange = &mut self.exchanges[index];
+        exchange.state = entry.state;
+        exchange.exchange = entry.exchange;
+        if entry.last_start.is_some() && entry.last_start != exchange.started {
+            // The processor restarted: its previous load and limits no longer apply.
+            exchange.started = entry.last_start;
+            exchange.cold_start_debt = (now, initial_debt);
+            exchange.concurrency = ConcurrencyLimit { limit: 1.0, ..ConcurrencyLimit::INITIAL };
+            exchange.overloaded_until = now;
         }
     }
 }
--- a/src/routing/control/mod.rs
+++ b/src/routing/control/mod.rs
@@ -1,7 +1,8 @@
-//! Every decision of walnuthatch. The types, events and actions are in `src/routing/interface.rs`.
+//! The decision module: chooses the route of each call and limits the load on exchanges. Its settings, events and
+//! actions are defined in `src/routing/interface.rs`.
 //!
-//! A call goes direct until the direct group is full, then through the next tandem in turn that accepts and
-//! keeps headroom on its first leg, else it is refused: see [`Controller::route`].
+//! A call takes the direct route while the direct group has a free circuit, then the next tandem in rotation that
+//! accepts set-ups and has headroom on its first leg; otherwise it is refused. See [`Controller::route`].
 
 mod call;
 mod call_queue;
@@ -26,109 +27,115 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use tandem::TandemPath;
 
-/// Load (share of a full processor) below which a tandem accepts and a processor passes transit on: the
-/// design page's phi.
+/// Load (1 is a full processor) below which a tandem accepts set-ups and a processor passes on calls in transit;
+/// phi in the design notes.
 const ACCEPT_LOAD: f64 = 0.9;
-/// The longest that a gate stays shut at a time (the design page's mark; µs).
+/// Longest time that a circuit breaker stays open at once (µs); the mark in the design notes.
 const MAX_OPEN_TIME: Micros = 3_000_000;
-/// Weight of one turn, or one set-up out long, in such a share.
+/// Smoothing weight of one observation in `untested_success_rate` and `overdue_loss_rate`.
 const RATE_SMOOTHING: f64 = 0.05;
-/// A call that met a signalling fault goes again at once while the share of the office's set-ups that do lies
-/// between these. Below, the fault is the call's own, and to ask again is work for nothing; above, the office
-/// fails all.
+/// A call whose set-up met a signalling fault is retried at once while the exchange's fault rate lies between these
+/// bounds. Below the lower bound the fault lies with the call itself and a retry is wasted work; above the upper one
+/// the exchange fails every set-up.
 const RETRY_FAULT_RATE_MIN: f64 = 0.15;
 const RETRY_FAULT_RATE_MAX: f64 = 0.97;
-/// For how long a way counts as open after the centre named it or a call stood over it (µs).
+/// How long a path counts as open after a call was established over it or a new call suggested its tandem (µs).
 const PATH_OPEN_TIME: Micros = 10_000_000;
-/// Wait at a processor that counts as load 1, as a share of the shortest aim: a tandem call crosses three
-/// processors and must stay within its aim.
+/// Processor delay that counts as load 1, as a share of the shortest latency objective. A tandem call crosses three
+/// processors and must stay within its objective.
 const FULL_LOAD_WAIT: f64 = 0.4;
-/// Set-up delays kept to judge the own wait by.
+/// Number of recent set-up times from which the delay of the own processor is estimated.
 const RECENT_SETUP_TIMES: usize = 12;
-/// A blocked call waits for a circuit up to this share of its aim, less the set-up delay it would meet.
+/// A blocked call is queued for up to this share of its latency objective, less the set-up time it would meet.
 const QUEUE_TIME_SHARE: f64 = 0.9;
-/// A gap between events that shows that this call server stood still: several housekeeping ticks (µs).
+/// A gap between events longer than this, several ticks, shows that this session controller was stalled (µs).
 const MIN_STALL: Micros = 250_000;
-/// Housekeeping: held calls, releases, list (µs).
+/// Interval of periodic work: queued calls, cancellations, list requests (µs).
 const TICK_INTERVAL: Micros = 20_000;
-/// A held call is ended at the latest this long before its caller gives up (µs). Danger: it is looked at
-/// once in a tick, so that with less than a tick its answer can come after its caller has given up.
+/// A queued call is answered at least this long before its caller abandons it (µs). The queue is checked once per
+/// tick, so with a margin below `TICK_INTERVAL` the answer could come too late.
 const ANSWER_MARGIN: Micros = 25_000;
-/// An office is silent when its oldest set-up has been out for this share of the mean aim and it has
-/// answered nothing since.
+/// An exchange is unresponsive when its oldest pending set-up is older than this share of the mean latency objective
+/// and the exchange has answered nothing since it was sent.
 const UNRESPONSIVE_SHARE: f64 = 0.5;
-/// A set-up out for this share of the mean aim, and overtaken by half of that, counts as lost.
+/// A set-up counts as lost when it has been pending for this share of the mean latency objective and another one,
+/// sent at least half of that time later, has been answered.
 const OVERTAKEN_SHARE: f64 = 0.45;
-/// Set-ups that may be out through a fully open gate, where set-ups are few; see `Controller::widest`.
+/// Maximum of a concurrency limit when few set-ups are sent; see [`Controller::max_limit`].
 const BASE_LIMIT: f64 = 5.0;
-/// Set-up delay above which a gate narrows, as a share of the mean aim; level at 0.15, lower at 0.25.
+/// Set-up time above which a concurrency limit is reduced, as a share of the mean latency objective. 0.15 scored the
+/// same, 0.25 lower.
 const TARGET_DELAY_SHARE: f64 = 0.2;
-/// Span over which the usual rate of set-ups is measured (µs).
+/// Window over which the rate of set-ups is measured (µs).
 const RATE_WINDOW: Micros = 8_000_000;
-/// Peers are told of the own groups this often (µs): groups change seldom, and each message costs every
+/// Interval of the messages to peers about the own groups (µs). Groups change seldom, and each message costs every
 /// receiver about a tenth of a set-up.
 const GROUP_MESSAGE_INTERVAL: Micros = 20_000_000;
 
-/// The decision module of one call server.
+/// The decision module of one session controller.
 #[derive(Debug, Default)]
 pub struct Controller {
     settings: Settings,
     calls: BTreeMap<CallId, Call>,
-    /// Calls held, in the order of `held_key`.
+    /// Queued calls, ordered by `priority_key`.
     queue: BTreeSet<(i64, Micros, CallId)>,
     exchanges: Vec<ExchangeState>,
     index_by_id: BTreeMap<ExchangeId, usize>,
     index_by_number: BTreeMap<ExchangeNumber, usize>,
+    /// State of the pseudo-random generator.
     random_state: u64,
-    /// Next tandem in turn.
+    /// Index at which the rotation over tandems continues.
     next_tandem: usize,
-    /// Share of plain turns that went through, smoothed.
+    /// Smoothed share of calls sent over a path not known to be open that were not turned back.
     untested_success_rate: f64,
-    /// Share of the set-ups out long that were lost rather than slow, smoothed.
+    /// Smoothed share of overdue set-ups that were lost rather than slow.
     overdue_loss_rate: f64,
-    /// Ways to each destination, by tandem.
+    /// Paths by destination and index of the tandem.
     tandem_paths: BTreeMap<(ExchangeNumber, usize), TandemPath>,
+    /// Called numbers whose lines are all busy, and until when calls to them are refused.
     congested_numbers: BTreeMap<u64, Micros>,
-    /// Own set-ups of the last while.
+    /// When each set-up of the last `RATE_WINDOW` was sent.
     recent_setups: VecDeque<Micros>,
     first_event: Option<Micros>,
     list_received: bool,
-    /// Offices in service.
+    /// Number of exchanges in service.
     ready_exchanges: usize,
+    /// When to request the list.
     subscribe_at: Option<Micros>,
     next_group_message: Option<Micros>,
     shortest_objective: Micros,
     mean_objective: f64,
     own_concurrency: ConcurrencyLimit,
-    /// The last set-ups that stood: when, and after how long.
+    /// The last established calls: when they were established, and their set-up time.
     recent_setup_times: VecDeque<(Micros, Micros)>,
-    /// Last sign of life of any office.
+    /// When any exchange last responded.
     last_heard: Micros,
-    /// When the latest set-up that stood was sent.
+    /// When the latest set-up that has been answered was sent.
     last_established_sent: Micros,
-    /// Longest patience of a first try, by class.
+    /// Longest remaining time seen on a first try, by class.
     max_remaining_time: BTreeMap<usize, Micros>,
-    /// The last event; the last waking after standing still, and for how long that was.
     last_event: Micros,
+    /// When this controller last resumed after a stall.
     resumed_at: Micros,
+    /// Duration of that stall.
     stall: Micros,
-    /// Offices with set-ups out.
+    /// Indexes of exchanges with pending set-ups.
     pending_exchanges: BTreeSet<usize>,
     /// What operators took out of service.
     out_of_service: OutOfService,
-    /// What others' evidence speaks against.
+    /// Exchanges suspected on the evidence of other instances.
     suspected: BTreeSet<ExchangeNumber>,
     /// The exchange that each peer speaks for.
     peer_exchanges: BTreeMap<PeerNumber, ExchangeNumber>,
 }
 
 impl Controller {
-    /// A controller that knows nothing but its settings.
+    /// Creates a controller that has no list yet; `seed` starts its pseudo-random generator.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let aims = settings.classes.iter().map(|c| c.latency_objective);
+        let objectives = settings.classes.iter().map(|c| c.latency_objective);
         Controller {
-            shortest_objective: aims.clone().min().unwrap_or(1_000_000).max(1),
-            mean_objective: aims.sum::<Micros>() as f64 / settings.classes.len().max(1) as f64,
+            shortest_objective: objectives.clone().min().unwrap_or(1_000_000).max(1),
+            mean_objective: objectives.sum::<Micros>() as f64 / settings.classes.len().max(1) as f64,
             own_concurrency: ConcurrencyLimit::INITIAL,
             next_tandem: (seed >> 32) as usize,
             untested_success_rate: 1.0,
@@ -139,7 +146,7 @@
         }
     }
 
-    /// Takes one event and adds what is to be done about it to `out`.
+    /// Processes one event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         if self.first_event.is_none() {
             self.first_event = Some(now);
@@ -149,34 +156,34 @@
             self.next_group_message = self.settings.may_message_peers.then_some(first);
             out.push(Action::SetTimer { after: TICK_INTERVAL, token: 0 });
         }
-        // Danger: a call server that stood still takes its own silence for that of the offices, and what
-        // waited for it for slow.
+        // After a stall, exchanges must not be taken for unresponsive, nor answers that waited for this controller
+        // for slow ones.
         if now - self.last_event > MIN_STALL {
             (self.resumed_at, self.stall) = (now, now - self.last_event);
         }
         self.last_event = now;
-        // Danger: what is tried again on every event costs more the more offices there are. Held calls wait
-        // for a circuit (the group changes) or a place of the own window; the rest shows on a tick.
+        // Retrying all queued calls on every event would cost more with every exchange. They wait for a circuit
+        // (the group changes) or for the own concurrency limit; every other change is picked up on a tick.
         let full = !self.own_concurrency.admits(now, self.own_pending(now));
         let freed = full && matches!(event, Event::Established { .. } | Event::Ended(_));
         match event {
-            Event::List(news) => self.on_list(now, news),
-            Event::Call(ask) => self.on_call(now, ask, out),
-            Event::Established { call, exchange_id: office, setup_time: took, .. } => {
-                self.on_established(now, call, office, took)
+            Event::List(update) => self.on_list(now, update),
+            Event::Call(request) => self.on_call(now, request, out),
+            Event::Established { call, exchange_id, setup_time, .. } => {
+                self.on_established(now, call, exchange_id, setup_time)
             }
-            Event::Ended(o) => self.on_ended(now, o, out),
-            Event::GroupReport { exchange_id: office, report } => {
-                if let Some(&i) = self.index_by_id.get(&office) {
-                    self.record_report(now, i, report);
-                    self.retry_queued(now, Some(i), !full, out);
+            Event::Ended(outcome) => self.on_ended(now, outcome, out),
+            Event::GroupReport { exchange_id, report } => {
+                if let Some(&index) = self.index_by_id.get(&exchange_id) {
+                    self.record_report(now, index, report);
+                    self.retry_queued(now, Some(index), !full, out);
                 }
             }
             Event::PeerMessage { from, body } => self.on_peer(from, &body),
             Event::ProbeFailed(_) => {}
-            Event::Suspected(s) => self.suspected = s,
-            Event::OutOfService(w) => {
-                self.out_of_service = w;
+            Event::Suspected(exchanges) => self.suspected = exchanges,
+            Event::OutOfService(out_of_service) => {
+                self.out_of_service = out_of_service;
                 self.retry_queued(now, None, true, out);
             }
             Event::CallAbandoned(call) => drop(self.remove_call(call)),
--- a/src/routing/control/outcome.rs
+++ b/src/routing/control/outcome.rs
@@ -1,106 +1,116 @@
-//! What the ends of set-ups and load reports tell of an exchange.
+//! Updates of the exchange state from the outcomes of set-ups and from load reports.
 
 use super::*;
 
-/// Weight of one set-up in that share.
+/// Smoothing weight of one set-up in an exchange's fault rate.
 const FAULT_RATE_SMOOTHING: f64 = 0.1;
-/// Weight of one set-up in the share that an office leaves unanswered.
+/// Smoothing weight of one set-up in an exchange's loss rate.
 const LOSS_RATE_SMOOTHING: f64 = 0.05;
-/// The own window never narrows below this: one set-up out at a time leaves the processor idle while the
-/// answer travels, and a single lost one stops every call.
+/// Minimum of the own concurrency limit. A single pending set-up would leave the processor idle while its answer
+/// travels, and the loss of that one would block every call.
 const MIN_OWN_LIMIT: f64 = 2.0;
-/// A crowded number is left alone for this long after it was busy (µs).
+/// How long calls to a congested number are refused after it was found busy (µs).
 const CONGESTED_NUMBER_TIME: Micros = 3_000_000;
-/// Crowded numbers remembered.
+/// Maximum number of congested numbers remembered.
 const MAX_CONGESTED_NUMBERS: usize = 64;
 
 impl Controller {
-    pub(super) fn on_established(&mut self, now: Micros, id: CallId, office: ExchangeId, took: Micros) {
-        let (target, widest) = (TARGET_DELAY_SHARE * self.mean_objective, self.max_limit(now));
-        let took = if now == self.resumed_at { (took - self.stall).max(0) } else { took };
-        let quick = took as f64 <= ACCEPT_LOAD * FULL_LOAD_WAIT * self.shortest_objective as f64;
-        if let Some(&i) = self.index_by_id.get(&office) {
-            let o = &mut self.exchanges[i];
-            o.last_heard = now;
+    pub(super) fn on_established(
+        &mut self,
+        now: Micros,
+        id: CallId,
+        exchange_id: ExchangeId,
+        setup_time: Micros,
+    ) {
+        let (target, max_limit) = (TARGET_DELAY_SHARE * self.mean_objective, self.max_limit(now));
+        let setup_time = if now == self.resumed_at { (setup_time - self.stall).max(0) } else { setup_time };
+        let quick = setup_time as f64 <= ACCEPT_LOAD * FULL_LOAD_WAIT * self.shortest_objective as f64;
+        if let Some(&index) = self.index_by_id.get(&exchange_id) {
+            let exchange = &mut self.exchanges[index];
+            exchange.last_heard = now;
             self.last_heard = now;
-            self.recent_setup_times.push_back((now, took));
+            self.recent_setup_times.push_back((now, setup_time));
             self.recent_setup_times.drain(..self.recent_setup_times.len().saturating_sub(RECENT_SETUP_TIMES));
-            o.last_established_sent = o.last_established_sent.max(now - took);
-            o.last_setup_time = took;
-            o.fault_rate -= FAULT_RATE_SMOOTHING * o.fault_rate;
-            o.loss_rate -= LOSS_RATE_SMOOTHING * o.loss_rate;
-            self.last_established_sent = self.last_established_sent.max(now - took);
-            // One that stands at once when sent again was lost before; one that stands late was slow.
-            let late = took as f64 > OVERTAKEN_SHARE * self.mean_objective;
+            exchange.last_established_sent = exchange.last_established_sent.max(now - setup_time);
+            exchange.last_setup_time = setup_time;
+            exchange.fault_rate -= FAULT_RATE_SMOOTHING * exchange.fault_rate;
+            exchange.loss_rate -= LOSS_RATE_SMOOTHING * exchange.loss_rate;
+            self.last_established_sent = self.last_established_sent.max(now - setup_time);
+            // A call established quickly on a retry had lost its earlier set-up; one established late was only slow.
+            let late = setup_time as f64 > OVERTAKEN_SHARE * self.mean_objective;
             if late || self.calls.get(&id).is_some_and(|c| c.may_have_run) {
                 self.overdue_loss_rate +=
                     RATE_SMOOTHING * (f64::from(u8::from(!late)) - self.overdue_loss_rate);
             }
-            o.concurrency.on_established(now, took, took as f64, target, (1.0, widest));
+            exchange.concurrency.on_established(now, setup_time, setup_time as f64, target, (1.0, max_limit));
             self.own_concurrency.on_established(
                 now,
-                took,
+                setup_time,
                 self.own_delay(now),
                 target,
-                (MIN_OWN_LIMIT, widest),
+                (MIN_OWN_LIMIT, max_limit),
             );
-            let to = self.calls.get(&id).map(|c| c.request.destination);
-            let beyond = to.filter(|&to| to != self.exchanges[i].exchange);
+            let destination = self.calls.get(&id).map(|c| c.request.destination);
+            let beyond = destination.filter(|&d| d != self.exchanges[index].exchange);
             if quick || beyond.is_none() {
-                self.exchanges[i].note_overload(now, !quick);
+                self.exchanges[index].note_overload(now, !quick);
             }
-            if let Some(to) = beyond {
-                self.record_tandem_result(now, to, i, true);
+            if let Some(destination) = beyond {
+                self.record_tandem_result(now, destination, index, true);
             }
         }
         self.remove_call(id);
     }
 
-    /// What an outcome tells of the office it came from.
-    pub(super) fn record_outcome(&mut self, now: Micros, i: usize, o: &Outcome) {
-        let destination = self.calls.get(&o.call).map(|c| c.request.destination);
-        let office = &mut self.exchanges[i];
-        if !matches!(o.ending, Ending::TimedOut | Ending::Unreachable | Ending::NotSent | Ending::Cancelled) {
-            office.last_heard = now;
+    /// Updates the state of an exchange from the outcome of a set-up sent to it.
+    pub(super) fn record_outcome(&mut self, now: Micros, index: usize, outcome: &Outcome) {
+        let destination = self.calls.get(&outcome.call).map(|c| c.request.destination);
+        let exchange = &mut self.exchanges[index];
+        if !matches!(
+            outcome.ending,
+            Ending::TimedOut | Ending::Unreachable | Ending::NotSent | Ending::Cancelled
+        ) {
+            exchange.last_heard = now;
             self.last_heard = now;
         }
-        // Danger: callers who wait for less than a set-up takes would have each office shut in turn.
-        let waited = o.elapsed as f64 > UNRESPONSIVE_SHARE * self.mean_objective;
-        if o.ending == Ending::TimedOut && waited {
+        // Callers that wait for less than a set-up takes must not trip the breaker of one exchange after another.
+        let waited = outcome.elapsed as f64 > UNRESPONSIVE_SHARE * self.mean_objective;
+        if outcome.ending == Ending::TimedOut && waited {
             self.overdue_loss_rate += RATE_SMOOTHING * (1.0 - self.overdue_loss_rate);
         }
-        let overtaken = office.last_established_sent > now - o.elapsed;
-        if overtaken && (o.ending == Ending::Cancelled || o.ending == Ending::TimedOut && waited) {
-            office.loss_rate += LOSS_RATE_SMOOTHING * (1.0 - office.loss_rate);
+        let overtaken = exchange.last_established_sent > now - outcome.elapsed;
+        if overtaken && (outcome.ending == Ending::Cancelled || outcome.ending == Ending::TimedOut && waited)
+        {
+            exchange.loss_rate += LOSS_RATE_SMOOTHING * (1.0 - exchange.loss_rate);
         }
-        match (o.ending, o.cause) {
+        match (outcome.ending, outcome.cause) {
             (Ending::Full, Cause::TurnedBack) => {
-                // One turned back for its destination's faults tells nothing of the way.
-                let faults = |d: &ExchangeNumber| {
-                    self.index_by_number.get(d).map_or(0.0, |&f| self.exchanges[f].fault_rate)
+                // A call turned back because of its destination's faults says nothing about the path.
+                let fault_rate = |d: &ExchangeNumber| {
+                    self.index_by_number.get(d).map_or(0.0, |&far| self.exchanges[far].fault_rate)
                 };
-                if let Some(d) = destination.filter(|d| faults(d) < RETRY_FAULT_RATE_MIN) {
-                    self.record_tandem_result(now, d, i, false);
+                if let Some(destination) = destination.filter(|d| fault_rate(d) < RETRY_FAULT_RATE_MIN) {
+                    self.record_tandem_result(now, destination, index, false);
                 }
             }
             (Ending::Full, Cause::FarProcessorFull) => {
-                if let Some(&f) = destination.and_then(|d| self.index_by_number.get(&d)) {
-                    self.exchanges[f].trip(now, 0);
+                if let Some(&far) = destination.and_then(|d| self.index_by_number.get(&d)) {
+                    self.exchanges[far].trip(now, 0);
                 }
             }
             (Ending::Full, Cause::ProcessorFull(wait)) => {
-                office.trip(now, wait.unwrap_or(0).min(MAX_OPEN_TIME));
+                exchange.trip(now, wait.unwrap_or(0).min(MAX_OPEN_TIME));
             }
-            (Ending::Cancelled, _) => office.last_setup_time = o.elapsed,
-            // Danger: an answer was lost, but the office works: it answered what was sent later.
+            (Ending::Cancelled, _) => exchange.last_setup_time = outcome.elapsed,
+            // An answer was lost, but the exchange works: it has answered set-ups sent later.
             (Ending::TimedOut, _)
-                if !waited || overtaken || office.explained_by_loss(office.pending.len() + 1) => {}
-            (Ending::Unreachable | Ending::TimedOut, _) => office.trip(now, 0),
+                if !waited || overtaken || exchange.explained_by_loss(exchange.pending.len() + 1) => {}
+            (Ending::Unreachable | Ending::TimedOut, _) => exchange.trip(now, 0),
             (Ending::Fault, Cause::None) => {
-                office.fault_rate += FAULT_RATE_SMOOTHING * (1.0 - office.fault_rate)
+                exchange.fault_rate += FAULT_RATE_SMOOTHING * (1.0 - exchange.fault_rate)
             }
             (_, Cause::LinesBusy) => {
-                let number = self.calls.get(&o.call).and_then(|c| c.request.number);
+                let number = self.calls.get(&outcome.call).and_then(|c| c.request.number);
                 if let Some(n) = number.filter(|_| self.congested_numbers.len() < MAX_CONGESTED_NUMBERS) {
                     self.congested_numbers.insert(n, now + CONGESTED_NUMBER_TIME);
                 }
@@ -109,19 +119,21 @@
         }
     }
 
-    pub(super) fn record_report(&mut self, now: Micros, i: usize, r: LoadReport) {
-        let full = FULL_LOAD_WAIT * self.shortest_objective as f64;
-        let o = &mut self.exchanges[i];
-        if let (Some(free), Some(size)) = (r.free, r.size) {
-            o.group = Some((free, size));
+    /// Updates the group and the overload state of an exchange from a load report.
+    pub(super) fn record_report(&mut self, now: Micros, index: usize, report: LoadReport) {
+        let full_load_wait = FULL_LOAD_WAIT * self.shortest_objective as f64;
+        let exchange = &mut self.exchanges[index];
+        if let (Some(free), Some(size)) = (report.free, report.size) {
+            exchange.group = Some((free, size));
         }
-        if r.wait.is_some() || r.busy.is_some() || r.reduction.is_some() {
-            let load = r.wait.map_or(0.0, |w| w as f64 / full).max(r.busy.unwrap_or(0.0));
-            o.note_overload(now, load >= ACCEPT_LOAD || r.reduction.is_some_and(|c| c > 0.0));
+        if report.wait.is_some() || report.busy.is_some() || report.reduction.is_some() {
+            let load = report.wait.map_or(0.0, |w| w as f64 / full_load_wait).max(report.busy.unwrap_or(0.0));
+            exchange
+                .note_overload(now, load >= ACCEPT_LOAD || report.reduction.is_some_and(|share| share > 0.0));
         }
     }
 
-    /// Tries held calls again, those toward one office or all, where what they wait for has changed.
+    /// Retries queued calls if `changed`: those to the exchange with index `toward`, or all of them.
     pub(super) fn retry_queued(
         &mut self,
         now: Micros,
@@ -132,10 +144,10 @@
         if !changed {
             return;
         }
-        let to = toward.map(|i| self.exchanges[i].exchange);
-        let wanted = |c: &Call| to.is_none_or(|to| c.request.destination == to);
-        let waiting = self.queue.iter().map(|h| h.2).filter(|id| self.calls.get(id).is_some_and(wanted));
-        for id in waiting.collect::<Vec<_>>() {
+        let destination = toward.map(|index| self.exchanges[index].exchange);
+        let matches = |c: &Call| destination.is_none_or(|d| c.request.destination == d);
+        let queued = self.queue.iter().map(|key| key.2).filter(|id| self.calls.get(id).is_some_and(matches));
+        for id in queued.collect::<Vec<_>>() {
             self.try_call(now, id, out);
         }
     }
--- a/src/routing/control/peers.rs
+++ b/src/routing/control/peers.rs
@@ -1,39 +1,39 @@
-//! What instances tell each other of their groups.
+//! Messages between session controllers about their trunk groups.
 
 use super::*;
 
-/// First byte of a message that tells of groups.
+/// First byte of a message that lists the sender's groups.
 const GROUPS_MESSAGE: u8 = 1;
 
 impl Controller {
-    /// Tells the peers which exchanges this one has groups with, where some have none. Danger: a call by a
-    /// tandem without a group onward is turned back, and nothing but trying shows it. Nothing rests on the
-    /// message: without it tandems are tried in turn.
+    /// Tells all peers which exchanges this one has groups with, if some have none. A call sent to a tandem without
+    /// a group to its destination is turned back, and only an attempt would show that otherwise. Delivery is not
+    /// required: without the message, tandems are tried in rotation.
     pub(super) fn send_groups(&self, out: &mut Vec<Action>) {
         let Some(own) = self.settings.own_exchange else { return };
         let mut body = vec![GROUPS_MESSAGE];
         body.extend(own.0.to_be_bytes());
-        let mut lacking = false;
-        for o in self.exchanges.iter().filter(|o| o.state != ListState::Gone && o.exchange != own) {
-            let at = 3 + usize::from(o.exchange.0 / 8);
-            body.resize(body.len().max(at + 1), 0);
-            let linked = o.group.is_some_and(|g| g.1 >= 1.0);
-            body[at] |= u8::from(linked) << (o.exchange.0 % 8);
-            lacking |= !linked;
+        let mut any_missing = false;
+        for e in self.exchanges.iter().filter(|e| e.state != ListState::Gone && e.exchange != own) {
+            let byte = 3 + usize::from(e.exchange.0 / 8);
+            body.resize(body.len().max(byte + 1), 0);
+            let has_group = e.group.is_some_and(|g| g.1 >= 1.0);
+            body[byte] |= u8::from(has_group) << (e.exchange.0 % 8);
+            any_missing |= !has_group;
         }
-        if lacking && body.len() <= 256 {
+        if any_missing && body.len() <= 256 {
             out.push(Action::SendToPeer { to: None, body });
         }
     }
 
     pub(super) fn on_peer(&mut self, from: PeerNumber, body: &[u8]) {
-        if let [GROUPS_MESSAGE, high, low, links @ ..] = body {
-            let named = ExchangeNumber(u16::from_be_bytes([*high, *low]));
-            // Danger: one peer could speak for another's exchange.
-            let bound = *self.peer_exchanges.entry(from).or_insert(named) == named
-                && !self.peer_exchanges.iter().any(|(p, e)| *p != from && *e == named);
-            if let Some(&i) = self.index_by_number.get(&named).filter(|_| bound) {
-                self.exchanges[i].group_bitmap = links.to_vec();
+        if let [GROUPS_MESSAGE, high, low, bitmap @ ..] = body {
+            let exchange = ExchangeNumber(u16::from_be_bytes([*high, *low]));
+            // Each peer speaks for one exchange, the first that it names, so that none can speak for another's.
+            let accepted = *self.peer_exchanges.entry(from).or_insert(exchange) == exchange
+                && !self.peer_exchanges.iter().any(|(peer, e)| *peer != from && *e == exchange);
+            if let Some(&index) = self.index_by_number.get(&exchange).filter(|_| accepted) {
+                self.exchanges[index].group_bitmap = bitmap.to_vec();
             }
         }
     }
--- a/src/routing/control/route.rs
+++ b/src/routing/control/route.rs
@@ -1,97 +1,109 @@
-//! The choice of the route: direct, through a tandem, or none.
+//! Choice of the route: direct, through a tandem, or none.
 
 use super::*;
 use crate::planted::{planted, Planted};
 
-/// Plain turns alone decide while this share of them goes through; 0.35 and 0.6 both scored lower.
+/// Tandems are taken in plain rotation while the success rate of untested paths is at least this; 0.35 and 0.6 both
+/// scored lower.
 const MIN_UNTESTED_SUCCESS_RATE: f64 = 0.5;
-/// From this share on an office is a tandem only where no other one serves.
+/// An exchange with at least this fault rate is used as a tandem only where no other one is available.
 const MAX_TANDEM_FAULT_RATE: f64 = 0.25;
-/// The same for the own wait, from which on transit is turned back: later than a tandem is passed over, since
-/// what two processors did for the call is then lost.
+/// Delay of the own processor that counts as load 1 for calls in transit, as a share of the shortest latency
+/// objective. Higher than `FULL_LOAD_WAIT`, since turning a call back wastes the work of two processors.
 const OWN_FULL_SHARE: f64 = 0.8;
 
-/// Where a call goes now.
+/// Routing decision for a call at present.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Route {
+    /// Send a set-up to the exchange with this index.
     Via(usize),
-    /// No way on at present, perhaps soon.
+    /// No route at present; one may become available soon.
     Blocked,
-    /// No way on.
+    /// No route.
     Closed,
 }
 
 impl Controller {
-    /// Direct while the group has room; then the next tandem in turn that accepts, keeps headroom on its
-    /// first leg and did not just turn such a call back; else none. In transit: on, or back.
+    /// Chooses the direct route while its group has room; then the next tandem in rotation that accepts set-ups,
+    /// has headroom on its first leg and did not recently turn back a call to the destination; otherwise none. A
+    /// call in transit takes the direct route or is turned back.
     pub(super) fn route(&mut self, now: Micros, call: &Call) -> Route {
-        let ask = &call.request;
-        let width = f64::from(ask.circuits);
-        let Some(&direct) = self.index_by_number.get(&ask.destination) else { return Route::Closed };
+        let request = &call.request;
+        let circuits = f64::from(request.circuits);
+        let Some(&direct) = self.index_by_number.get(&request.destination) else { return Route::Closed };
         if planted(Planted::ColdFlooded) {
             let cold =
-                |o: &ExchangeState| o.state == ListState::Ready && self.cold_start_share(now, o).is_some();
+                |e: &ExchangeState| e.state == ListState::Ready && self.cold_start_share(now, e).is_some();
             if let Some(i) = self.exchanges.iter().position(cold) {
                 return Route::Via(i);
             }
         }
-        // Danger: a call for what will not come back soon would wait, and be refused at its end.
-        if self.out_of_service.controller || self.out_of_service.exchanges.contains(&ask.destination) {
+        // What operators took out of service does not return soon; a call to it would only be refused after its
+        // time in the queue.
+        if self.out_of_service.controller || self.out_of_service.exchanges.contains(&request.destination) {
             return Route::Closed;
         }
-        // Danger: while another call server restarts, calls of its subscribers come here, some of them for
-        // this exchange. Nothing may be sent to the own one, but a tandem has a group back to it.
-        let own = Some(ask.destination) == self.settings.own_exchange;
-        if own && (ask.transit || ask.redialled) || !self.class_may_use(ask, ask.destination) {
+        // While another session controller restarts, calls of its subscribers arrive here, some of them for this
+        // exchange. No set-up may be sent to the own exchange, but a tandem has a group back to it.
+        let own = Some(request.destination) == self.settings.own_exchange;
+        if own && (request.transit || request.redialled) || !self.class_may_use(request, request.destination)
+        {
             return Route::Closed;
         }
         let open = !own && self.accepts_setups(now, direct);
-        let d = &self.exchanges[direct];
-        if ask.transit {
-            let room = d.group.is_none_or(|g| g.0 >= width && 1.0 - g.0 / g.1.max(1.0) <= ACCEPT_LOAD);
-            let pressed = self.own_delay(now) > ACCEPT_LOAD * OWN_FULL_SHARE * self.shortest_objective as f64;
-            return if open && room && !pressed { Route::Via(direct) } else { Route::Closed };
+        let exchange = &self.exchanges[direct];
+        if request.transit {
+            let room =
+                exchange.group.is_none_or(|g| g.0 >= circuits && 1.0 - g.0 / g.1.max(1.0) <= ACCEPT_LOAD);
+            let overloaded =
+                self.own_delay(now) > ACCEPT_LOAD * OWN_FULL_SHARE * self.shortest_objective as f64;
+            return if open && room && !overloaded { Route::Via(direct) } else { Route::Closed };
         }
-        // Danger: redials, past their aim, fill the window before first tries.
-        let spare = usize::from(ask.redialled);
+        // Reserves a place for first tries: redials, which are past their latency objective, would fill the limit.
+        let spare = usize::from(request.redialled);
         if !self.own_concurrency.admits(now, self.own_pending(now) + spare) {
             return Route::Blocked;
         }
-        let room = open && d.free_circuits() >= width + if ask.redialled { d.headroom() } else { 0.0 };
-        // Danger: where most set-ups meet a fault, a call has too few tries. The last one goes over a tandem,
-        // whose call server asks as often again.
+        let room = open
+            && exchange.free_circuits()
+                >= circuits + if request.redialled { exchange.headroom() } else { 0.0 };
+        // Where most set-ups meet a fault, a call has too few attempts. The last one goes through a tandem, whose
+        // session controller makes as many attempts again.
         let last = call.attempts + 1 == self.settings.max_attempts
-            && d.fault_rate >= RETRY_FAULT_RATE_MIN
-            && !ask.redialled;
+            && exchange.fault_rate >= RETRY_FAULT_RATE_MIN
+            && !request.redialled;
         if room && !last {
             return Route::Via(direct);
         }
-        if self.settings.topology == Topology::Mesh && (!open && !own || ask.redialled) {
+        if self.settings.topology == Topology::Mesh && (!open && !own || request.redialled) {
             return Route::Blocked;
         }
-        let turn = self.next_tandem % self.exchanges.len();
-        let mut plain = (turn..self.exchanges.len()).chain(0..turn);
+        let start = self.next_tandem % self.exchanges.len();
+        let mut rotation = (start..self.exchanges.len()).chain(0..start);
         let found = if self.untested_success_rate >= MIN_UNTESTED_SUCCESS_RATE {
-            let trusted = |o: &ExchangeState| {
-                o.fault_rate < MAX_TANDEM_FAULT_RATE && !self.suspected.contains(&o.exchange)
+            let reliable = |e: &ExchangeState| {
+                e.fault_rate < MAX_TANDEM_FAULT_RATE && !self.suspected.contains(&e.exchange)
             };
-            let sound = |&i: &usize| trusted(&self.exchanges[i]) && self.can_use_tandem(now, i, call);
-            let any = plain.clone();
-            plain
-                .find(sound)
+            let preferred = |&i: &usize| reliable(&self.exchanges[i]) && self.can_use_tandem(now, i, call);
+            let any = rotation.clone();
+            rotation
+                .find(preferred)
                 .or_else(|| any.into_iter().find(|&i| !last && self.can_use_tandem(now, i, call)))
         } else {
-            // Danger: where few plain turns go through, each is work for two processors. Then the turn is
-            // over the ways known to be open, and plain only for a first try while none is known.
-            let to = ask.destination;
+            // Where few untested paths succeed, each failure costs the work of two processors. The rotation is then
+            // limited to paths known to be open; others are tried only by a first attempt while none is known.
+            let destination = request.destination;
             let (on, before) = (
-                self.tandem_paths.range((to, turn)..=(to, usize::MAX)),
-                self.tandem_paths.range((to, 0)..(to, turn)),
+                self.tandem_paths.range((destination, start)..=(destination, usize::MAX)),
+                self.tandem_paths.range((destination, 0)..(destination, start)),
             );
-            let mut known =
-                on.chain(before).filter(|w| now - w.1.last_open < PATH_OPEN_TIME).map(|w| w.0 .1).peekable();
+            let mut known = on
+                .chain(before)
+                .filter(|path| now - path.1.last_open < PATH_OPEN_TIME)
+                .map(|path| path.0 .1)
+                .peekable();
             if known.peek().is_none() && call.tandems_tried.is_empty() {
-                plain.find(|&i| self.can_use_tandem(now, i, call))
+                rotation.find(|&i| self.can_use_tandem(now, i, call))
             } else {
                 known.find(|&i| self.can_use_tandem(now, i, call))
             }
@@ -106,31 +118,35 @@
         }
     }
 
-    /// Whether the call may take that tandem (or pool of second choice) now.
-    pub(super) fn can_use_tandem(&self, now: Micros, i: usize, call: &Call) -> bool {
-        let (ask, t) = (&call.request, &self.exchanges[i]);
-        t.exchange != ask.destination
-            && Some(t.exchange) != self.settings.own_exchange
-            && self.class_may_use(ask, t.exchange)
-            && t.group.is_some_and(|g| g.0 >= self.required_circuits(ask, g.1) + t.headroom())
-            && !call.tandems_tried.contains(&i)
-            && t.may_reach(ask.destination)
-            && self.tandem_paths.get(&(ask.destination, i)).is_none_or(|w| now >= w.blocked_until)
-            && self.accepts_as_tandem(now, t)
-            && self.accepts_setups(now, i)
+    /// Whether the call may use a tandem (or a pool other than its destination) now.
+    pub(super) fn can_use_tandem(&self, now: Micros, index: usize, call: &Call) -> bool {
+        let (request, tandem) = (&call.request, &self.exchanges[index]);
+        tandem.exchange != request.destination
+            && Some(tandem.exchange) != self.settings.own_exchange
+            && self.class_may_use(request, tandem.exchange)
+            && tandem.group.is_some_and(|g| g.0 >= self.required_circuits(request, g.1) + tandem.headroom())
+            && !call.tandems_tried.contains(&index)
+            && tandem.may_reach(request.destination)
+            && self
+                .tandem_paths
+                .get(&(request.destination, index))
+                .is_none_or(|path| now >= path.blocked_until)
+            && self.accepts_as_tandem(now, tandem)
+            && self.accepts_setups(now, index)
     }
 
-    /// Free circuits that a call needs of a tandem's group of that size, beside the headroom. Back to the own
-    /// exchange it takes as many again, and the tandem turns it back when the group is busier than it may be.
-    pub(super) fn required_circuits(&self, ask: &NewCall, size: f64) -> f64 {
-        let width = f64::from(ask.circuits);
-        let back = Some(ask.destination) == self.settings.own_exchange;
-        width + if back { width + (1.0 - ACCEPT_LOAD) * size } else { 0.0 }
+    /// Free circuits, beside the headroom, that a call needs on a tandem's group of the given size. A call back to
+    /// the own exchange occupies twice as many, and the tandem turns it back if the group's load exceeds
+    /// `ACCEPT_LOAD`.
+    pub(super) fn required_circuits(&self, request: &NewCall, size: f64) -> f64 {
+        let circuits = f64::from(request.circuits);
+        let back = Some(request.destination) == self.settings.own_exchange;
+        circuits + if back { circuits + (1.0 - ACCEPT_LOAD) * size } else { 0.0 }
     }
 
-    /// Whether the class may go to that pool (always, between exchanges).
-    pub(super) fn class_may_use(&self, ask: &NewCall, exchange: ExchangeNumber) -> bool {
-        let pools = self.settings.classes.get(ask.class).map_or(&[][..], |c| &c.allowed_pools);
+    /// Whether the class of a call may use a pool; always true between exchanges.
+    pub(super) fn class_may_use(&self, request: &NewCall, exchange: ExchangeNumber) -> bool {
+        let pools = self.settings.classes.get(request.class).map_or(&[][..], |c| &c.allowed_pools);
         self.settings.topology == Topology::Mesh || pools.is_empty() || pools.contains(&exchange)
     }
 }
--- a/src/routing/control/tandem.rs
+++ b/src/routing/control/tandem.rs
@@ -1,48 +1,48 @@
-//! What is known of the ways from tandems on to destinations.
+//! State of the paths from tandems to destinations.
 
 use super::*;
 
-/// How long a way (tandem, destination) that turned a call back is passed over (µs).
+/// How long a path that turned a call back is not used (µs).
 const TURNED_BACK_TIME: Micros = 6_000_000;
 
-/// What is known of a way: from a tandem on to a destination, by which only the tandem's own groups matter.
-/// Danger: where many pairs have no group or a thin one, plain turns meet mostly tandems that have no way on,
-/// and each turned-back call is work for two processors.
+/// State of the path from a tandem to a destination, as far as the tandem's own groups determine it. Where many pairs
+/// of exchanges have no group or a small one, plain rotation mostly reaches tandems without a route to the
+/// destination, and each call turned back costs the work of two processors.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct TandemPath {
-    /// Passed over until then, since it turned a call back.
+    /// Not used until then, since it turned a call back.
     pub(super) blocked_until: Micros,
-    /// When the centre last named it, or a call last stood over it.
+    /// When a new call last suggested the tandem, or a call was last established over the path.
     pub(super) last_open: Micros,
 }
 
 impl Controller {
-    /// Notes how a call to there over that tandem went, as far as the tandem's own groups decided it.
+    /// Records whether a call was established over a path or turned back by the tandem.
     pub(super) fn record_tandem_result(
         &mut self,
         now: Micros,
-        to: ExchangeNumber,
+        destination: ExchangeNumber,
         tandem: usize,
-        stood: bool,
+        established: bool,
     ) {
-        if self.tandem_paths.get(&(to, tandem)).is_none_or(|w| now - w.last_open >= PATH_OPEN_TIME) {
+        let path = (destination, tandem);
+        if self.tandem_paths.get(&path).is_none_or(|p| now - p.last_open >= PATH_OPEN_TIME) {
             self.untested_success_rate +=
-                RATE_SMOOTHING * (f64::from(u8::from(stood)) - self.untested_success_rate);
+                RATE_SMOOTHING * (f64::from(u8::from(established)) - self.untested_success_rate);
         }
-        if stood {
-            self.record_open_path(now, to, tandem);
+        if established {
+            self.record_open_path(now, destination, tandem);
         } else {
-            self.tandem_paths.insert(
-                (to, tandem),
-                TandemPath { blocked_until: now + TURNED_BACK_TIME, last_open: now - PATH_OPEN_TIME },
-            );
+            let blocked =
+                TandemPath { blocked_until: now + TURNED_BACK_TIME, last_open: now - PATH_OPEN_TIME };
+            self.tandem_paths.insert(path, blocked);
         }
     }
 
-    /// Notes that the way over that tandem is open.
-    pub(super) fn record_open_path(&mut self, now: Micros, to: ExchangeNumber, tandem: usize) {
+    /// Records that a path is open.
+    pub(super) fn record_open_path(&mut self, now: Micros, destination: ExchangeNumber, tandem: usize) {
         self.tandem_paths
-            .entry((to, tandem))
+            .entry((destination, tandem))
             .or_insert(TandemPath { blocked_until: 0, last_open: now })
             .last_open = now;
     }
--- a/src/routing/control/tick.rs
+++ b/src/routing/control/tick.rs
@@ -1,4 +1,4 @@
-//! Housekeeping, some tens of times a second.
+//! Periodic work, done on each tick.
 
 use super::*;
 
@@ -13,15 +13,15 @@
             self.next_group_message = Some(now + GROUP_MESSAGE_INTERVAL);
             self.send_groups(out);
         }
-        let silence = UNRESPONSIVE_SHARE * self.mean_objective;
-        let hangs = |o: &ExchangeState| {
-            o.unresponsive(now, self.resumed_at, silence) && !o.explained_by_loss(o.pending.len())
+        let min_age = UNRESPONSIVE_SHARE * self.mean_objective;
+        let failed = |e: &ExchangeState| {
+            e.unresponsive(now, self.resumed_at, min_age) && !e.explained_by_loss(e.pending.len())
         };
-        for o in self.exchanges.iter_mut().filter(|o| hangs(o)) {
-            o.trip(now, 0);
+        for exchange in self.exchanges.iter_mut().filter(|e| failed(e)) {
+            exchange.trip(now, 0);
         }
         self.cancel_lost(now, out);
-        self.tandem_paths.retain(|_, w| w.blocked_until > now || now - w.last_open < PATH_OPEN_TIME);
+        self.tandem_paths.retain(|_, path| path.blocked_until > now || now - path.last_open < PATH_OPEN_TIME);
         self.congested_numbers.retain(|_, until| *until > now);
         self.retry_queued(now, None, true, out);
     }
