--- a/src/routing/control/peers.rs
+++ b/src/routing/control/peers.rs
@@ -29,7 +29,8 @@
     pub(super) fn on_peer(&mut self, from: PeerNumber, body: &[u8]) {
         if let [GROUPS_MESSAGE, high, low, bitmap @ ..] = body {
             let exchange = ExchangeNumber(u16::from_be_bytes([*high, *low]));
-            // Each peer speaks for one exchange, the first that it names, so that none can speak for another's.
+            // Each peer speaks for the exchange that it names first, and an exchange named by two peers is ignored, so
+            // that no peer can speak for another's exchange.
             let accepted = *self.peer_exchanges.entry(from).or_insert(exchange) == exchange
                 && !self.peer_exchanges.iter().any(|(peer, e)| *peer != from && *e == exchange);
             if let Some(&index) = self.index_by_number.get(&exchange).filter(|_| accepted) {
