--- a/examples/gossip_tables.rs
+++ b/examples/gossip_tables.rs
@@ -92,10 +92,8 @@
 }
 
 fn membership(sizes: &[usize], seeds: u64) {
-    println!(
-        "| members | death known to all, median s | worst s | false deaths in 60 s at 0% | 5% | 20% loss | bytes/s mean | \
-         worst second | datagrams/s mean | worst | split heals, median s | worst s |"
-    );
+    println!( "| members | death known to all, median s | worst s | false deaths in 60 s at 0% | 5% | 20% loss | bytes/s mean | \
+         worst second | datagrams/s mean | worst | split heals, median s | worst s |" );
     println!("|---|---|---|---|---|---|---|---|---|---|---|---|");
     for &n in sizes {
         // Each seed is a run of its own, whatever runs beside it.
@@ -169,48 +167,48 @@
     ledger: Ledger,
     deadlines: TimerQueue<LedgerTimer>,
     /// Set-ups whose answers are under way, and calls that stand.
-    out: BTreeMap<CallId, (AttemptNo, OfficeId, usize)>,
+    out: BTreeMap<CallId, (AttemptNumber, ExchangeId, usize)>,
     sent_to_hung: Vec<Micros>,
 }
 
-fn office(i: usize) -> OfficeId {
-    OfficeId { addr: [10, 0, 0, i as u8], port: 5060 }
+fn office(i: usize) -> ExchangeId {
+    ExchangeId { addr: [10, 0, 0, i as u8], port: 5060 }
 }
 
 fn site(i: usize) -> Site {
     let class = Class {
-        aim: 1_200_000,
-        give_up: 9_000_000,
-        late_worth: 0.25,
-        worth: 1.0,
-        effect: Effect::Retryable,
-        hold: 2_000_000,
-        pools: Vec::new(),
+        latency_objective: 1_200_000,
+        client_timeout: 9_000_000,
+        late_value: 0.25,
+        value: 1.0,
+        retry_policy: RetryPolicy::Retryable,
+        mean_hold_time: 2_000_000,
+        allowed_pools: Vec::new(),
     };
     let settings = Settings {
         classes: vec![class],
-        own: Some(ExchangeNo(i as u16)),
-        release: 500_000,
+        own_exchange: Some(ExchangeNumber(i as u16)),
+        quiet_period: 500_000,
         drain_grace: 250_000,
-        may_call_off: true,
-        max_pause: 2_000_000,
-        try_limit: 4,
-        cold: 15_000_000,
-        cold_from: 0.35,
+        may_cancel: true,
+        max_retry_after: 2_000_000,
+        max_attempts: 4,
+        cold_start_period: 15_000_000,
+        cold_start_capacity: 0.35,
         overload_factor: 2.5,
-        fall: 2_000_000,
-        tick: 5_000,
+        overload_window: 2_000_000,
+        min_batch_interval: 5_000,
         ..Settings::default()
     };
     let mut ledger = Ledger::new(settings, i as u64 + 1);
     let entry = |j: usize| ListEntry {
-        exchange: ExchangeNo(j as u16),
+        exchange: ExchangeNumber(j as u16),
         zone: 0,
         state: ListState::Ready,
-        office: office(j),
+        exchange_id: office(j),
         last_start: None,
     };
-    ledger.list_update(0, ListNews::Cached((0..SITES).map(entry).collect()));
+    ledger.list_update(0, ListUpdate::Cached((0..SITES).map(entry).collect()));
     for j in (0..SITES).filter(|j| *j != i) {
         let report = LoadReport { free: Some(60.0), size: Some(60.0), ..LoadReport::default() };
         ledger.group_report(0, office(j), report);
@@ -219,8 +217,8 @@
 }
 
 enum Due {
-    Answer(usize, CallId, AttemptNo),
-    End(usize, CallId, AttemptNo),
+    Answer(usize, CallId, AttemptNumber),
+    End(usize, CallId, AttemptNumber),
 }
 
 struct Model {
@@ -299,7 +297,7 @@
                 let e = Exchange(leg.0);
                 let call = u64::from(call.0);
                 self.tell(i, |n, now| match ending {
-                    Ending::TimedOut | Ending::CalledOff => n.given_up(now, e, call),
+                    Ending::TimedOut | Ending::Cancelled => n.given_up(now, e, call),
                     Ending::Full | Ending::Fault => n.turned_away(now, e, call),
                     _ => n.dropped(now, e, call),
                 });
@@ -335,16 +333,16 @@
         self.offered[usize::from(to != HUNG)] += 1;
         let ask = NewCall {
             call: CallId(0),
-            destination: ExchangeNo(to as u16),
+            destination: ExchangeNumber(to as u16),
             transit: false,
             redialled: false,
             cut_before: false,
             number: None,
-            width: 1,
-            patience: 3_000_000,
+            circuits: 1,
+            remaining_time: 3_000_000,
             class: 0,
             via: None,
-            not_before: 0,
+            earliest_attempt: 0,
         };
         self.sites[i]
             .ledger
@@ -358,7 +356,8 @@
             lab.run_until(now);
             for (_, i, said) in std::mem::take(&mut lab.said) {
                 if let (NodeOutput::Suspected(all), true) = (said, i < SITES) {
-                    let all: BTreeSet<ExchangeNo> = all.into_iter().map(|e| ExchangeNo(e.0)).collect();
+                    let all: BTreeSet<ExchangeNumber> =
+                        all.into_iter().map(|e| ExchangeNumber(e.0)).collect();
                     self.sites[i].ledger.suspected_changed(now, all);
                     self.follow(i);
                 }
--- a/src/program/appliance.rs
+++ b/src/program/appliance.rs
@@ -9,7 +9,7 @@
 use super::gossip::Gossip;
 use super::log::Log;
 use super::views::{Loads, Scene, CALLS};
-use crate::routing::interface::{Cause, Ending, ExchangeNo, Micros, OutOfService};
+use crate::routing::interface::{Cause, Ending, ExchangeNumber, Micros, OutOfService};
 use crate::routing::ledger::{Answer, LastAttempt, Ledger, Output as LedgerOutput};
 use crate::transport::ControlNews;
 use async_channel::Sender;
@@ -62,7 +62,7 @@
     exchanges: MetricsByExchange,
     alarms: Alarms,
     marks: Marks,
-    links: BTreeSet<(ExchangeNo, ExchangeNo)>,
+    links: BTreeSet<(ExchangeNumber, ExchangeNumber)>,
     sessions: Sessions,
     /// One message at a time may be on its way to each program.
     queues: HashMap<ClientId, Sender<Vec<u8>>>,
@@ -87,8 +87,8 @@
     }
 }
 
-fn exchanges(of: &BTreeSet<Exchange>) -> BTreeSet<ExchangeNo> {
-    of.iter().map(|e| ExchangeNo(e.0)).collect()
+fn exchanges(of: &BTreeSet<Exchange>) -> BTreeSet<ExchangeNumber> {
+    of.iter().map(|e| ExchangeNumber(e.0)).collect()
 }
 
 fn millis(span: Micros) -> f64 {
@@ -104,7 +104,7 @@
     pub fn new(
         now: Now,
         config: &ApplianceConfig,
-        own: Option<ExchangeNo>,
+        own: Option<ExchangeNumber>,
         drain_grace: Micros,
         saved: Option<Saved>,
         log: Option<Rc<Log>>,
@@ -229,7 +229,7 @@
     }
 
     /// Why a call was refused, as far as its last attempt, or the lack of one, tells.
-    fn refusal(&self, destination: ExchangeNo, last: Option<LastAttempt>) -> CallOutcome {
+    fn refusal(&self, destination: ExchangeNumber, last: Option<LastAttempt>) -> CallOutcome {
         let w = self.book.out_of_service();
         match last.and_then(|l| l.failure) {
             _ if w.refuse_new_calls || w.exchanges.contains(&Exchange(destination.0)) => CallOutcome::Drained,
@@ -379,7 +379,7 @@
                 registry::Output::SetOutOfService(w) => self.out.push(Output::Withdraw(OutOfService {
                     exchanges: exchanges(&w.exchanges),
                     groups: exchanges(&w.groups),
-                    all: w.refuse_new_calls,
+                    controller: w.refuse_new_calls,
                 })),
                 registry::Output::Cut(target) => {
                     self.event(now, "drain", format!("{target}: the calls that are left are cut"));
--- a/src/program/gossip.rs
+++ b/src/program/gossip.rs
@@ -2,7 +2,7 @@
 //! goes to the decision module as an event of its interface.
 
 use super::gossip_file::GossipConfig;
-use crate::routing::interface::{CallId, Cause, Ending, ExchangeNo, Micros, PeerNo};
+use crate::routing::interface::{CallId, Cause, Ending, ExchangeNumber, Micros, PeerNumber};
 use crate::routing::ledger::{Answer, Ledger, Output as LedgerOutput};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -22,9 +22,9 @@
     /// Send a datagram.
     Datagram(SocketAddr, Vec<u8>),
     /// These exchanges are suspected, and no others.
-    Suspect(BTreeSet<ExchangeNo>),
+    Suspect(BTreeSet<ExchangeNumber>),
     /// A message of a peer, bound to who sent it.
-    Peer(PeerNo, Vec<u8>),
+    Peer(PeerNumber, Vec<u8>),
     /// Something happened.
     Tell(&'static str, String),
     /// Come back then.
@@ -37,7 +37,7 @@
     node: Node,
     /// Direct set-ups that are out, and where they went.
     out: BTreeMap<CallId, Exchange>,
-    numbers: BTreeMap<MemberId, PeerNo>,
+    numbers: BTreeMap<MemberId, PeerNumber>,
     /// The groups of each member's exchange, by blocks of 64.
     links: BTreeMap<(MemberId, u16), u64>,
     tick: Micros,
@@ -45,7 +45,7 @@
     todo: Vec<Output>,
 }
 
-fn exchange(e: ExchangeNo) -> Exchange {
+fn exchange(e: ExchangeNumber) -> Exchange {
     Exchange(e.0)
 }
 
@@ -100,7 +100,7 @@
                     (Ending::Full | Ending::Fault, _) | (_, Cause::LinesBusy) => {
                         self.node.turned_away(now, e, call)
                     }
-                    (Ending::TimedOut | Ending::CalledOff | Ending::Reset | Ending::Unreachable, _)
+                    (Ending::TimedOut | Ending::Cancelled | Ending::Reset | Ending::Unreachable, _)
                         if direct =>
                     {
                         self.node.given_up(now, e, call);
@@ -135,7 +135,7 @@
             let offices: Vec<_> = ledger.administrative_state().offices().collect();
             let linked = offices.iter().filter(|(_, g)| g.is_some_and(|g| g.1 >= 1.0));
             self.node.set_links(&linked.map(|(e, _)| exchange(e.exchange)).collect());
-            let known: BTreeSet<ExchangeNo> = offices.iter().map(|(e, _)| e.exchange).collect();
+            let known: BTreeSet<ExchangeNumber> = offices.iter().map(|(e, _)| e.exchange).collect();
             self.node.set_exchanges(known.len());
             self.node.set_pressed((ledger.processor_load(now) * 200.0).clamp(0.0, 255.0) as u8);
         }
@@ -159,7 +159,7 @@
             match output {
                 node::Output::Send(to, bytes) => self.todo.push(Output::Datagram(to, bytes)),
                 node::Output::Suspected(all) => {
-                    let all = all.into_iter().map(|e| ExchangeNo(e.0)).collect();
+                    let all = all.into_iter().map(|e| ExchangeNumber(e.0)).collect();
                     self.todo.push(Output::Suspect(all));
                 }
                 node::Output::Links { member, own, from, bits } => self.link(member, own, from, bits),
@@ -182,7 +182,7 @@
         if from.0 >= 1984 || !from.0.is_multiple_of(64) {
             return;
         }
-        let number = PeerNo(NUMBERS + self.numbers.len() as u32);
+        let number = PeerNumber(NUMBERS + self.numbers.len() as u32);
         let number = *self.numbers.entry(member).or_insert(number);
         self.links.insert((member, from.0 / 64), bits);
         let mut body = vec![TELL_GROUPS];
--- a/src/program/switchboard.rs
+++ b/src/program/switchboard.rs
@@ -15,7 +15,7 @@
 use crate::protocol::otlp::{CallSpan, Snapshot};
 use crate::protocol::upstream::{UpstreamConnections, UpstreamOutput, UpstreamTimer};
 use crate::protocol::ConnId;
-use crate::routing::interface::{CallId, ListEntry, ListNews, LoadReport, Micros, PeerNo};
+use crate::routing::interface::{CallId, ListEntry, ListUpdate, LoadReport, Micros, PeerNumber};
 use crate::routing::ledger::{AnswerReason, FrontendId, Ledger, LedgerTimer, Output};
 use crate::routing::timer_queue::TimerQueue;
 use crate::transport::outbox::Outbox;
@@ -135,12 +135,12 @@
         let appliance = config
             .appliance
             .as_ref()
-            .map(|a| Appliance::new(Now::new(now, now), a, s.own, s.drain_grace, saved, log));
+            .map(|a| Appliance::new(Now::new(now, now), a, s.own_exchange, s.drain_grace, saved, log));
         let mut board = Switchboard {
             ledger: Ledger::new(config.settings.clone(), config.seed),
             callers: ClientConnections::new(now, LINES, config.classes.clone(), config.usual_callers())
-                .with_quiet_period(s.release + s.tick),
-            links: UpstreamConnections::new(now, config.connect_timeout, config.settings.own),
+                .with_quiet_period(s.quiet_period + s.min_batch_interval),
+            links: UpstreamConnections::new(now, config.connect_timeout, config.settings.own_exchange),
             agent: config.mgcp.as_ref().map(|m| Agent::new(GATEWAYS, m.agent.clone(), config.seed)),
             appliance,
             gossip: config.gossip.as_ref().map(|g| Gossip::new(now, g, config.seed)),
@@ -154,7 +154,7 @@
             stopping: None,
             draining: false,
             wall_ahead: 0,
-            aims: config.settings.classes.iter().map(|c| c.aim).collect(),
+            aims: config.settings.classes.iter().map(|c| c.latency_objective).collect(),
             spans: Vec::new(),
             exported: Rc::default(),
             minted: config.seed,
@@ -164,7 +164,7 @@
         }
         let gateways = board.gateway_entries();
         if !gateways.is_empty() {
-            board.ledger.list_update(now, ListNews::Cached(gateways.into()));
+            board.ledger.list_update(now, ListUpdate::Cached(gateways.into()));
         }
         if let Some(agent) = &mut board.agent {
             agent.start(now);
@@ -189,7 +189,7 @@
             Inbound::Peer { from, body } => {
                 if let Some(at) = self.config.peers.iter().position(|p| *p == from) {
                     self.counts.peers_in += 1;
-                    self.ledger.peer_message(now, PeerNo(at as u32), body);
+                    self.ledger.peer_message(now, PeerNumber(at as u32), body);
                 }
             }
             Inbound::Gateway { from, body } => {
@@ -375,7 +375,7 @@
     fn caller(&mut self, now: Micros, conn: ConnId, message: Message) {
         match self.callers.message(now, conn, message) {
             Ask::Offer(sid, key, offer) => {
-                let (class, left) = (offer.new_call.class, offer.new_call.patience);
+                let (class, left) = (offer.new_call.class, offer.new_call.remaining_time);
                 tracing::debug!(target: CALLS, %sid, conn = conn.0, class, left, "taken");
                 let call = self.ledger.offer(now, *offer);
                 self.callers.taken(conn, sid, key, call);
@@ -410,15 +410,15 @@
             }
         };
         let (entries, complete) = match &update.news {
-            ListNews::Failed => return,
-            ListNews::Changes(e) => (e.clone(), false),
-            ListNews::Complete(e) | ListNews::Cached(e) => (e.clone(), true),
+            ListUpdate::Failed => return,
+            ListUpdate::Changes(e) => (e.clone(), false),
+            ListUpdate::Complete(e) | ListUpdate::Cached(e) => (e.clone(), true),
         };
         // The coordinator knows nothing of gateways: a whole list of its own must not remove them.
         let whole = || entries.iter().cloned().chain(self.gateway_entries()).collect();
         let news = match update.news {
-            ListNews::Complete(_) => ListNews::Complete(whole()),
-            ListNews::Cached(_) => ListNews::Cached(whole()),
+            ListUpdate::Complete(_) => ListUpdate::Complete(whole()),
+            ListUpdate::Cached(_) => ListUpdate::Cached(whole()),
             other => other,
         };
         for (entry, place) in entries.iter().zip(&update.places) {
@@ -604,7 +604,7 @@
                 self.ledger.attempt_ended(now, call, attempt, how, LoadReport::default());
             }
             AgentOutput::Group(office, load) => self.ledger.group_report(now, office, load),
-            AgentOutput::List(entry) => self.ledger.list_update(now, ListNews::Changes([entry].into())),
+            AgentOutput::List(entry) => self.ledger.list_update(now, ListUpdate::Changes([entry].into())),
         }
     }
 
@@ -639,7 +639,7 @@
         }
     }
 
-    fn tell_peers(&mut self, to: Option<PeerNo>, body: Vec<u8>) {
+    fn tell_peers(&mut self, to: Option<PeerNumber>, body: Vec<u8>) {
         let address = match to {
             Some(peer) => self.config.peers.get(peer.0 as usize).copied(),
             None => self.config.peers_all,
--- a/src/program/views.rs
+++ b/src/program/views.rs
@@ -6,7 +6,7 @@
 use super::switchboard::GATEWAYS;
 use crate::protocol::mgcp::agent::Agent;
 use crate::protocol::upstream::UpstreamConnections;
-use crate::routing::interface::{ExchangeNo, ListState, Micros, OfficeId};
+use crate::routing::interface::{ExchangeId, ExchangeNumber, ListState, Micros};
 use crate::routing::ledger::{CallView, Ledger};
 use std::collections::{BTreeMap, BTreeSet};
 use walnuthatch_control::views::{Call, Exchange, Status};
@@ -93,25 +93,26 @@
     /// by whoever has them.
     pub fn exchanges(&self) -> Vec<Exchange> {
         let loads = self.loads();
-        let figures: BTreeMap<OfficeId, _> = self.ledger.administrative_state().group_circuits().collect();
-        let of = |office: &OfficeId, exchange: ExchangeNo, name: &str, address: String, state, connected| {
-            let known = figures.get(office);
-            let Load { pending_setups: out, established: standing } =
-                loads.load(Target::Group(target::Exchange(exchange.0)));
-            Exchange {
-                exchange: exchange.0,
-                member: name.to_owned(),
-                address,
-                listed: listed(state).to_owned(),
-                connected,
-                free: known.map(|f| f.0),
-                size: known.map(|f| f.1),
-                out,
-                standing,
-                report_age_ms: known.map(|f| ms(self.now - f.2)),
-                ..Exchange::default()
-            }
-        };
+        let figures: BTreeMap<ExchangeId, _> = self.ledger.administrative_state().group_circuits().collect();
+        let of =
+            |office: &ExchangeId, exchange: ExchangeNumber, name: &str, address: String, state, connected| {
+                let known = figures.get(office);
+                let Load { pending_setups: out, established: standing } =
+                    loads.load(Target::Group(target::Exchange(exchange.0)));
+                Exchange {
+                    exchange: exchange.0,
+                    member: name.to_owned(),
+                    address,
+                    listed: listed(state).to_owned(),
+                    connected,
+                    free: known.map(|f| f.0),
+                    size: known.map(|f| f.1),
+                    out,
+                    standing,
+                    report_age_ms: known.map(|f| ms(self.now - f.2)),
+                    ..Exchange::default()
+                }
+            };
         let list = self.ledger.administrative_state();
         let links = self.links.views().filter_map(|(office, place, state, up)| {
             let exchange = list.exchange_of(office)?;
@@ -120,7 +121,7 @@
         let gateways = self.agent.iter().flat_map(|a| a.views().zip(a.entries()));
         let gateways = gateways.map(|((name, state, free, all), e)| {
             let mut x =
-                of(&e.office, e.exchange, name, "gateway".to_owned(), state, state == ListState::Ready);
+                of(&e.exchange_id, e.exchange, name, "gateway".to_owned(), state, state == ListState::Ready);
             (x.free, x.size) = (Some(free as f64), Some(all as f64));
             x
         });
@@ -165,19 +166,19 @@
 /// The site as drains see it.
 pub struct Loads<'a> {
     scene: &'a Scene<'a>,
-    loads: BTreeMap<(ExchangeNo, ExchangeNo), (u32, u32)>,
-    links: Option<&'a BTreeSet<(ExchangeNo, ExchangeNo)>>,
+    loads: BTreeMap<(ExchangeNumber, ExchangeNumber), (u32, u32)>,
+    links: Option<&'a BTreeSet<(ExchangeNumber, ExchangeNumber)>>,
     health: Health,
 }
 
 impl<'a> Loads<'a> {
     /// With what is known of the groups between other exchanges, and how calls fare.
-    pub fn with(self, links: &'a BTreeSet<(ExchangeNo, ExchangeNo)>, health: Health) -> Self {
+    pub fn with(self, links: &'a BTreeSet<(ExchangeNumber, ExchangeNumber)>, health: Health) -> Self {
         Loads { links: Some(links), health, ..self }
     }
 
     /// Calls that stand, by first leg and destination.
-    pub fn standing(&self) -> impl Iterator<Item = (ExchangeNo, ExchangeNo, u32)> + '_ {
+    pub fn standing(&self) -> impl Iterator<Item = (ExchangeNumber, ExchangeNumber, u32)> + '_ {
         self.loads.iter().filter(|l| l.1 .1 > 0).map(|(&(leg, to), l)| (leg, to, l.1))
     }
 }
@@ -191,7 +192,7 @@
                 established: of(self.scene.ledger.established_calls()),
             };
         }
-        let at = |leg: ExchangeNo, to: ExchangeNo| match target {
+        let at = |leg: ExchangeNumber, to: ExchangeNumber| match target {
             // A call over a tandem is at its destination too.
             Target::Exchange(e) => leg.0 == e.0 || to.0 == e.0,
             Target::Group(e) => leg.0 == e.0,
@@ -205,8 +206,8 @@
     }
 
     fn neighbours(&self) -> Vec<Neighbour> {
-        let own = self.scene.config.settings.own;
-        let mut all: BTreeMap<ExchangeNo, Neighbour> = BTreeMap::new();
+        let own = self.scene.config.settings.own_exchange;
+        let mut all: BTreeMap<ExchangeNumber, Neighbour> = BTreeMap::new();
         for (e, group) in
             self.scene.ledger.administrative_state().offices().filter(|o| Some(o.0.exchange) != own)
         {
@@ -226,6 +227,6 @@
 
     fn linked(&self, tandem: target::Exchange, to: target::Exchange) -> Option<bool> {
         let links = self.links.filter(|l| !l.is_empty())?;
-        Some(links.contains(&(ExchangeNo(tandem.0), ExchangeNo(to.0))))
+        Some(links.contains(&(ExchangeNumber(tandem.0), ExchangeNumber(to.0))))
     }
 }
--- a/src/protocol/client/messages.rs
+++ b/src/protocol/client/messages.rs
@@ -98,16 +98,16 @@
         let key = message.field("key").filter(|k| !k.is_empty());
         let ask = NewCall {
             call: CallId(0),
-            destination: ExchangeNo(figures.get("dest").copied().and_then(exchange)?),
+            destination: ExchangeNumber(figures.get("dest").copied().and_then(exchange)?),
             transit: flag("transit"),
             redialled: message.field("retry").is_some_and(|r| r != "0"),
             cut_before: flag("again"),
             number: key.map(|k| number(&k)).filter(|&n| n != 0),
-            width: width as u32,
-            patience,
+            circuits: width as u32,
+            remaining_time: patience,
             class,
-            via: via.map(ExchangeNo),
-            not_before,
+            via: via.map(ExchangeNumber),
+            earliest_attempt: not_before,
         };
         Some(OfferedCall { frontend: self.front, new_call: ask, description: message.text.clone() })
     }
--- a/src/protocol/membership.rs
+++ b/src/protocol/membership.rs
@@ -2,7 +2,7 @@
 //! exchanges in it.
 
 use crate::fault_injection::{fault_injected, InjectedFault};
-use crate::routing::interface::{ExchangeNo, ListEntry, ListNews, ListState, OfficeId};
+use crate::routing::interface::{ExchangeId, ExchangeNumber, ListEntry, ListState, ListUpdate};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -71,7 +71,7 @@
     /// The event's number, if it bears one.
     pub index: Option<u64>,
     /// For the core.
-    pub news: ListNews,
+    pub news: ListUpdate,
     /// Where the members are, in the order of the entries.
     pub places: Vec<Place>,
 }
@@ -80,7 +80,7 @@
 /// gone, so that the address can't be the name.
 #[derive(Debug, Default)]
 pub struct Roster {
-    names: BTreeMap<String, OfficeId>,
+    names: BTreeMap<String, ExchangeId>,
     next: u32,
     zones: Vec<String>,
     begun: bool,
@@ -92,12 +92,12 @@
         Roster { zones, ..Roster::default() }
     }
 
-    fn office(&mut self, member: &str) -> OfficeId {
+    fn office(&mut self, member: &str) -> ExchangeId {
         if let Some(&office) = self.names.get(member) {
             return office;
         }
         self.next += 1;
-        let office = OfficeId { addr: self.next.to_be_bytes(), port: 0 };
+        let office = ExchangeId { addr: self.next.to_be_bytes(), port: 0 };
         self.names.insert(member.to_owned(), office);
         office
     }
@@ -124,19 +124,19 @@
                 ListState::Gone => self.names.remove(&m.id),
                 _ => Some(self.office(&m.id)),
             };
-            let (exchange, Some(office)) = (ExchangeNo(m.cell), office) else { continue };
-            entries.push(ListEntry { exchange, zone, state, office, last_start });
+            let (exchange, Some(office)) = (ExchangeNumber(m.cell), office) else { continue };
+            entries.push(ListEntry { exchange, zone, state, exchange_id: office, last_start });
             places.push(Place { member: m.id, address });
         }
         let complete = event.endpoints.complete || !self.begun;
         self.begun = true;
         if complete {
-            self.names.retain(|_, office| entries.iter().any(|e: &ListEntry| e.office == *office));
+            self.names.retain(|_, office| entries.iter().any(|e: &ListEntry| e.exchange_id == *office));
         }
         let news = match (complete, cached) {
-            (false, _) => ListNews::Changes(entries.into()),
-            (true, false) => ListNews::Complete(entries.into()),
-            (true, true) => ListNews::Cached(entries.into()),
+            (false, _) => ListUpdate::Changes(entries.into()),
+            (true, false) => ListUpdate::Complete(entries.into()),
+            (true, true) => ListUpdate::Cached(entries.into()),
         };
         Ok(Update { index: event.index, news, places })
     }
@@ -161,9 +161,9 @@
             let (old, new) = (format!("s-{n}"), format!("s-{}", n + 1));
             let text = event(false, &[(&new, "up"), (&old, "draining"), (&old, "removed")]);
             let update = roster.read(&text, false).unwrap();
-            let ListNews::Changes(entries) = update.news else { panic!("not a change") };
-            assert_eq!((entries.len(), entries[1].office), (3, entries[2].office));
-            assert!(seen.insert(entries[0].office), "a new machine at an old address is another one");
+            let ListUpdate::Changes(entries) = update.news else { panic!("not a change") };
+            assert_eq!((entries.len(), entries[1].exchange_id), (3, entries[2].exchange_id));
+            assert!(seen.insert(entries[0].exchange_id), "a new machine at an old address is another one");
             let again = roster.read(&event(false, &[(&old, "removed")]), false).unwrap();
             assert!(again.places.is_empty());
             assert_eq!(roster.names.len(), 1);
--- a/src/protocol/mgcp/agent.rs
+++ b/src/protocol/mgcp/agent.rs
@@ -11,7 +11,8 @@
 use super::message::{self, events, Command, Endpoint, Packet, Params, Response, Verb};
 use super::transactions::{command, Commands, History, Repeat};
 use crate::routing::interface::{
-    AttemptNo, CallId, Cause, Ending, ExchangeNo, ListEntry, ListState, LoadReport, Micros, NewCall, OfficeId,
+    AttemptNumber, CallId, Cause, Ending, ExchangeId, ExchangeNumber, ListEntry, ListState, LoadReport,
+    Micros, NewCall,
 };
 use crate::routing::ledger::{Answer, FrontendId, OfferedCall, SessionDescription};
 use std::collections::BTreeMap;
@@ -44,7 +45,7 @@
     /// Its address.
     pub address: SocketAddr,
     /// The exchange that it counts as.
-    pub exchange: ExchangeNo,
+    pub exchange: ExchangeNumber,
     /// Numbers that begin with this are its; none if empty.
     pub prefix: String,
     /// Its endpoints' local names, in small letters.
@@ -59,7 +60,7 @@
     /// The gateways.
     pub gateways: Vec<Gateway>,
     /// Further numbers: prefix and exchange.
-    pub routes: Vec<(String, ExchangeNo)>,
+    pub routes: Vec<(String, ExchangeNumber)>,
     /// Digits of a number; dialling is over when they are complete.
     pub digits: usize,
     /// The class of calls from endpoints.
@@ -93,11 +94,11 @@
     /// The caller left.
     Left(CallId),
     /// A set-up was answered.
-    Answered(CallId, AttemptNo, Option<SessionDescription>),
+    Answered(CallId, AttemptNumber, Option<SessionDescription>),
     /// An attempt ended, or a call that stood is over.
-    Ended(CallId, AttemptNo, (Ending, Cause)),
+    Ended(CallId, AttemptNumber, (Ending, Cause)),
     /// Free endpoints of a gateway, and how many there are.
-    Group(OfficeId, LoadReport),
+    Group(ExchangeId, LoadReport),
     /// A gateway drains or serves again.
     List(ListEntry),
 }
@@ -145,7 +146,7 @@
     Dialling(String),
     /// The caller's connection is being made.
     Preparing {
-        to: ExchangeNo,
+        to: ExchangeNumber,
         number: String,
         until: Micros,
     },
@@ -158,7 +159,7 @@
     /// A set-up of the core.
     Called {
         call: CallId,
-        attempt: AttemptNo,
+        attempt: AttemptNumber,
         stage: Stage,
     },
     /// DLCX is out.
@@ -264,7 +265,7 @@
     }
 
     /// Whether this office is a gateway of the agent's.
-    pub fn has(&self, office: OfficeId) -> bool {
+    pub fn has(&self, office: ExchangeId) -> bool {
         self.gateway_of(office).is_some()
     }
 
@@ -294,11 +295,11 @@
         named.map(|(i, (g, s))| (g.name.as_str(), s.0, self.free(i), g.endpoints.len()))
     }
 
-    fn office(g: usize) -> OfficeId {
-        OfficeId { addr: (g as u32).to_be_bytes(), port: GATEWAY_MARK }
+    fn office(g: usize) -> ExchangeId {
+        ExchangeId { addr: (g as u32).to_be_bytes(), port: GATEWAY_MARK }
     }
 
-    fn gateway_of(&self, office: OfficeId) -> Option<usize> {
+    fn gateway_of(&self, office: ExchangeId) -> Option<usize> {
         let g = u32::from_be_bytes(office.addr) as usize;
         (office.port == GATEWAY_MARK && g < self.config.gateways.len()).then_some(g)
     }
@@ -306,7 +307,7 @@
     fn entry(&self, g: usize) -> ListEntry {
         let (state, last_start) = self.states[g];
         let exchange = self.config.gateways[g].exchange;
-        ListEntry { exchange, zone: 0, state, office: Self::office(g), last_start }
+        ListEntry { exchange, zone: 0, state, exchange_id: Self::office(g), last_start }
     }
 
     // ---- Datagrams ----
@@ -584,11 +585,11 @@
                     redialled: false,
                     cut_before: false,
                     number: number.parse().ok(),
-                    width: 1,
-                    patience: (until - now).max(0),
+                    circuits: 1,
+                    remaining_time: (until - now).max(0),
                     class: self.config.class,
                     via: None,
-                    not_before: 0,
+                    earliest_attempt: 0,
                 };
                 let offer = OfferedCall { frontend: self.front, new_call: ask, description: text };
                 self.out.push(AgentOutput::Offer(p, Box::new(offer)));
@@ -713,8 +714,8 @@
     pub fn set_up(
         &mut self,
         now: Micros,
-        (call, attempt): (CallId, AttemptNo),
-        office: OfficeId,
+        (call, attempt): (CallId, AttemptNumber),
+        office: ExchangeId,
         description: Option<&SessionDescription>,
     ) {
         let Some(g) = self.gateway_of(office) else { return };
@@ -739,7 +740,7 @@
     }
 
     /// Gives a set-up up, or releases a call that stands.
-    pub fn clear(&mut self, now: Micros, call: CallId, attempt: AttemptNo) {
+    pub fn clear(&mut self, now: Micros, call: CallId, attempt: AttemptNumber) {
         let Some(&p) = self.legs.get(&call) else { return };
         let Role::Called { attempt: mine, .. } = &self.ports[p].role else { return };
         if *mine != attempt {
--- a/src/protocol/simulator.rs
+++ b/src/protocol/simulator.rs
@@ -130,9 +130,9 @@
         self.rest = tail;
         Ok(head)
     }
-    fn office(&mut self) -> Result<OfficeId, WireError> {
+    fn office(&mut self) -> Result<ExchangeId, WireError> {
         let a = self.take(4)?;
-        Ok(OfficeId { addr: [a[0], a[1], a[2], a[3]], port: self.u16()? })
+        Ok(ExchangeId { addr: [a[0], a[1], a[2], a[3]], port: self.u16()? })
     }
     fn report(&mut self, names: &[ReportField]) -> Result<LoadReport, WireError> {
         let n = self.u8()?;
@@ -147,8 +147,8 @@
                 ReportField::Waiting => out.waiting = told,
                 ReportField::Busy => out.busy = told,
                 ReportField::WaitMs => out.wait = told.map(micros),
-                ReportField::Allowed => out.allowed = told,
-                ReportField::CutBy => out.cut_by = told,
+                ReportField::AllowedRate => out.allowed_rate = told,
+                ReportField::Reduction => out.reduction = told,
                 ReportField::Unknown => {}
             }
         }
@@ -208,10 +208,10 @@
                 let _version = f.u32()?;
                 let held = || lists.0.get(&buffer).cloned().ok_or(WireError::NoSuchList(buffer));
                 Event::List(match kind {
-                    0 => ListNews::Changes(held()?),
-                    1 => ListNews::Complete(held()?),
-                    2 => ListNews::Cached(held()?),
-                    3 => ListNews::Failed,
+                    0 => ListUpdate::Changes(held()?),
+                    1 => ListUpdate::Complete(held()?),
+                    2 => ListUpdate::Cached(held()?),
+                    3 => ListUpdate::Failed,
                     _ => return f.bad("kind of list"),
                 })
             }
@@ -223,21 +223,21 @@
                 let _took = f.time()?;
                 let report = f.report(names)?;
                 match verdict {
-                    0 => Event::Group { office, report },
+                    0 => Event::GroupReport { exchange_id: office, report },
                     _ => Event::ProbeFailed(office),
                 }
             }
-            1060 => Event::CallerGone(CallId(f.u32()?)),
-            1090 => Event::Stands {
+            1060 => Event::CallAbandoned(CallId(f.u32()?)),
+            1090 => Event::Established {
                 call: CallId(f.u32()?),
-                attempt: AttemptNo(f.u8()?),
-                office: f.office()?,
-                took: f.time()?,
+                attempt: AttemptNumber(f.u8()?),
+                exchange_id: f.office()?,
+                setup_time: f.time()?,
             },
             1050 => {
-                let from = PeerNo(f.u32()?);
+                let from = PeerNumber(f.u32()?);
                 let n = usize::from(f.u16()?);
-                Event::Peer { from, body: f.take(n)?.to_vec() }
+                Event::PeerMessage { from, body: f.take(n)?.to_vec() }
             }
             1080 => Event::Timer(f.u64()?),
             other => return Err(WireError::UnknownCode(other)),
@@ -249,7 +249,7 @@
 
 fn outcome(f: &mut Fields<'_>, names: &[ReportField]) -> Result<Outcome, WireError> {
     let call = CallId(f.u32()?);
-    let attempt = AttemptNo(f.u8()?);
+    let attempt = AttemptNumber(f.u8()?);
     let office = f.office()?;
     let ending = match f.u8()? {
         0 => Ending::Completed,
@@ -258,7 +258,7 @@
         4 => Ending::TimedOut,
         14 => Ending::Unreachable,
         10 => Ending::Reset,
-        1 => Ending::CalledOff,
+        1 => Ending::Cancelled,
         9 => Ending::NotSent,
         _ => return f.bad("outcome"),
     };
@@ -278,7 +278,7 @@
         _ => Cause::None,
     };
     let report = f.report(names)?;
-    Ok(Outcome { call, attempt, office, ending, cause, took, over, report })
+    Ok(Outcome { call, attempt, exchange_id: office, ending, cause, elapsed: took, call_ended: over, report })
 }
 
 fn define_list(f: &mut Fields<'_>, lists: &mut Lists) -> Result<(), WireError> {
@@ -291,7 +291,7 @@
     let mut entries = Vec::with_capacity(n);
     for chunk in bytes.chunks_exact(ENTRY) {
         let mut e = Fields { code: f.code, rest: chunk };
-        let exchange = ExchangeNo(e.u16()?);
+        let exchange = ExchangeNumber(e.u16()?);
         let zone = e.u8()?;
         let state = match e.u8()? {
             0 => ListState::Ready,
@@ -303,7 +303,7 @@
         let (_capacity_hint, _machine) = (e.f32()?, e.u16()?);
         let start = e.time()?;
         let last_start = (start != 0).then_some(start);
-        entries.push(ListEntry { exchange, zone, state, office, last_start });
+        entries.push(ListEntry { exchange, zone, state, exchange_id: office, last_start });
     }
     lists.0.insert(number, entries.into());
     Ok(())
@@ -331,16 +331,16 @@
         redialled: marks & 2 != 0,
         cut_before: marks & 16 != 0,
         number: (number != 0).then_some(number),
-        width: (width.ceil() as u32).max(1),
-        patience,
+        circuits: (width.ceil() as u32).max(1),
+        remaining_time: patience,
         class,
         via: exchange(via),
-        not_before: 0,
+        earliest_attempt: 0,
     })
 }
 
-fn exchange(v: f64) -> Option<ExchangeNo> {
-    (0.0..=65535.0).contains(&v).then_some(ExchangeNo(v as u16))
+fn exchange(v: f64) -> Option<ExchangeNumber> {
+    (0.0..=65535.0).contains(&v).then_some(ExchangeNumber(v as u16))
 }
 
 /// Milliseconds to microseconds; what is no number becomes 0, what is too large the largest value.
@@ -378,7 +378,7 @@
         self.body.put_slice(&text.as_bytes()[..end]);
     }
 
-    fn office(&mut self, office: OfficeId) {
+    fn office(&mut self, office: ExchangeId) {
         self.body.put_slice(&office.addr);
         self.body.put_u16(office.port);
     }
@@ -386,7 +386,7 @@
     /// Adds an action of an instance.
     pub fn action(&mut self, instance: u16, action: &Action) {
         match action {
-            Action::SetUp { call, office, timeout } => {
+            Action::SetUp { call, exchange_id: office, timeout } => {
                 self.begin(instance, 1070);
                 self.body.put_u32(call.0);
                 self.body.put_f64(timeout.map_or(0.0, millis));
@@ -397,7 +397,7 @@
                 self.body.put_f64(millis(*after));
                 self.body.put_u64(*token);
             }
-            Action::Refuse { call, pause } => {
+            Action::Refuse { call, retry_after: pause } => {
                 self.begin(instance, 1090);
                 self.body.put_u32(call.0);
                 self.body.put_f64(millis(*pause));
@@ -406,7 +406,7 @@
                 self.begin(instance, 1120);
                 self.body.put_u32(call.0);
             }
-            Action::CallOff { call, attempt } => {
+            Action::Cancel { call, attempt } => {
                 self.begin(instance, 1060);
                 self.body.put_u32(call.0);
                 self.body.put_u8(attempt.0);
@@ -415,7 +415,7 @@
                 self.begin(instance, 1110);
                 self.office(*office);
             }
-            Action::Tell { to, body } => {
+            Action::SendToPeer { to, body } => {
                 self.begin(instance, 1100);
                 self.body.put_u32(to.map_or(u32::MAX, |p| p.0));
                 let n = body.len().min(256);
@@ -506,51 +506,51 @@
         let give_up = t.time(&give_up)?;
         let aim = key("aim");
         classes.push(Class {
-            aim: if t.0.contains_key(aim.as_str()) { t.time(&aim)? } else { give_up },
-            give_up,
-            late_worth: t.number(&key("lateWorth"), 0.0)?,
-            worth: t.number(&key("worth"), 1.0)?,
-            effect: t.read(&key("effect"), Effect::Retryable, |v| match v {
-                "retryable" => Some(Effect::Retryable),
-                "dedup" | "fragile" => Some(Effect::Guarded),
+            latency_objective: if t.0.contains_key(aim.as_str()) { t.time(&aim)? } else { give_up },
+            client_timeout: give_up,
+            late_value: t.number(&key("lateWorth"), 0.0)?,
+            value: t.number(&key("worth"), 1.0)?,
+            retry_policy: t.read(&key("effect"), RetryPolicy::Retryable, |v| match v {
+                "retryable" => Some(RetryPolicy::Retryable),
+                "dedup" | "fragile" => Some(RetryPolicy::AtMostOnce),
                 _ => None,
             })?,
-            hold: holds.get(i).or(holds.first()).copied().unwrap_or(0),
-            pools: pools(&t, &list("extra.allowedPools"), i),
+            mean_hold_time: holds.get(i).or(holds.first()).copied().unwrap_or(0),
+            allowed_pools: pools(&t, &list("extra.allowedPools"), i),
         });
     }
     let own = t.number("extra.ownExchange", -1.0)?;
     Ok(Settings {
         classes,
-        shape: t.read("extra.shape", Shape::Mesh, |v| match v {
-            "meshed" => Some(Shape::Mesh),
-            "groups" => Some(Shape::Pools),
+        topology: t.read("extra.shape", Topology::Mesh, |v| match v {
+            "meshed" => Some(Topology::Mesh),
+            "groups" => Some(Topology::Pools),
             _ => None,
         })?,
-        own: exchange(own),
+        own_exchange: exchange(own),
         zone: t.count("zone")?.min(255) as u8,
-        siblings: t.count("siblings")?.max(1),
-        rank: PeerNo(t.count("rank")?),
-        membership: t.read("membershipMode", Membership::Pushed, |v| match v {
-            "pushed" => Some(Membership::Pushed),
-            "on_request" => Some(Membership::OnRequest),
+        controller_count: t.count("siblings")?.max(1),
+        own_peer: PeerNumber(t.count("rank")?),
+        membership_mode: t.read("membershipMode", MembershipMode::Pushed, |v| match v {
+            "pushed" => Some(MembershipMode::Pushed),
+            "on_request" => Some(MembershipMode::OnRequest),
             _ => None,
         })?,
         report_fields: list("report.fields").into_iter().map(report_field).collect(),
-        release: t.time("extra.release")?,
-        may_call_off: t.flag("limits.mayCancel")?,
+        quiet_period: t.time("extra.release")?,
+        may_cancel: t.flag("limits.mayCancel")?,
         may_probe: t.flag("limits.mayProbe")?,
-        may_tell: t.flag("limits.peers")?,
-        max_pause: t.time("limits.maxRetryAfter")?,
-        try_limit: t.count("limits.tryLimit")?,
-        open_cap: t.count("limits.openCap")?,
-        must_ask_in: t.time("rules.mustAskIn")?,
+        may_message_peers: t.flag("limits.peers")?,
+        max_retry_after: t.time("limits.maxRetryAfter")?,
+        max_attempts: t.count("limits.tryLimit")?,
+        max_open_calls: t.count("limits.openCap")?,
+        max_list_age: t.time("rules.mustAskIn")?,
         drain_grace: t.time("rules.stopSendingWithin")?,
-        cold_from: t.number("rules.coldFrom", 0.0)?,
-        cold: t.time("rules.cold")?,
+        cold_start_capacity: t.number("rules.coldFrom", 0.0)?,
+        cold_start_period: t.time("rules.cold")?,
         overload_factor: t.number("rules.overloadFactor", 0.0)?,
-        fall: t.time("rules.fall")?,
-        tick: t.time("tick")?,
+        overload_window: t.time("rules.fall")?,
+        min_batch_interval: t.time("tick")?,
     })
 }
 
@@ -562,14 +562,14 @@
         "waiting" => ReportField::Waiting,
         "cpu" => ReportField::Busy,
         "avg_ms" => ReportField::WaitMs,
-        "allowed" => ReportField::Allowed,
-        "cut_by" => ReportField::CutBy,
+        "allowed" => ReportField::AllowedRate,
+        "cut_by" => ReportField::Reduction,
         _ => ReportField::Unknown,
     }
 }
 
 /// The pools of class `i`: written as a list of lists, or as one list for all classes.
-fn pools(t: &Text<'_>, flat: &[&str], i: usize) -> Vec<ExchangeNo> {
+fn pools(t: &Text<'_>, flat: &[&str], i: usize) -> Vec<ExchangeNumber> {
     let own = t.0.get(format!("extra.allowedPools.{i}").as_str());
     let words: Vec<&str> = own.map_or_else(|| flat.to_vec(), |v| v.split(',').collect());
     words.into_iter().filter_map(number).filter_map(exchange).collect()
--- a/src/protocol/upstream/list.rs
+++ b/src/protocol/upstream/list.rs
@@ -11,15 +11,15 @@
             self.entry(now, e, place);
         }
         if complete {
-            let missing: Vec<OfficeId> =
-                self.links.keys().copied().filter(|o| !entries.iter().any(|e| e.office == *o)).collect();
+            let missing: Vec<ExchangeId> =
+                self.links.keys().copied().filter(|o| !entries.iter().any(|e| e.exchange_id == *o)).collect();
             missing.into_iter().for_each(|o| self.gone(now, o));
         }
     }
 
     pub(super) fn entry(&mut self, now: Micros, e: &ListEntry, place: &Place) {
         if e.state == ListState::Gone {
-            return self.gone(now, e.office);
+            return self.gone(now, e.exchange_id);
         }
         let fresh = || Upstream {
             place: place.clone(),
@@ -41,30 +41,30 @@
             leases: Leases::new(now),
             lease_due: None,
         };
-        let link = self.links.entry(e.office).or_insert_with(fresh);
+        let link = self.links.entry(e.exchange_id).or_insert_with(fresh);
         let restarted = e.last_start.is_some() && e.last_start != link.started;
         link.state = e.state;
         link.started = e.last_start;
         if e.state == ListState::Draining {
-            self.shed(e.office);
+            self.shed(e.exchange_id);
         }
         if restarted {
             // What stood at the old process went down with it.
             let start = e.last_start.unwrap_or(now);
-            self.cut_standing(e.office, |leg| leg.began < start);
+            self.cut_standing(e.exchange_id, |leg| leg.began < start);
         }
         if self
             .links
-            .get(&e.office)
+            .get(&e.exchange_id)
             .is_some_and(|l| l.connection == ConnectionState::Down && l.retry_due.is_none())
         {
-            self.connect(now, e.office);
+            self.connect(now, e.exchange_id);
         }
     }
 
     /// An office takes nothing new: a set-up that waits for a connection, or behind others on one that is slow,
     /// could leave after the grace.
-    pub fn shed(&mut self, office: OfficeId) {
+    pub fn shed(&mut self, office: ExchangeId) {
         self.fail_waiting(office);
         let sent = |l: &Attempt| match l.stage {
             Stage::Sent(conn) if l.office == office => Some((l.call, l.attempt, conn)),
@@ -77,13 +77,13 @@
     }
 
     /// A set-up has not left, and never will.
-    pub fn unsent(&mut self, call: CallId, attempt: AttemptNo) {
+    pub fn unsent(&mut self, call: CallId, attempt: AttemptNumber) {
         if self.leg_of(call).is_some_and(|l| l.attempt == attempt && matches!(l.stage, Stage::Sent(_))) {
             self.end_leg(call, (Ending::Unreachable, Cause::None), LoadReport::default());
         }
     }
 
-    pub(super) fn gone(&mut self, now: Micros, office: OfficeId) {
+    pub(super) fn gone(&mut self, now: Micros, office: ExchangeId) {
         let Some(link) = self.links.get_mut(&office) else { return };
         if link.state != ListState::Gone {
             link.state = ListState::Gone;
@@ -93,7 +93,7 @@
     }
 
     /// The one place where a link is given back.
-    pub(super) fn drop_link(&mut self, now: Micros, office: OfficeId) {
+    pub(super) fn drop_link(&mut self, now: Micros, office: ExchangeId) {
         self.fail_waiting(office);
         self.end_sent(now, office, Ending::Reset);
         self.cut_standing(office, |_| true);
--- a/src/routing/administrative_state.rs
+++ b/src/routing/administrative_state.rs
@@ -7,7 +7,7 @@
 //! something is first taken out of service, lists and reports pass through unchanged.
 
 use super::interface::{
-    ExchangeNo, ListEntry, ListNews, ListState, LoadReport, Micros, OfficeId, OutOfService,
+    ExchangeId, ExchangeNumber, ListEntry, ListState, ListUpdate, LoadReport, Micros, OutOfService,
 };
 use std::collections::BTreeMap;
 
@@ -17,7 +17,7 @@
     /// List entries of the exchanges whose administrative state changed.
     pub entries: Vec<ListEntry>,
     /// Load reports of the groups whose administrative state changed.
-    pub groups: Vec<(OfficeId, LoadReport)>,
+    pub groups: Vec<(ExchangeId, LoadReport)>,
 }
 
 /// The exchange list and circuit counts as received, and what operators took out of service.
@@ -25,16 +25,16 @@
 pub struct AdministrativeState {
     /// Time over which a group put back into service regains its circuits (µs).
     ramp_period: Micros,
-    listed: BTreeMap<OfficeId, ListEntry>,
+    listed: BTreeMap<ExchangeId, ListEntry>,
     /// Free circuits and size of the group to each exchange, and when they were reported.
-    circuits: BTreeMap<OfficeId, (f64, f64, Micros)>,
+    circuits: BTreeMap<ExchangeId, (f64, f64, Micros)>,
     out_of_service: OutOfService,
     /// When each group that is out of service was taken out.
-    groups_out_since: BTreeMap<ExchangeNo, Micros>,
+    groups_out_since: BTreeMap<ExchangeNumber, Micros>,
     /// When exchanges were put back into service.
-    restored_exchanges: BTreeMap<ExchangeNo, Micros>,
+    restored_exchanges: BTreeMap<ExchangeNumber, Micros>,
     /// When groups were put back into service, until they have regained all circuits.
-    restored_groups: BTreeMap<ExchangeNo, Micros>,
+    restored_groups: BTreeMap<ExchangeNumber, Micros>,
 }
 
 impl AdministrativeState {
@@ -65,9 +65,10 @@
     }
 
     /// Records a list update and returns it with the administrative state applied.
-    pub fn apply_list(&mut self, news: ListNews) -> ListNews {
-        let is_complete = matches!(news, ListNews::Complete(_) | ListNews::Cached(_));
-        let (ListNews::Changes(entries) | ListNews::Complete(entries) | ListNews::Cached(entries)) = &news
+    pub fn apply_list(&mut self, news: ListUpdate) -> ListUpdate {
+        let is_complete = matches!(news, ListUpdate::Complete(_) | ListUpdate::Cached(_));
+        let (ListUpdate::Changes(entries) | ListUpdate::Complete(entries) | ListUpdate::Cached(entries)) =
+            &news
         else {
             return news;
         };
@@ -76,8 +77,8 @@
         }
         for e in entries.iter() {
             match e.state {
-                ListState::Gone => drop(self.listed.remove(&e.office)),
-                _ => drop(self.listed.insert(e.office, e.clone())),
+                ListState::Gone => drop(self.listed.remove(&e.exchange_id)),
+                _ => drop(self.listed.insert(e.exchange_id, e.clone())),
             }
         }
         let listed = &self.listed;
@@ -87,14 +88,14 @@
         }
         let effective = entries.iter().map(|e| self.effective(e)).collect();
         match news {
-            ListNews::Changes(_) => ListNews::Changes(effective),
-            ListNews::Complete(_) => ListNews::Complete(effective),
-            _ => ListNews::Cached(effective),
+            ListUpdate::Changes(_) => ListUpdate::Changes(effective),
+            ListUpdate::Complete(_) => ListUpdate::Complete(effective),
+            _ => ListUpdate::Cached(effective),
         }
     }
 
     /// Records a load report and returns it with the administrative state applied.
-    pub fn apply_report(&mut self, now: Micros, office: OfficeId, mut report: LoadReport) -> LoadReport {
+    pub fn apply_report(&mut self, now: Micros, office: ExchangeId, mut report: LoadReport) -> LoadReport {
         if let (Some(free), Some(size)) = (report.free, report.size) {
             self.circuits.insert(office, (free, size, now));
             report.free = Some(self.free_circuits(now, office, (free, size)));
@@ -102,7 +103,7 @@
         report
     }
 
-    fn free_circuits(&self, now: Micros, office: OfficeId, (free, size): (f64, f64)) -> f64 {
+    fn free_circuits(&self, now: Micros, office: ExchangeId, (free, size): (f64, f64)) -> f64 {
         let Some(exchange) = self.listed.get(&office).map(|e| e.exchange) else { return free };
         if self.out_of_service.groups.contains(&exchange) {
             return 0.0;
@@ -141,7 +142,7 @@
             old.exchanges.contains(&e.exchange) != self.out_of_service.exchanges.contains(&e.exchange)
         };
         let entries = self.listed.values().filter(exchange_changed).map(|e| self.effective(e)).collect();
-        let group_changed = |office: &OfficeId| {
+        let group_changed = |office: &ExchangeId| {
             self.listed.get(office).is_some_and(|e| {
                 old.groups.contains(&e.exchange) != self.out_of_service.groups.contains(&e.exchange)
             })
@@ -152,7 +153,7 @@
         Changes { entries, groups }
     }
 
-    fn group_report(&self, now: Micros, office: OfficeId, f: (f64, f64, Micros)) -> LoadReport {
+    fn group_report(&self, now: Micros, office: ExchangeId, f: (f64, f64, Micros)) -> LoadReport {
         LoadReport {
             free: Some(self.free_circuits(now, office, (f.0, f.1))),
             size: Some(f.1),
@@ -162,11 +163,11 @@
 
     /// Load reports of the groups that are regaining their circuits. To be passed to the decision module about every
     /// tenth of the ramp period.
-    pub fn ramping_groups(&mut self, now: Micros) -> Vec<(OfficeId, LoadReport)> {
+    pub fn ramping_groups(&mut self, now: Micros) -> Vec<(ExchangeId, LoadReport)> {
         if self.restored_groups.is_empty() {
             return Vec::new();
         }
-        let report_of = |(&office, &f): (&OfficeId, &(f64, f64, Micros))| {
+        let report_of = |(&office, &f): (&ExchangeId, &(f64, f64, Micros))| {
             let exchange = self.listed.get(&office)?.exchange;
             self.restored_groups.contains_key(&exchange).then(|| (office, self.group_report(now, office, f)))
         };
@@ -177,7 +178,7 @@
     }
 
     /// When the group to an exchange was taken out of service; `None` if it is in service.
-    pub fn group_out_since(&self, office: OfficeId) -> Option<Micros> {
+    pub fn group_out_since(&self, office: ExchangeId) -> Option<Micros> {
         self.groups_out_since.get(&self.listed.get(&office)?.exchange).copied()
     }
 
@@ -187,17 +188,17 @@
     }
 
     /// The exchange number of a machine, while it is on the list.
-    pub fn exchange_of(&self, office: OfficeId) -> Option<ExchangeNo> {
+    pub fn exchange_of(&self, office: ExchangeId) -> Option<ExchangeNumber> {
         self.listed.get(&office).map(|e| e.exchange)
     }
 
     /// The list as received from the coordinator, with free circuits and size of each group.
     pub fn offices(&self) -> impl Iterator<Item = (&ListEntry, Option<(f64, f64)>)> {
-        self.listed.values().map(|e| (e, self.circuits.get(&e.office).map(|f| (f.0, f.1))))
+        self.listed.values().map(|e| (e, self.circuits.get(&e.exchange_id).map(|f| (f.0, f.1))))
     }
 
     /// Free circuits and size of each group as reported, and when.
-    pub fn group_circuits(&self) -> impl Iterator<Item = (OfficeId, (f64, f64, Micros))> + '_ {
+    pub fn group_circuits(&self) -> impl Iterator<Item = (ExchangeId, (f64, f64, Micros))> + '_ {
         self.circuits.iter().map(|(&office, &f)| (office, f))
     }
 }
@@ -209,13 +210,13 @@
     const RAMP_PERIOD: Micros = 15_000_000;
 
     fn entry(n: u16, state: ListState) -> ListEntry {
-        let office = OfficeId { addr: [0, 0, 0, n as u8], port: 0 };
-        ListEntry { exchange: ExchangeNo(n), zone: 0, state, office, last_start: None }
+        let office = ExchangeId { addr: [0, 0, 0, n as u8], port: 0 };
+        ListEntry { exchange: ExchangeNumber(n), zone: 0, state, exchange_id: office, last_start: None }
     }
 
     fn out_of_service(exchanges: &[u16], groups: &[u16]) -> OutOfService {
-        let set = |numbers: &[u16]| numbers.iter().map(|&n| ExchangeNo(n)).collect();
-        OutOfService { exchanges: set(exchanges), groups: set(groups), all: false }
+        let set = |numbers: &[u16]| numbers.iter().map(|&n| ExchangeNumber(n)).collect();
+        OutOfService { exchanges: set(exchanges), groups: set(groups), controller: false }
     }
 
     fn report(free: f64) -> LoadReport {
@@ -225,10 +226,10 @@
     #[test]
     fn lists_and_reports_are_unchanged_while_everything_is_in_service() {
         let mut administration = AdministrativeState::new(RAMP_PERIOD);
-        let news = ListNews::Complete([entry(1, ListState::Ready), entry(2, ListState::Draining)].into());
+        let news = ListUpdate::Complete([entry(1, ListState::Ready), entry(2, ListState::Draining)].into());
         assert_eq!(administration.apply_list(news.clone()), news);
         assert_eq!(
-            administration.apply_report(5, entry(1, ListState::Ready).office, report(7.0)),
+            administration.apply_report(5, entry(1, ListState::Ready).exchange_id, report(7.0)),
             report(7.0)
         );
         assert!(
@@ -240,15 +241,15 @@
     #[test]
     fn coordinator_and_operator_drains_are_independent() {
         let mut administration = AdministrativeState::new(RAMP_PERIOD);
-        administration.apply_list(ListNews::Complete([entry(1, ListState::Ready)].into()));
+        administration.apply_list(ListUpdate::Complete([entry(1, ListState::Ready)].into()));
         assert_eq!(
             administration.set_out_of_service(10, out_of_service(&[1], &[])).entries[0].state,
             ListState::Draining
         );
         // The coordinator drains the exchange as well and ends its drain first.
         for state in [ListState::Draining, ListState::Ready] {
-            let ListNews::Changes(effective) =
-                administration.apply_list(ListNews::Changes([entry(1, state)].into()))
+            let ListUpdate::Changes(effective) =
+                administration.apply_list(ListUpdate::Changes([entry(1, state)].into()))
             else {
                 panic!()
             };
@@ -256,18 +257,19 @@
         }
         // A replacement machine that serves the same exchange is out of service as well.
         let replacement =
-            ListEntry { office: OfficeId { addr: [9; 4], port: 0 }, ..entry(1, ListState::Ready) };
-        let ListNews::Changes(effective) = administration.apply_list(ListNews::Changes([replacement].into()))
+            ListEntry { exchange_id: ExchangeId { addr: [9; 4], port: 0 }, ..entry(1, ListState::Ready) };
+        let ListUpdate::Changes(effective) =
+            administration.apply_list(ListUpdate::Changes([replacement].into()))
         else {
             panic!()
         };
         assert_eq!(effective[0].state, ListState::Draining);
         // The operator ends the drain before the coordinator does.
-        administration.apply_list(ListNews::Changes([entry(1, ListState::Draining)].into()));
+        administration.apply_list(ListUpdate::Changes([entry(1, ListState::Draining)].into()));
         let restored = administration.set_out_of_service(20, out_of_service(&[], &[])).entries;
-        let state = |office| restored.iter().find(|e| e.office == office).unwrap();
-        assert_eq!(state(entry(1, ListState::Ready).office).state, ListState::Draining);
-        let ready = state(OfficeId { addr: [9; 4], port: 0 });
+        let state = |office| restored.iter().find(|e| e.exchange_id == office).unwrap();
+        assert_eq!(state(entry(1, ListState::Ready).exchange_id).state, ListState::Draining);
+        let ready = state(ExchangeId { addr: [9; 4], port: 0 });
         assert_eq!(
             (ready.state, ready.last_start),
             (ListState::Ready, Some(20)),
@@ -278,8 +280,8 @@
     #[test]
     fn a_group_loses_its_circuits_at_once_and_regains_them_gradually() {
         let mut administration = AdministrativeState::new(RAMP_PERIOD);
-        let office = entry(1, ListState::Ready).office;
-        administration.apply_list(ListNews::Complete([entry(1, ListState::Ready)].into()));
+        let office = entry(1, ListState::Ready).exchange_id;
+        administration.apply_list(ListUpdate::Complete([entry(1, ListState::Ready)].into()));
         administration.apply_report(0, office, report(18.0));
         assert_eq!(
             administration.set_out_of_service(10, out_of_service(&[], &[1])).groups[0].1.free,
--- a/src/routing/control/membership.rs
+++ b/src/routing/control/membership.rs
@@ -1,72 +1,73 @@
-//! The list of exchanges.
+//! Updates of the list of exchanges.
 
 use super::*;
 
-/// The list is asked for again this long after a failure (on request; µs).
-const LIST_RETRY: Micros = 1_000_000;
+/// Delay before the list is requested again after a failure (on request only; µs).
+const LIST_RETRY_DELAY: Micros = 1_000_000;
 
 impl Controller {
-    pub(super) fn on_list(&mut self, now: Micros, news: ListNews) {
-        let (entries, complete) = match news {
-            ListNews::Failed => {
-                self.list_due = Some(now + LIST_RETRY);
+    pub(super) fn on_list(&mut self, now: Micros, update: ListUpdate) {
+        let (entries, complete) = match update {
+            ListUpdate::Failed => {
+                self.subscribe_at = Some(now + LIST_RETRY_DELAY);
                 return;
             }
-            ListNews::Changes(e) => (e, false),
-            ListNews::Complete(e) | ListNews::Cached(e) => (e, true),
+            ListUpdate::Changes(entries) => (entries, false),
+            ListUpdate::Complete(entries) | ListUpdate::Cached(entries) => (entries, true),
         };
-        for e in entries.iter() {
-            self.on_entry(now, e);
+        for entry in entries.iter() {
+            self.on_entry(now, entry);
         }
         if complete {
-            let named: BTreeSet<OfficeId> = entries.iter().map(|e| e.office).collect();
-            for o in &mut self.offices {
-                if !named.contains(&o.id) {
-                    o.state = ListState::Gone;
+            let listed: BTreeSet<ExchangeId> = entries.iter().map(|e| e.exchange_id).collect();
+            for exchange in &mut self.exchanges {
+                if !listed.contains(&exchange.exchange_id) {
+                    exchange.state = ListState::Gone;
                 }
             }
         }
-        self.listed = true;
-        self.ready = self.offices.iter().filter(|o| o.state == ListState::Ready).count();
-        self.by_exchange.clear();
-        for (i, o) in self.offices.iter().enumerate() {
-            let better = |&j: &usize| self.offices[j].state == ListState::Ready;
-            if !self.by_exchange.get(&o.exchange).is_some_and(better) {
-                self.by_exchange.insert(o.exchange, i);
+        self.list_received = true;
+        self.ready_exchanges = self.exchanges.iter().filter(|e| e.state == ListState::Ready).count();
+        self.index_by_number.clear();
+        for (i, exchange) in self.exchanges.iter().enumerate() {
+            let ready = |&j: &usize| self.exchanges[j].state == ListState::Ready;
+            if !self.index_by_number.get(&exchange.exchange).is_some_and(ready) {
+                self.index_by_number.insert(exchange.exchange, i);
             }
         }
     }
 
-    pub(super) fn on_entry(&mut self, now: Micros, e: &ListEntry) {
-        let part = self.chance();
-        let known = self.by_id.get(&e.office).copied();
-        let i = known.unwrap_or_else(|| {
-            // Danger: replaced machines would fill the table for good; one that is gone gives up its place.
-            let gone = self.offices.iter().position(|o| o.state == ListState::Gone && o.out.is_empty());
-            let i = gone.unwrap_or(self.offices.len());
-            let mut office = Office::new(e, now);
-            // One that was not there before may be fresh from start.
-            office.started = e.last_start.or(self.listed.then_some(now));
-            office.cold_wait.1 = part;
-            if gone.is_some() {
-                self.by_id.remove(&self.offices[i].id);
-                self.ways.retain(|way, _| way.1 != i);
-                self.offices[i] = office;
+    pub(super) fn on_entry(&mut self, now: Micros, entry: &ListEntry) {
+        let initial_debt = self.random();
+        let known = self.index_by_id.get(&entry.exchange_id).copied();
+        let index = known.unwrap_or_else(|| {
+            // Reuses the slot of a removed machine; otherwise replaced machines would accumulate without bound.
+            let unused =
+                self.exchanges.iter().position(|e| e.state == ListState::Gone && e.pending.is_empty());
+            let index = unused.unwrap_or(self.exchanges.len());
+            let mut exchange = ExchangeState::new(entry, now);
+            // A machine that appears after the first list may have just started.
+            exchange.started = entry.last_start.or(self.list_received.then_some(now));
+            exchange.cold_start_debt.1 = initial_debt;
+            if unused.is_some() {
+                self.index_by_id.remove(&self.exchanges[index].exchange_id);
+                self.tandem_paths.retain(|path, _| path.1 != index);
+                self.exchanges[index] = exchange;
             } else {
-                self.offices.push(office);
+                self.exchanges.push(exchange);
             }
-            self.by_id.insert(e.office, i);
-            i
+            self.index_by_id.insert(entry.exchange_id, index);
+            index
         });
-        let o = &mut self.offices[i];
-        o.state = e.state;
-        o.exchange = e.exchange;
-        if e.last_start.is_some() && e.last_start != o.started {
-            // Restarted: what was known of the old processor is void.
-            o.started = e.last_start;
-            o.cold_wait = (now, part);
-            o.gate = Gate { width: 1.0, ..Gate::OPEN };
-            o.pressed = now;
+        let exchange = &mut self.exchanges[index];
+        exchange.state = entry.state;
+        exchange.exchange = entry.exchange;
+        if entry.last_start.is_some() && entry.last_start != exchange.started {
+            // The processor restarted: its previous load and limits no longer apply.
+            exchange.started = entry.last_start;
+            exchange.cold_start_debt = (now, initial_debt);
+            exchange.concurrency = ConcurrencyLimit { limit: 1.0, ..ConcurrencyLimit::INITIAL };
+            exchange.overloaded_until = now;
         }
     }
 }
--- a/src/routing/control/tick.rs
+++ b/src/routing/control/tick.rs
@@ -1,26 +1,28 @@
-//! Housekeeping, some tens of times a second.
+//! Periodic work, done on each tick.
 
 use super::*;
 
 impl Controller {
     pub(super) fn on_tick(&mut self, now: Micros, out: &mut Vec<Action>) {
-        out.push(Action::SetTimer { after: TICK, token: 0 });
-        if self.list_due.is_some_and(|due| now >= due) {
-            self.list_due = None;
+        out.push(Action::SetTimer { after: TICK_INTERVAL, token: 0 });
+        if self.subscribe_at.is_some_and(|due| now >= due) {
+            self.subscribe_at = None;
             out.push(Action::Subscribe);
         }
-        if self.tell_due.is_some_and(|due| now >= due) {
-            self.tell_due = Some(now + TELL_EVERY);
-            self.tell_groups(out);
+        if self.next_group_message.is_some_and(|due| now >= due) {
+            self.next_group_message = Some(now + GROUP_MESSAGE_INTERVAL);
+            self.send_groups(out);
         }
-        let silence = SILENCE * self.mean_aim;
-        let hangs = |o: &Office| o.silent(now, self.woke, silence) && !o.by_chance(o.out.len());
-        for o in self.offices.iter_mut().filter(|o| hangs(o)) {
-            o.shut(now, 0);
+        let min_age = UNRESPONSIVE_SHARE * self.mean_objective;
+        let failed = |e: &ExchangeState| {
+            e.unresponsive(now, self.resumed_at, min_age) && !e.explained_by_loss(e.pending.len())
+        };
+        for exchange in self.exchanges.iter_mut().filter(|e| failed(e)) {
+            exchange.trip(now, 0);
         }
-        self.call_off_lost(now, out);
-        self.ways.retain(|_, w| w.back > now || now - w.open < WAY_OPEN);
-        self.numbers.retain(|_, until| *until > now);
-        self.serve_held(now, None, true, out);
+        self.cancel_lost(now, out);
+        self.tandem_paths.retain(|_, path| path.blocked_until > now || now - path.last_open < PATH_OPEN_TIME);
+        self.congested_numbers.retain(|_, until| *until > now);
+        self.retry_queued(now, None, true, out);
     }
 }
--- a/src/routing/ledger.rs
+++ b/src/routing/ledger.rs
@@ -72,7 +72,7 @@
     /// A timer that the decision module requested, with its token.
     Controller(u64),
     /// The timeout of an attempt.
-    Attempt(CallId, AttemptNo),
+    Attempt(CallId, AttemptNumber),
     /// The deadline for the final answer to a call.
     Call(CallId),
 }
@@ -85,9 +85,9 @@
         /// The call.
         call: CallId,
         /// The attempt.
-        attempt: AttemptNo,
+        attempt: AttemptNumber,
         /// The exchange to send it to.
-        office: OfficeId,
+        office: ExchangeId,
         /// The timeout of the attempt.
         timeout: Micros,
     },
@@ -96,9 +96,9 @@
         /// The call.
         call: CallId,
         /// The attempt.
-        attempt: AttemptNo,
+        attempt: AttemptNumber,
         /// The exchange that the set-up was sent to.
-        office: OfficeId,
+        office: ExchangeId,
     },
     /// Send the final answer to the caller.
     Answer {
@@ -113,7 +113,7 @@
         /// When the call was offered.
         offered_at: Micros,
         /// The destination of the call.
-        destination: ExchangeNo,
+        destination: ExchangeNumber,
         /// The last attempt, if any set-up was sent.
         last_attempt: Option<LastAttempt>,
     },
@@ -122,7 +122,7 @@
         /// The call.
         call: CallId,
         /// The exchange that the set-up was sent to, if it was on the exchange list.
-        exchange: Option<ExchangeNo>,
+        exchange: Option<ExchangeNumber>,
         /// How the attempt ended.
         ending: Ending,
         /// The reported cause.
@@ -138,11 +138,11 @@
         cut: bool,
     },
     /// Probe an exchange.
-    Probe(OfficeId),
+    Probe(ExchangeId),
     /// Send a message to one peer, or to all peers.
     SendToPeer {
         /// The peer; `None` means all peers.
-        to: Option<PeerNo>,
+        to: Option<PeerNumber>,
         /// The message.
         body: Vec<u8>,
     },
@@ -158,7 +158,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LastAttempt {
     /// The exchange that the set-up was sent to, if it was on the exchange list.
-    pub exchange: Option<ExchangeNo>,
+    pub exchange: Option<ExchangeNumber>,
     /// Time from the set-up to its answer or its end.
     pub setup_time: Micros,
     /// How the attempt failed; `None` if it established the call.
@@ -206,9 +206,9 @@
     /// The decision module holds the call; no attempt is in progress.
     Deciding,
     /// A set-up is in progress.
-    SettingUp { attempt: AttemptNo, office: OfficeId, since: Micros },
+    SettingUp { attempt: AttemptNumber, office: ExchangeId, since: Micros },
     /// The call is established.
-    Established { attempt: AttemptNo, office: OfficeId, since: Micros },
+    Established { attempt: AttemptNumber, office: ExchangeId, since: Micros },
 }
 
 #[derive(Debug)]
@@ -222,7 +222,7 @@
     /// No set-up is sent before this time: an earlier attempt may still be active at its exchange.
     quiet_until: Micros,
     /// The exchange that the last set-up was sent to.
-    exchange: Option<ExchangeNo>,
+    exchange: Option<ExchangeNumber>,
     last_attempt: Option<LastAttempt>,
 }
 
@@ -267,11 +267,11 @@
     /// The front end that the call came from.
     pub frontend: FrontendId,
     /// The destination of the call.
-    pub destination: ExchangeNo,
+    pub destination: ExchangeNumber,
     /// The state of the call, as shown to operators.
     pub state: &'static str,
     /// The exchange that the current set-up or the established call uses.
-    pub exchange: Option<ExchangeNo>,
+    pub exchange: Option<ExchangeNumber>,
     /// When the call entered this state.
     pub since: Micros,
 }
@@ -285,7 +285,7 @@
     drain_grace: Micros,
     calls: BTreeMap<CallId, CallEntry>,
     /// The exchanges on the list and those removed within the drain grace. No set-up is sent to any other.
-    offices: BTreeMap<OfficeId, Availability>,
+    offices: BTreeMap<ExchangeId, Availability>,
     /// Exchanges and trunk groups that operators took out of service.
     administrative_state: AdministrativeState,
     next_call_id: u32,
@@ -304,17 +304,17 @@
             shortest_latency_objective: settings
                 .classes
                 .iter()
-                .map(|c| c.aim)
+                .map(|c| c.latency_objective)
                 .min()
                 .unwrap_or(1_000_000)
                 .max(1),
             quiet_period: if fault_injected(InjectedFault::RetryInQuietPeriod) {
                 0
             } else {
-                settings.release
+                settings.quiet_period
             },
             drain_grace: settings.drain_grace,
-            administrative_state: AdministrativeState::new(settings.cold),
+            administrative_state: AdministrativeState::new(settings.cold_start_period),
             controller: Controller::new(settings, seed),
             calls: BTreeMap::new(),
             offices: BTreeMap::new(),
@@ -334,14 +334,14 @@
         self.next_call_id = self.next_call_id.wrapping_add(1);
         offered.new_call.call = call;
         let new_call = offered.new_call.clone();
-        let deadline = now.saturating_add(new_call.patience.max(0));
+        let deadline = now.saturating_add(new_call.remaining_time.max(0));
         let entry = CallEntry {
             offered,
             offered_at: now,
             deadline,
             stage: Stage::Deciding,
             attempts: 0,
-            quiet_until: new_call.not_before,
+            quiet_until: new_call.earliest_attempt,
             last_attempt: None,
             exchange: None,
         };
@@ -369,7 +369,7 @@
         if !matches!(entry.stage, Stage::Established { .. }) {
             self.open_calls -= 1;
             self.counts.abandoned += 1;
-            self.dispatch(now, Event::CallerGone(call));
+            self.dispatch(now, Event::CallAbandoned(call));
         }
     }
 
@@ -379,7 +379,7 @@
         &mut self,
         now: Micros,
         call: CallId,
-        attempt: AttemptNo,
+        attempt: AttemptNumber,
         description: Option<SessionDescription>,
     ) -> bool {
         let Some(entry) = self.calls.get_mut(&call) else { return false };
@@ -395,7 +395,10 @@
         self.open_calls -= 1;
         self.counts.established += 1;
         self.outputs.push(output);
-        self.dispatch(now, Event::Stands { call, attempt, office, took: now - since });
+        self.dispatch(
+            now,
+            Event::Established { call, attempt, exchange_id: office, setup_time: now - since },
+        );
         true
     }
 
@@ -404,7 +407,7 @@
         &mut self,
         now: Micros,
         call: CallId,
-        attempt: AttemptNo,
+        attempt: AttemptNumber,
         result: (Ending, Cause),
         report: LoadReport,
     ) {
@@ -427,7 +430,7 @@
             self.outputs.push(Output::Release { frontend, call, cut });
         } else {
             entry.stage = Stage::Deciding;
-            if matches!(ending, Ending::TimedOut | Ending::Reset | Ending::CalledOff) {
+            if matches!(ending, Ending::TimedOut | Ending::Reset | Ending::Cancelled) {
                 entry.quiet_until = now + self.quiet_period;
             }
             *self.counts.endings.entry(ending_name(ending)).or_default() += 1;
@@ -440,14 +443,23 @@
         }
         let took = now - since;
         let report = self.administrative_state.apply_report(now, office, report);
-        let outcome = Outcome { call, attempt, office, ending, cause, took, over: was_established, report };
+        let outcome = Outcome {
+            call,
+            attempt,
+            exchange_id: office,
+            ending,
+            cause,
+            elapsed: took,
+            call_ended: was_established,
+            report,
+        };
         self.dispatch(now, Event::Ended(outcome));
     }
 
     /// A load report of an exchange or of the trunk group to it.
-    pub fn group_report(&mut self, now: Micros, office: OfficeId, report: LoadReport) {
+    pub fn group_report(&mut self, now: Micros, office: ExchangeId, report: LoadReport) {
         let report = self.administrative_state.apply_report(now, office, report);
-        self.dispatch(now, Event::Group { office, report });
+        self.dispatch(now, Event::GroupReport { exchange_id: office, report });
     }
 
     /// Replaces the set of exchanges and groups that operators took out of service. Set-ups may still be sent
@@ -456,16 +468,16 @@
         let changes = self.administrative_state.set_out_of_service(now, out_of_service.clone());
         if !changes.entries.is_empty() {
             self.update_availability(now, &changes.entries);
-            self.dispatch(now, Event::List(ListNews::Changes(changes.entries.into())));
+            self.dispatch(now, Event::List(ListUpdate::Changes(changes.entries.into())));
         }
         for (office, report) in changes.groups {
-            self.dispatch(now, Event::Group { office, report });
+            self.dispatch(now, Event::GroupReport { exchange_id: office, report });
         }
         self.dispatch(now, Event::OutOfService(out_of_service));
     }
 
     /// Replaces the set of exchanges suspected of accepting set-ups without answering them.
-    pub fn suspected_changed(&mut self, now: Micros, suspected: BTreeSet<ExchangeNo>) {
+    pub fn suspected_changed(&mut self, now: Micros, suspected: BTreeSet<ExchangeNumber>) {
         self.dispatch(now, Event::Suspected(suspected));
     }
 
@@ -477,13 +489,13 @@
     /// Raises the capacity of groups that were put back into service. To be called periodically.
     pub fn ramp_restored_groups(&mut self, now: Micros) {
         for (office, report) in self.administrative_state.ramping_groups(now) {
-            self.dispatch(now, Event::Group { office, report });
+            self.dispatch(now, Event::GroupReport { exchange_id: office, report });
         }
     }
 
     /// Releases, towards both sides, the established calls for which `which` returns true, given the exchange
     /// that the call was set up through and its destination.
-    pub fn cut_calls(&mut self, now: Micros, which: impl Fn(Option<ExchangeNo>, ExchangeNo) -> bool) {
+    pub fn cut_calls(&mut self, now: Micros, which: impl Fn(Option<ExchangeNumber>, ExchangeNumber) -> bool) {
         let selected = |(&call, e): (&CallId, &CallEntry)| match e.stage {
             Stage::Established { attempt, office, .. }
                 if which(e.exchange, e.offered.new_call.destination) =>
@@ -500,24 +512,24 @@
     }
 
     /// A probe failed.
-    pub fn probe_failed(&mut self, now: Micros, office: OfficeId) {
+    pub fn probe_failed(&mut self, now: Micros, office: ExchangeId) {
         self.dispatch(now, Event::ProbeFailed(office));
     }
 
     /// A message from a peer.
-    pub fn peer_message(&mut self, now: Micros, from: PeerNo, body: Vec<u8>) {
-        self.dispatch(now, Event::Peer { from, body });
+    pub fn peer_message(&mut self, now: Micros, from: PeerNumber, body: Vec<u8>) {
+        self.dispatch(now, Event::PeerMessage { from, body });
     }
 
     /// An update of the exchange list.
-    pub fn list_update(&mut self, now: Micros, news: ListNews) {
+    pub fn list_update(&mut self, now: Micros, news: ListUpdate) {
         let news = self.administrative_state.apply_list(news);
         match &news {
-            ListNews::Failed => {}
-            ListNews::Changes(entries) => self.update_availability(now, entries),
-            ListNews::Complete(entries) | ListNews::Cached(entries) => {
+            ListUpdate::Failed => {}
+            ListUpdate::Changes(entries) => self.update_availability(now, entries),
+            ListUpdate::Complete(entries) | ListUpdate::Cached(entries) => {
                 for (office, availability) in &mut self.offices {
-                    if !entries.iter().any(|e| e.office == *office) {
+                    if !entries.iter().any(|e| e.exchange_id == *office) {
                         availability.update(now, ListState::Gone);
                     }
                 }
@@ -557,7 +569,7 @@
     /// Fails a call that has no final answer yet, whatever the decision module plans for it.
     pub fn fail_call(&mut self, now: Micros, call: CallId, reason: AnswerReason) {
         if self.finish_call(call, Answer::Failed, reason) {
-            self.dispatch(now, Event::CallerGone(call));
+            self.dispatch(now, Event::CallAbandoned(call));
         }
     }
 
@@ -607,7 +619,7 @@
 
     /// Number of set-ups in progress and of established calls, by the exchange that they were sent
     /// to and by destination.
-    pub fn call_loads(&self) -> BTreeMap<(ExchangeNo, ExchangeNo), (u32, u32)> {
+    pub fn call_loads(&self) -> BTreeMap<(ExchangeNumber, ExchangeNumber), (u32, u32)> {
         let mut loads: BTreeMap<_, (u32, u32)> = BTreeMap::new();
         for e in self.calls.values() {
             let Some(exchange) = e.exchange else { continue };
@@ -638,7 +650,7 @@
 
     fn update_availability(&mut self, now: Micros, entries: &[ListEntry]) {
         for e in entries {
-            self.offices.entry(e.office).or_default().update(now, e.state);
+            self.offices.entry(e.exchange_id).or_default().update(now, e.state);
         }
     }
 
@@ -647,21 +659,23 @@
         self.controller.handle(now, event, &mut actions);
         for action in actions {
             match action {
-                Action::SetUp { call, office, timeout } => self.send_set_up(now, call, office, timeout),
+                Action::SetUp { call, exchange_id: office, timeout } => {
+                    self.send_set_up(now, call, office, timeout)
+                }
                 Action::SetTimer { after, token } => {
                     self.outputs.push(Output::SetTimer(now + after, LedgerTimer::Controller(token)));
                 }
-                Action::Refuse { call, pause } => {
+                Action::Refuse { call, retry_after: pause } => {
                     self.finish_call(call, Answer::Refused { retry_after: pause }, AnswerReason::Decided);
                 }
                 Action::Fail(call) => {
                     self.finish_call(call, Answer::Failed, AnswerReason::Decided);
                 }
-                Action::CallOff { call, attempt } => {
-                    self.cancel_attempt(now, call, attempt, Ending::CalledOff);
+                Action::Cancel { call, attempt } => {
+                    self.cancel_attempt(now, call, attempt, Ending::Cancelled);
                 }
                 Action::Probe(office) => self.outputs.push(Output::Probe(office)),
-                Action::Tell { to, body } => self.outputs.push(Output::SendToPeer { to, body }),
+                Action::SendToPeer { to, body } => self.outputs.push(Output::SendToPeer { to, body }),
                 Action::FetchList | Action::Subscribe => self.outputs.push(Output::FetchList),
                 Action::Log(line) => self.outputs.push(Output::Log(line)),
             }
@@ -670,12 +684,12 @@
 
     /// Sends a set-up unless a rule forbids it. One blocked by the drain grace or the quiet period is reported
     /// to the decision module as not sent.
-    fn send_set_up(&mut self, now: Micros, call: CallId, office: OfficeId, timeout: Option<Micros>) {
+    fn send_set_up(&mut self, now: Micros, call: CallId, office: ExchangeId, timeout: Option<Micros>) {
         let Some(entry) = self.calls.get_mut(&call) else {
             *self.counts.blocked.entry(BlockReason::SecondAttempt).or_default() += 1;
             return;
         };
-        let attempt = AttemptNo(entry.attempts);
+        let attempt = AttemptNumber(entry.attempts);
         entry.attempts = entry.attempts.saturating_add(1);
         let group_out_since = self.administrative_state.group_out_since(office);
         let drained = |availability: &Availability| {
@@ -700,7 +714,16 @@
             if reason != BlockReason::SecondAttempt {
                 let (ending, cause) = (Ending::NotSent, Cause::None);
                 let report = LoadReport::default();
-                let outcome = Outcome { call, attempt, office, ending, cause, took: 0, over: false, report };
+                let outcome = Outcome {
+                    call,
+                    attempt,
+                    exchange_id: office,
+                    ending,
+                    cause,
+                    elapsed: 0,
+                    call_ended: false,
+                    report,
+                };
                 self.dispatch(now, Event::Ended(outcome));
             }
             return;
@@ -715,7 +738,7 @@
     }
 
     /// Ends an attempt in progress from this side.
-    fn cancel_attempt(&mut self, now: Micros, call: CallId, attempt: AttemptNo, ending: Ending) {
+    fn cancel_attempt(&mut self, now: Micros, call: CallId, attempt: AttemptNumber, ending: Ending) {
         let Some(entry) = self.calls.get(&call) else { return };
         let Stage::SettingUp { attempt: current, office, .. } = entry.stage else { return };
         if current == attempt {
@@ -755,7 +778,7 @@
         Ending::TimedOut => "timed_out",
         Ending::Unreachable => "unreachable",
         Ending::Reset => "reset",
-        Ending::CalledOff => "called_off",
+        Ending::Cancelled => "called_off",
         Ending::NotSent => "not_sent",
     }
 }
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,5 +1,5 @@
-//! The routing core: the decision module and the call ledger that runs it. Its inputs are calls, attempt outcomes,
-//! load reports and timers; its outputs are actions. It uses no sockets, clock or wire formats.
+//! Call routing: the decision module and the call ledger that drives it. Requests, attempts and outcomes go in,
+//! actions come out; this layer uses no sockets, clocks or wire formats.
 
 pub mod administrative_state;
 pub mod control;
--- a/tests/call_agent.rs
+++ b/tests/call_agent.rs
@@ -42,7 +42,7 @@
     now: Micros,
     due: TimerQueue<AgentDue>,
     gateway: SocketAddr,
-    office: OfficeId,
+    office: ExchangeId,
     next_call: u32,
     /// Calls of endpoints.
     calls: BTreeMap<CallId, Call>,
@@ -126,7 +126,7 @@
                 assert_eq!((office, load.size), (self.office, Some(3.0)));
                 assert!(load.free.is_some_and(|f| (0.0..=3.0).contains(&f)));
             }
-            AgentOutput::List(entry) => assert_eq!(entry.office, self.office),
+            AgentOutput::List(entry) => assert_eq!(entry.exchange_id, self.office),
         }
     }
 
@@ -161,12 +161,12 @@
                 self.next_call += 1;
                 self.legs.insert(call, Call::Open);
                 let text = SessionDescription("v=0\r\n".into());
-                self.agent.set_up(now, (call, AttemptNo(0)), self.office, Some(&text));
+                self.agent.set_up(now, (call, AttemptNumber(0)), self.office, Some(&text));
             }
             Step::Clear(i) => {
                 if let Some(call) = nth(&self.legs, i, None) {
                     self.legs.remove(&call);
-                    self.agent.clear(now, call, AttemptNo(0));
+                    self.agent.clear(now, call, AttemptNumber(0));
                 }
             }
             Step::Answer(i, stands) => {
@@ -210,20 +210,7 @@
     let events = prop::sample::select(vec!["L/hd", "L/hu", "L/hd,D/7,D/7", "D/7,D/#", "D/9,D/t", "L/of,X/y"]);
     let methods =
         prop::sample::select(vec!["restart", "graceful", "forced", "cancel-graceful", "disconnected", "x"]);
-    let step = prop_oneof![
-        8 => (0_usize..3, events).prop_map(|(p, e)| Step::Notify(p, e)),
-        2 => Just(Step::Repeat),
-        14 => (0_usize..6, prop::sample::select(vec![200, 250, 200, 100, 403, 500]))
-            .prop_map(|(i, c)| Step::Respond(i, c)),
-        1 => (0_usize..4, methods).prop_map(|(p, m)| Step::Restart(p, m)),
-        1 => (0_usize..3).prop_map(Step::Delete),
-        1 => prop::collection::vec(any::<u8>(), 0..60).prop_map(Step::Garbage),
-        4 => Just(Step::SetUp),
-        2 => (0_usize..9).prop_map(Step::Clear),
-        3 => (0_usize..9, any::<bool>()).prop_map(|(i, s)| Step::Answer(i, s)),
-        2 => (0_usize..9).prop_map(Step::Release),
-        3 => (0..2_000 * MS).prop_map(Step::Pass),
-    ];
+    let step = prop_oneof![ 8 => (0_usize..3, events).prop_map(|(p, e)| Step::Notify(p, e)), 2 => Just(Step::Repeat), 14 => (0_usize..6, prop::sample::select(vec![200, 250, 200, 100, 403, 500])) .prop_map(|(i, c)| Step::Respond(i, c)), 1 => (0_usize..4, methods).prop_map(|(p, m)| Step::Restart(p, m)), 1 => (0_usize..3).prop_map(Step::Delete), 1 => prop::collection::vec(any::<u8>(), 0..60).prop_map(Step::Garbage), 4 => Just(Step::SetUp), 2 => (0_usize..9).prop_map(Step::Clear), 3 => (0_usize..9, any::<bool>()).prop_map(|(i, s)| Step::Answer(i, s)), 2 => (0_usize..9).prop_map(Step::Release), 3 => (0..2_000 * MS).prop_map(Step::Pass), ];
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[9; 32]);
     let config = Config { cases: 400, failure_persistence: None, ..Config::default() };
     let run = TestRunner::new_with_rng(config, rng).run(&prop::collection::vec(step, 1..150), |steps| {
@@ -231,7 +218,7 @@
         let cab = Gateway {
             name: "cab".to_owned(),
             address: gateway,
-            exchange: ExchangeNo(7),
+            exchange: ExchangeNumber(7),
             prefix: "7".to_owned(),
             endpoints: (1..=3).map(|n| format!("lamp/{n}")).collect(),
             answered_by: AnsweredBy::OffHook,
@@ -244,7 +231,7 @@
             patience: 3_000 * MS,
         };
         let mut agent = Agent::new(FrontendId(1), config, 5);
-        let office = agent.entries()[0].office;
+        let office = agent.entries()[0].exchange_id;
         agent.start(0);
         let mut m = Model {
             agent,
--- a/tests/models.rs
+++ b/tests/models.rs
@@ -24,12 +24,12 @@
     run.unwrap_or_else(|e| panic!("{e}"));
 }
 
-fn office(n: u16) -> OfficeId {
-    OfficeId { addr: [10, 0, 0, n as u8], port: 0 }
+fn office(n: u16) -> ExchangeId {
+    ExchangeId { addr: [10, 0, 0, n as u8], port: 0 }
 }
 
 fn entry(n: u16, state: ListState) -> ListEntry {
-    ListEntry { exchange: ExchangeNo(n), zone: 0, state, office: office(n), last_start: None }
+    ListEntry { exchange: ExchangeNumber(n), zone: 0, state, exchange_id: office(n), last_start: None }
 }
 
 // ---- Lines ----
@@ -180,14 +180,14 @@
                 let n = self.legs.len();
                 self.legs.push(Leg::Waiting);
                 let message = Message::new(Kind::Open, Some(Sid(n as u64)));
-                self.links.set_up(self.now, (CallId(n as u32), AttemptNo(0)), office(1), message);
+                self.links.set_up(self.now, (CallId(n as u32), AttemptNumber(0)), office(1), message);
             }
             LinkStep::Clear(i) => {
                 if let Some(i) = pick(i, self.legs.len()) {
                     if !matches!(self.legs[i], Leg::Over) {
                         self.legs[i] = Leg::Cleared;
                     }
-                    self.links.clear(self.now, CallId(i as u32), AttemptNo(0));
+                    self.links.clear(self.now, CallId(i as u32), AttemptNumber(0));
                 }
             }
             LinkStep::Up => {
@@ -266,7 +266,7 @@
 
 impl LinkModel {
     fn new() -> LinkModel {
-        let links = UpstreamConnections::new(0, 500 * MS, Some(ExchangeNo(0)));
+        let links = UpstreamConnections::new(0, 500 * MS, Some(ExchangeNumber(0)));
         let (due, conn, half, legs) = Default::default();
         let mut m = LinkModel {
             links,
@@ -421,19 +421,7 @@
         Closing::Ours,
     ]);
     let state = prop::sample::select(vec![ListState::Ready, ListState::Draining, ListState::Gone]);
-    let step = prop_oneof![
-        4 => Just(SetUp),
-        2 => (0_usize..50).prop_map(Clear),
-        3 => Just(Up),
-        1 => how.prop_map(Down),
-        3 => (0_usize..50).prop_map(Ready),
-        2 => (0_usize..50, prop::sample::select(vec![16, 34, 41, 102])).prop_map(|(i, c)| Close(i, c)),
-        1 => Just(Spoil),
-        1 => any::<bool>().prop_map(Half),
-        1 => state.prop_map(List),
-        1 => Just(Vanish),
-        2 => (0..700 * MS).prop_map(Pass),
-    ];
+    let step = prop_oneof![ 4 => Just(SetUp), 2 => (0_usize..50).prop_map(Clear), 3 => Just(Up), 1 => how.prop_map(Down), 3 => (0_usize..50).prop_map(Ready), 2 => (0_usize..50, prop::sample::select(vec![16, 34, 41, 102])).prop_map(|(i, c)| Close(i, c)), 1 => Just(Spoil), 1 => any::<bool>().prop_map(Half), 1 => state.prop_map(List), 1 => Just(Vanish), 2 => (0..700 * MS).prop_map(Pass), ];
     check(prop::collection::vec(step, 1..80), |steps| {
         let mut m = LinkModel::new();
         steps.into_iter().for_each(|s| m.step(s));
@@ -622,10 +610,7 @@
                 self.callers.answer(self.now, id, answer);
                 let want = if stands { Kind::Ready } else { Kind::Close };
                 let outputs = self.callers.take_outputs();
-                let told = |o: &ClientOutput| {
-                    matches!(o, ClientOutput::Tell(c, m)
-                    if *c == conn && m.sid == Some(sid) && m.kind == want)
-                };
+                let told = |o: &ClientOutput| matches!(o, ClientOutput::Tell(c, m) if *c == conn && m.sid == Some(sid) && m.kind == want);
                 assert_eq!(
                     outputs.iter().filter(|o| told(o)).count(),
                     1,
@@ -719,18 +704,7 @@
 fn callers_get_one_answer_on_their_connection_and_every_release_and_faults_cost_their_sender_alone() {
     use CallerStep::*;
     let extras = prop::sample::select(vec!["dest:2", "dest:2", "dest:2", "dest:2", "dest:nan", "x", ""]);
-    let step = prop_oneof![
-        3 => Just(Connect),
-        1 => (0_usize..9).prop_map(Drop),
-        6 => (0_usize..9, 0_u64..40, extras).prop_map(|(c, s, e)| Open(c, s, e)),
-        2 => (0_usize..9, 0_u64..40).prop_map(|(c, s)| Leave(c, s)),
-        4 => (0_usize..50, any::<bool>()).prop_map(|(i, s)| Answer(i, s)),
-        3 => (0_usize..50).prop_map(Release),
-        3 => (0_usize..50).prop_map(Hear),
-        1 => (0_usize..9).prop_map(Spoil),
-        1 => (0_usize..9, any::<bool>()).prop_map(|(i, h)| Half(i, h)),
-        2 => (0..1_500 * MS).prop_map(Pass),
-    ];
+    let step = prop_oneof![ 3 => Just(Connect), 1 => (0_usize..9).prop_map(Drop), 6 => (0_usize..9, 0_u64..40, extras).prop_map(|(c, s, e)| Open(c, s, e)), 2 => (0_usize..9, 0_u64..40).prop_map(|(c, s)| Leave(c, s)), 4 => (0_usize..50, any::<bool>()).prop_map(|(i, s)| Answer(i, s)), 3 => (0_usize..50).prop_map(Release), 3 => (0_usize..50).prop_map(Hear), 1 => (0_usize..9).prop_map(Spoil), 1 => (0_usize..9, any::<bool>()).prop_map(|(i, h)| Half(i, h)), 2 => (0..1_500 * MS).prop_map(Pass), ];
     check(prop::collection::vec(step, 1..120), |steps| {
         let mut m = CallerModel::new(6);
         steps.into_iter().for_each(|s| m.step(s));
@@ -837,7 +811,7 @@
 #[derive(Debug)]
 struct Held {
     deadline: Micros,
-    out: Option<AttemptNo>,
+    out: Option<AttemptNumber>,
     stands: bool,
     quiet: Micros,
 }
@@ -846,16 +820,16 @@
 fn new_call(to: u16, patience: Micros) -> NewCall {
     NewCall {
         call: CallId(0),
-        destination: ExchangeNo(to),
+        destination: ExchangeNumber(to),
         transit: false,
         redialled: false,
         cut_before: false,
         number: None,
-        width: 1,
-        patience,
+        circuits: 1,
+        remaining_time: patience,
         class: 0,
         via: None,
-        not_before: 0,
+        earliest_attempt: 0,
     }
 }
 
@@ -937,7 +911,7 @@
             Step::Ended(i, ending, cause) => {
                 if let Some(call) = self.nth(i, |h| h.out.is_some() || h.stands) {
                     let held = self.calls.get_mut(&call).unwrap();
-                    let attempt = held.out.take().unwrap_or(AttemptNo(0));
+                    let attempt = held.out.take().unwrap_or(AttemptNumber(0));
                     let unclear = matches!(ending, Ending::Reset | Ending::TimedOut);
                     held.quiet = if unclear { now + 500 * MS } else { held.quiet };
                     self.ledger.attempt_ended(now, call, attempt, (ending, cause), LoadReport::default());
@@ -948,7 +922,7 @@
                     ListState::Ready => drop(self.drained.remove(&n)),
                     _ => drop(self.drained.entry(n).or_insert(now)),
                 }
-                self.ledger.list_update(now, ListNews::Changes([entry(n, state)].into()));
+                self.ledger.list_update(now, ListUpdate::Changes([entry(n, state)].into()));
             }
             Step::Pass(span) => {
                 while let Some(at) = self.due.next_expiry().filter(|&at| at <= now + span) {
@@ -970,32 +944,32 @@
 /// A book of a controller at exchange 0 with exchanges 1 to 4 and twenty free circuits toward each.
 fn book() -> Book {
     let class = Class {
-        aim: 1_200 * MS,
-        give_up: 9_000 * MS,
-        late_worth: 0.25,
-        worth: 1.0,
-        effect: Effect::Retryable,
-        hold: 10_000 * MS,
-        pools: Vec::new(),
+        latency_objective: 1_200 * MS,
+        client_timeout: 9_000 * MS,
+        late_value: 0.25,
+        value: 1.0,
+        retry_policy: RetryPolicy::Retryable,
+        mean_hold_time: 10_000 * MS,
+        allowed_pools: Vec::new(),
     };
     let settings = Settings {
         classes: vec![class],
-        own: Some(ExchangeNo(0)),
-        release: 500 * MS,
-        may_call_off: true,
-        try_limit: 4,
+        own_exchange: Some(ExchangeNumber(0)),
+        quiet_period: 500 * MS,
+        may_cancel: true,
+        max_attempts: 4,
         drain_grace: 250 * MS,
         overload_factor: 2.5,
-        cold: 15_000 * MS,
-        cold_from: 0.35,
-        max_pause: 2_000 * MS,
+        cold_start_period: 15_000 * MS,
+        cold_start_capacity: 0.35,
+        max_retry_after: 2_000 * MS,
         ..Settings::default()
     };
     let ledger = Ledger::new(settings, 7);
     let (calls, drained) = (BTreeMap::new(), BTreeMap::new());
     let mut book = Book { ledger, now: 1_000_000 * MS, due: TimerQueue::default(), calls, drained };
     let all: Vec<ListEntry> = (0..5).map(|n| entry(n, ListState::Ready)).collect();
-    book.ledger.list_update(book.now, ListNews::Cached(all.into()));
+    book.ledger.list_update(book.now, ListUpdate::Cached(all.into()));
     for n in 1..5 {
         let report = LoadReport { free: Some(20.0), size: Some(20.0), ..LoadReport::default() };
         book.ledger.group_report(book.now, office(n), report);
@@ -1022,7 +996,7 @@
     let mut callers =
         ClientConnections::new(0, FrontendId(0), vec!["a".to_owned()], 6).with_quiet_period(505 * MS);
     let not_before = |ask: Ask| match ask {
-        Ask::Offer(_, _, offer) => offer.new_call.not_before,
+        Ask::Offer(_, _, offer) => offer.new_call.earliest_attempt,
         other => panic!("{other:?}"),
     };
     callers.opened(0, ConnId(0));
@@ -1035,7 +1009,7 @@
     // The module holds it, and the ledger would hold it back.
     let mut book = book();
     let start = book.now;
-    let ask = NewCall { not_before: start + 400 * MS, ..new_call(1, 3_000 * MS) };
+    let ask = NewCall { earliest_attempt: start + 400 * MS, ..new_call(1, 3_000 * MS) };
     let call =
         book.ledger.offer(start, OfferedCall { frontend: FrontendId(0), new_call: ask, description: None });
     book.calls.insert(
@@ -1062,14 +1036,7 @@
         (Ending::Completed, Cause::None),
     ]);
     let state = prop::sample::select(vec![ListState::Ready, ListState::Draining, ListState::Gone]);
-    let step = prop_oneof![
-        6 => (0_u16..5, 50 * MS..5_000 * MS).prop_map(|(to, p)| Step::Offer(to, p)),
-        1 => (0_usize..50).prop_map(Step::Leave),
-        3 => (0_usize..50).prop_map(Step::Answered),
-        4 => (0_usize..50, endings).prop_map(|(i, (e, c))| Step::Ended(i, e, c)),
-        1 => (1_u16..5, state).prop_map(|(n, s)| Step::List(n, s)),
-        4 => (0..800 * MS).prop_map(Step::Pass),
-    ];
+    let step = prop_oneof![ 6 => (0_u16..5, 50 * MS..5_000 * MS).prop_map(|(to, p)| Step::Offer(to, p)), 1 => (0_usize..50).prop_map(Step::Leave), 3 => (0_usize..50).prop_map(Step::Answered), 4 => (0_usize..50, endings).prop_map(|(i, (e, c))| Step::Ended(i, e, c)), 1 => (1_u16..5, state).prop_map(|(n, s)| Step::List(n, s)), 4 => (0..800 * MS).prop_map(Step::Pass), ];
     check(prop::collection::vec(step, 1..120), |steps| {
         let mut book = book();
         steps.into_iter().for_each(|s| book.step(s));
--- a/tests/out_of_service.rs
+++ b/tests/out_of_service.rs
@@ -8,8 +8,8 @@
 const T0: Micros = 100_000_000;
 const MS: Micros = 1000;
 
-fn office(n: u8) -> OfficeId {
-    OfficeId { addr: [10, 0, 0, n], port: 5060 }
+fn office(n: u8) -> ExchangeId {
+    ExchangeId { addr: [10, 0, 0, n], port: 5060 }
 }
 
 fn circuits(free: f64) -> LoadReport {
@@ -19,36 +19,36 @@
 /// A ledger in exchange 0 that knows exchanges 1 to 3, each through a group of 20 circuits.
 fn new_ledger() -> Ledger {
     let class = Class {
-        aim: 1_200_000,
-        give_up: 9_000_000,
-        late_worth: 0.25,
-        worth: 1.0,
-        effect: Effect::Retryable,
-        hold: 10_000_000,
-        pools: Vec::new(),
+        latency_objective: 1_200_000,
+        client_timeout: 9_000_000,
+        late_value: 0.25,
+        value: 1.0,
+        retry_policy: RetryPolicy::Retryable,
+        mean_hold_time: 10_000_000,
+        allowed_pools: Vec::new(),
     };
     let settings = Settings {
         classes: vec![class],
-        own: Some(ExchangeNo(0)),
-        release: 500_000,
+        own_exchange: Some(ExchangeNumber(0)),
+        quiet_period: 500_000,
         drain_grace: 250_000,
-        cold: 15_000_000,
-        cold_from: 0.35,
+        cold_start_period: 15_000_000,
+        cold_start_capacity: 0.35,
         overload_factor: 2.5,
-        fall: 2_000_000,
-        max_pause: 2_000_000,
-        try_limit: 4,
+        overload_window: 2_000_000,
+        max_retry_after: 2_000_000,
+        max_attempts: 4,
         ..Settings::default()
     };
     let mut ledger = Ledger::new(settings, 7);
     let entry = |n| ListEntry {
-        exchange: ExchangeNo(n),
+        exchange: ExchangeNumber(n),
         zone: 0,
         state: ListState::Ready,
-        office: office(n as u8),
+        exchange_id: office(n as u8),
         last_start: None,
     };
-    ledger.list_update(T0, ListNews::Complete((1..=3).map(entry).collect()));
+    ledger.list_update(T0, ListUpdate::Complete((1..=3).map(entry).collect()));
     (1..=3).for_each(|n| ledger.group_report(T0, office(n), circuits(20.0)));
     ledger.take_outputs();
     ledger
@@ -57,23 +57,23 @@
 fn offer(ledger: &mut Ledger, now: Micros, to: u16) -> (CallId, Vec<Output>) {
     let new_call = NewCall {
         call: CallId(0),
-        destination: ExchangeNo(to),
+        destination: ExchangeNumber(to),
         transit: false,
         redialled: false,
         cut_before: false,
         number: None,
-        width: 1,
-        patience: 3_000_000,
+        circuits: 1,
+        remaining_time: 3_000_000,
         class: 0,
         via: None,
-        not_before: 0,
+        earliest_attempt: 0,
     };
     let call = ledger.offer(now, OfferedCall { frontend: FrontendId(0), new_call, description: None });
     (call, ledger.take_outputs())
 }
 
 /// The exchange that a set-up was sent to, if any.
-fn set_up_target(outputs: &[Output]) -> Option<OfficeId> {
+fn set_up_target(outputs: &[Output]) -> Option<ExchangeId> {
     outputs.iter().find_map(|o| match o {
         Output::SetUp { office, .. } => Some(*office),
         _ => None,
@@ -89,8 +89,8 @@
 }
 
 fn out_of_service(exchanges: &[u16], groups: &[u16], all: bool) -> OutOfService {
-    let set = |numbers: &[u16]| numbers.iter().map(|&n| ExchangeNo(n)).collect();
-    OutOfService { exchanges: set(exchanges), groups: set(groups), all }
+    let set = |numbers: &[u16]| numbers.iter().map(|&n| ExchangeNumber(n)).collect();
+    OutOfService { exchanges: set(exchanges), groups: set(groups), controller: all }
 }
 
 #[test]
@@ -164,17 +164,17 @@
     let mut ledger = new_ledger();
     let (call, outputs) = offer(&mut ledger, T0, 1);
     assert_eq!(set_up_target(&outputs), Some(office(1)));
-    ledger.attempt_answered(T0 + MS, call, AttemptNo(0), None);
+    ledger.attempt_answered(T0 + MS, call, AttemptNumber(0), None);
     ledger.out_of_service_changed(T0 + 2 * MS, out_of_service(&[], &[], true));
     ledger.take_outputs();
     for to in 1..=3 {
         assert!(refusal_delay(&offer(&mut ledger, T0 + 3 * MS, to).1).is_some());
     }
     assert_eq!(
-        (ledger.established_calls(), ledger.call_loads()[&(ExchangeNo(1), ExchangeNo(1))]),
+        (ledger.established_calls(), ledger.call_loads()[&(ExchangeNumber(1), ExchangeNumber(1))]),
         (1, (0, 1))
     );
-    ledger.cut_calls(T0 + 4 * MS, |exchange, _| exchange == Some(ExchangeNo(1)));
+    ledger.cut_calls(T0 + 4 * MS, |exchange, _| exchange == Some(ExchangeNumber(1)));
     let outputs = ledger.take_outputs();
     assert!(outputs.iter().any(|o| matches!(o, Output::Release { cut: true, .. })), "{outputs:?}");
     assert!(outputs.iter().any(|o| matches!(o, Output::Clear { .. })));
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -11,16 +11,16 @@
 fn offer(patience: Micros) -> OfferedCall {
     let new_call = NewCall {
         call: CallId(0),
-        destination: ExchangeNo(1),
+        destination: ExchangeNumber(1),
         transit: false,
         redialled: false,
         cut_before: false,
         number: None,
-        width: 1,
-        patience,
+        circuits: 1,
+        remaining_time: patience,
         class: 0,
         via: None,
-        not_before: 0,
+        earliest_attempt: 0,
     };
     OfferedCall { frontend: FrontendId(0), new_call, description: None }
 }
@@ -56,22 +56,19 @@
 fn a_closed_ledger_refuses_each_new_call_at_once_and_keeps_the_open_ones() {
     let mut ledger = Ledger::new(Settings::default(), 7);
     let entry = ListEntry {
-        exchange: ExchangeNo(1),
+        exchange: ExchangeNumber(1),
         zone: 0,
         state: ListState::Ready,
-        office: OfficeId::default(),
+        exchange_id: ExchangeId::default(),
         last_start: None,
     };
-    ledger.list_update(0, ListNews::Cached([entry].into()));
+    ledger.list_update(0, ListUpdate::Cached([entry].into()));
     let first = ledger.offer(10 * MS, offer(3_000 * MS));
     ledger.refuse_new_calls(2_000 * MS);
     ledger.take_outputs();
     for n in 0..50 {
         let call = ledger.offer(20 * MS + n, offer(3_000 * MS));
-        let refused = |o: &Output| {
-            matches!(o, Output::Answer { call: c, answer: Answer::Refused { retry_after }, reason: AnswerReason::Shutdown, .. }
-                if *c == call && *retry_after == 2_000 * MS)
-        };
+        let refused = |o: &Output| matches!(o, Output::Answer { call: c, answer: Answer::Refused { retry_after }, reason: AnswerReason::Shutdown, .. } if *c == call && *retry_after == 2_000 * MS);
         let outputs = ledger.take_outputs();
         assert_eq!(outputs.iter().filter(|o| refused(o)).count(), 1);
         assert!(!outputs.iter().any(|o| matches!(o, Output::SetUp { .. })));
--- a/tests/simulator.rs
+++ b/tests/simulator.rs
@@ -27,18 +27,18 @@
 fn a_call_keeps_its_marks_width_and_patience() {
     let records = read(&hex(KNOCK), &[]);
     let Ok(Record::Event(Event::Call(c))) = &records[0] else { panic!("{records:?}") };
-    assert_eq!((c.call, c.destination, c.width, c.class), (CallId(77), ExchangeNo(3), 2, 1));
+    assert_eq!((c.call, c.destination, c.circuits, c.class), (CallId(77), ExchangeNumber(3), 2, 1));
     assert_eq!((c.transit, c.redialled, c.cut_before), (true, false, false));
-    assert_eq!((c.number, c.patience, c.via), (Some(17), 1_000_000, Some(ExchangeNo(5))));
+    assert_eq!((c.number, c.remaining_time, c.via), (Some(17), 1_000_000, Some(ExchangeNumber(5))));
 }
 
 #[test]
 fn a_list_is_read_with_its_states_and_starts() {
     let records = read(&hex(LIST), &[]);
-    let Ok(Record::Event(Event::List(ListNews::Complete(l)))) = &records[0] else { panic!("{records:?}") };
+    let Ok(Record::Event(Event::List(ListUpdate::Complete(l)))) = &records[0] else { panic!("{records:?}") };
     assert_eq!(
         (l[0].exchange, l[0].state, l[0].last_start),
-        (ExchangeNo(7), ListState::Gone, Some(2_000_000))
+        (ExchangeNumber(7), ListState::Gone, Some(2_000_000))
     );
 }
 
@@ -47,7 +47,7 @@
     let second = LIST.replace("0007 01 02", "0009 01 00");
     let records = read(&hex(&format!("{LIST}{second}")), &[]);
     let number = |r: &Result<Record, WireError>| match r {
-        Ok(Record::Event(Event::List(ListNews::Complete(l)))) => l[0].exchange.0,
+        Ok(Record::Event(Event::List(ListUpdate::Complete(l)))) => l[0].exchange.0,
         other => panic!("{other:?}"),
     };
     assert_eq!(records.iter().map(number).collect::<Vec<_>>(), [7, 9]);
@@ -60,7 +60,7 @@
     let Ok(Record::Event(Event::Ended(o))) = &records[0] else { panic!("{records:?}") };
     assert_eq!((o.ending, o.cause), (Ending::Full, Cause::ProcessorFull(Some(100_000))));
     assert_eq!((o.report.free, o.report.size, o.report.wait), (Some(5.0), Some(10.0), None));
-    assert_eq!((o.attempt, o.took, o.over), (AttemptNo(2), 10_000, false));
+    assert_eq!((o.attempt, o.elapsed, o.call_ended), (AttemptNumber(2), 10_000, false));
 }
 
 #[test]
@@ -88,11 +88,11 @@
 #[test]
 fn actions_are_written_as_the_page_shows_them() {
     let mut r = Reply::default();
-    let office = OfficeId { addr: [10, 18, 74, 7], port: 9003 };
+    let office = ExchangeId { addr: [10, 18, 74, 7], port: 9003 };
     let call = CallId(0x5d3a_91c4);
-    r.action(3, &Action::SetUp { call, office, timeout: Some(80_000) });
+    r.action(3, &Action::SetUp { call, exchange_id: office, timeout: Some(80_000) });
     r.action(3, &Action::SetTimer { after: 500_000, token: 77 });
-    r.action(5, &Action::Refuse { call, pause: 0 });
+    r.action(5, &Action::Refuse { call, retry_after: 0 });
     let want = "00000037 0000000c 041a 0003 042e 5d3a91c4 4054000000000000 0a124a07 232b
         03fc 407f400000000000 000000000000004d 041a 0005 0442 5d3a91c4 0000000000000000";
     let mut want = hex(want);
@@ -106,9 +106,12 @@
         "classes.count=1\nclasses.0.aim=1200.0\nclasses.0.giveUp=9000.0\nnew.key=1\nextra.shape=groups\n\
         report.fields=spare,total,avg_ms,novel\nextra.allowedPools=2,4";
     let s = wire::settings(text).unwrap();
-    assert_eq!((s.classes[0].aim, s.shape, s.own), (1_200_000, Shape::Pools, None));
+    assert_eq!(
+        (s.classes[0].latency_objective, s.topology, s.own_exchange),
+        (1_200_000, Topology::Pools, None)
+    );
     assert_eq!(s.report_fields[2..], [ReportField::WaitMs, ReportField::Unknown]);
-    assert_eq!(s.classes[0].pools, [ExchangeNo(2), ExchangeNo(4)]);
+    assert_eq!(s.classes[0].allowed_pools, [ExchangeNumber(2), ExchangeNumber(4)]);
     assert_eq!(wire::settings("tick=soon").unwrap_err().key, "tick");
     assert_eq!(wire::settings("classes.count=1").unwrap_err().key, "classes.0.giveUp");
 }
