--- a/crates/gossip/src/lab.rs
+++ b/crates/gossip/src/lab.rs
@@ -1,6 +1,6 @@
 //! The laboratory: many nodes on a simulated network and a virtual clock. The same seed gives the same run.
 
-use crate::bucket::Ceiling;
+use crate::rate_limit::RateLimit;
 use crate::node::{Config, Node, Output};
 use crate::seal::Ring;
 use crate::swim::State;
@@ -48,7 +48,7 @@
 }
 
 /// The ceilings of simulated nodes.
-pub const CEILING: Ceiling = Ceiling { bytes: 16_384, datagrams: 100 };
+pub const CEILING: RateLimit = RateLimit { bytes: 16_384, datagrams: 100 };
 
 /// Many nodes.
 pub struct Lab {
@@ -112,7 +112,7 @@
             allowed: "127.0.0.0/8".parse().into_iter().collect(),
             own: Some(Exchange(i as u16)),
             send: CEILING,
-            receive: Ceiling { bytes: 65_536, datagrams: 400 },
+            receive: RateLimit { bytes: 65_536, datagrams: 400 },
             source: CEILING,
         }
     }
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! [`swim`] has the members and their states, [`spread`] what is passed on and how often, [`evidence`] what instances
 //! measured, and [`belief`] what this instance makes of its own evidence and of others'. [`wire`] is the form of the
-//! datagrams, [`seal`] their authentication, [`window`] the guard against repeats, and [`bucket`] the ceiling of
+//! datagrams, [`seal`] their authentication, [`window`] the guard against repeats, and [`rate_limit`] the ceiling of
 //! traffic. [`node`] puts them together: datagrams and time go in, datagrams and statements about exchanges come out.
 //! [`lab`] runs many nodes on a simulated network.
 //!
@@ -11,7 +11,7 @@
 #![forbid(unsafe_code)]
 
 pub mod belief;
-pub mod bucket;
+pub mod rate_limit;
 pub mod evidence;
 pub mod lab;
 pub mod node;
--- a/crates/gossip/src/node.rs
+++ b/crates/gossip/src/node.rs
@@ -2,7 +2,7 @@
 //! in; datagrams, statements about exchanges and news come out.
 
 use crate::belief::{self, Belief};
-use crate::bucket::{Bucket, Ceiling, Sources};
+use crate::rate_limit::{TokenBucket, RateLimit, SourceLimiter};
 use crate::evidence::{Meters, Report, Reports};
 use crate::seal::Ring;
 use crate::spread::{times, Queue};
@@ -46,12 +46,12 @@
     pub allowed: Vec<IpNet>,
     /// The own exchange.
     pub own: Option<Exchange>,
-    /// Ceiling of what is sent.
-    pub send: Ceiling,
-    /// Ceiling of what is taken in, before it is authenticated.
-    pub receive: Ceiling,
+    /// RateLimit of what is sent.
+    pub send: RateLimit,
+    /// RateLimit of what is taken in, before it is authenticated.
+    pub receive: RateLimit,
     /// The same for each source.
-    pub source: Ceiling,
+    pub source: RateLimit,
 }
 
 /// What is counted.
@@ -152,9 +152,9 @@
     probes: BTreeMap<u16, Probe>,
     nonce: u16,
     sequence: u32,
-    out_bucket: Bucket,
-    in_bucket: Bucket,
-    sources: Sources,
+    out_bucket: TokenBucket,
+    in_bucket: TokenBucket,
+    sources: SourceLimiter,
     next_period: Micros,
     periods: u32,
     next_look: Micros,
@@ -186,9 +186,9 @@
             probes: BTreeMap::new(),
             nonce: 0,
             sequence: 0,
-            out_bucket: Bucket::new(now, config.send),
-            in_bucket: Bucket::new(now, config.receive),
-            sources: Sources::new(config.source),
+            out_bucket: TokenBucket::new(now, config.send),
+            in_bucket: TokenBucket::new(now, config.receive),
+            sources: SourceLimiter::new(config.source),
             next_period: now,
             periods: 0,
             next_look: now + LOOK,
@@ -253,7 +253,7 @@
         self.out_bucket.set(config.send);
         self.in_bucket.set(config.receive);
         if self.config.source != config.source {
-            self.sources = Sources::new(config.source);
+            self.sources = SourceLimiter::new(config.source);
         }
         // The name and the address are those of this life.
         let (name, address) = (self.config.name.clone(), self.config.address);
--- a/crates/gossip/src/bucket.rs
+++ b/crates/gossip/src/rate_limit.rs
@@ -6,7 +6,7 @@
 
 /// A ceiling.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Ceiling {
+pub struct RateLimit {
     /// Bytes a second.
     pub bytes: u32,
     /// Datagrams a second.
@@ -16,17 +16,17 @@
 /// A bucket that holds what one second may have: no second has more than twice that, and on the long run none has
 /// more than the ceiling.
 #[derive(Clone, Copy, Debug)]
-pub struct Bucket {
-    ceiling: Ceiling,
+pub struct TokenBucket {
+    ceiling: RateLimit,
     bytes: f64,
     datagrams: f64,
     at: Micros,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// A full one. Half a second's worth is the burst that it allows, so that any second stays under one and a half.
-    pub fn new(now: Micros, ceiling: Ceiling) -> Bucket {
-        let mut b = Bucket { ceiling, bytes: 0.0, datagrams: 0.0, at: now };
+    pub fn new(now: Micros, ceiling: RateLimit) -> TokenBucket {
+        let mut b = TokenBucket { ceiling, bytes: 0.0, datagrams: 0.0, at: now };
         (b.bytes, b.datagrams) = b.most();
         b
     }
@@ -37,7 +37,7 @@
     }
 
     /// Changes the ceiling; what is in the bucket stays, up to the new most.
-    pub fn set(&mut self, ceiling: Ceiling) {
+    pub fn set(&mut self, ceiling: RateLimit) {
         self.ceiling = ceiling;
         let (bytes, datagrams) = self.most();
         self.bytes = self.bytes.min(bytes);
@@ -67,20 +67,20 @@
     }
 }
 
-/// Sources told apart; the one that was quiet for longest gives up its place.
+/// SourceLimiter told apart; the one that was quiet for longest gives up its place.
 const SOURCES: usize = 1024;
 
 /// A ceiling for each source, before anything of its datagrams is looked at.
 #[derive(Debug)]
-pub struct Sources {
-    ceiling: Ceiling,
-    all: BTreeMap<IpAddr, Bucket>,
+pub struct SourceLimiter {
+    ceiling: RateLimit,
+    all: BTreeMap<IpAddr, TokenBucket>,
 }
 
-impl Sources {
+impl SourceLimiter {
     /// Nobody was heard yet.
-    pub fn new(ceiling: Ceiling) -> Sources {
-        Sources { ceiling, all: BTreeMap::new() }
+    pub fn new(ceiling: RateLimit) -> SourceLimiter {
+        SourceLimiter { ceiling, all: BTreeMap::new() }
     }
 
     /// Whether a source may be heard.
@@ -90,7 +90,7 @@
             quiet.map(|s| self.all.remove(&s));
         }
         let ceiling = self.ceiling;
-        self.all.entry(from).or_insert_with(|| Bucket::new(now, ceiling)).take(now, bytes, 0.0)
+        self.all.entry(from).or_insert_with(|| TokenBucket::new(now, ceiling)).take(now, bytes, 0.0)
     }
 }
 
@@ -100,25 +100,25 @@
 
     #[test]
     fn no_second_has_more_than_one_and_a_half_of_the_ceiling_and_a_long_run_no_more_than_it() {
-        let ceiling = Ceiling { bytes: 10_000, datagrams: 50 };
-        let mut b = Bucket::new(0, ceiling);
+        let ceiling = RateLimit { bytes: 10_000, datagrams: 50 };
+        let mut b = TokenBucket::new(0, ceiling);
         let taken: Vec<Micros> = (0..20_000).map(|ms| ms * 1000).filter(|&t| b.take(t, 200, 0.0)).collect();
         let worst =
             taken.iter().map(|&t| taken.iter().filter(|&&u| (t..t + SECOND).contains(&u)).count()).max();
         assert!(worst.is_some_and(|n| n <= 76), "{worst:?}");
         assert!(taken.len() <= 20 * 50 + 26 && taken.len() > 900, "{}", taken.len());
         // Bytes bind where datagrams are long; a clock that goes back gives nothing.
-        let mut b = Bucket::new(0, Ceiling { bytes: 1000, datagrams: 1000 });
+        let mut b = TokenBucket::new(0, RateLimit { bytes: 1000, datagrams: 1000 });
         assert_eq!((0..100).filter(|_| b.take(0, 250, 0.0)).count(), 2);
         assert!(!b.take(-9 * SECOND, 250, 0.0) && !b.take(0, 250, 0.0));
     }
 
     #[test]
     fn a_share_is_kept_for_what_is_urgent_and_sources_are_bounded() {
-        let mut b = Bucket::new(0, Ceiling { bytes: 100_000, datagrams: 20 });
+        let mut b = TokenBucket::new(0, RateLimit { bytes: 100_000, datagrams: 20 });
         assert_eq!((0..20).filter(|_| b.take(0, 10, 0.5)).count(), 5);
         assert_eq!((0..20).filter(|_| b.take(0, 10, 0.0)).count(), 5);
-        let mut s = Sources::new(Ceiling { bytes: 1000, datagrams: 2 });
+        let mut s = SourceLimiter::new(RateLimit { bytes: 1000, datagrams: 2 });
         for n in 0..10_000u32 {
             s.admit(n.into(), std::net::Ipv4Addr::from(n).into(), 100);
         }
--- a/examples/gossip_tables.rs
+++ b/examples/gossip_tables.rs
@@ -8,7 +8,7 @@
 use walnuthatch::routing::deadlines::Deadlines;
 use walnuthatch::routing::interface::*;
 use walnuthatch::routing::ledger::{Answer, FrontId, Ledger, LedgerDue, Offer, Output};
-use walnuthatch_gossip::bucket::Ceiling;
+use walnuthatch_gossip::rate_limit::RateLimit;
 use walnuthatch_gossip::lab::{Lab, Net, CEILING};
 use walnuthatch_gossip::node::Output as NodeOutput;
 use walnuthatch_gossip::{Exchange, SECOND};
@@ -124,7 +124,7 @@
             worst(&heals)
         );
     }
-    let Ceiling { bytes, datagrams } = CEILING;
+    let RateLimit { bytes, datagrams } = CEILING;
     println!(
         "\nCeiling: {bytes} bytes and {datagrams} datagrams a second, one and a half of it in any second.\n"
     );
--- a/src/program/gossip_file.rs
+++ b/src/program/gossip_file.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
-use walnuthatch_gossip::bucket::Ceiling;
+use walnuthatch_gossip::rate_limit::RateLimit;
 use walnuthatch_gossip::node;
 use walnuthatch_gossip::seal::Ring;
 use walnuthatch_gossip::Exchange;
@@ -142,7 +142,7 @@
     own: Option<Exchange>,
     l: &LimitsFile,
 ) -> node::Config {
-    let ceiling = |bytes, datagrams| Ceiling { bytes, datagrams };
+    let ceiling = |bytes, datagrams| RateLimit { bytes, datagrams };
     node::Config {
         name: name.to_owned(),
         address,
--- a/tests/gossip.rs
+++ b/tests/gossip.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 use walnuthatch_control::client::Connection;
 use walnuthatch_control::frames::{Ask, Body, Topic};
-use walnuthatch_gossip::bucket::Ceiling;
+use walnuthatch_gossip::rate_limit::RateLimit;
 use walnuthatch_gossip::node::{Config, Node, Output};
 use walnuthatch_gossip::seal::Ring;
 use walnuthatch_gossip::{Exchange as Number, MemberId};
@@ -152,7 +152,7 @@
 fn liar(to: SocketAddr, over: Arc<AtomicBool>, heard: Arc<AtomicU64>) {
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     socket.set_read_timeout(Some(Duration::from_millis(5))).unwrap();
-    let ceiling = Ceiling { bytes: 100_000, datagrams: 1000 };
+    let ceiling = RateLimit { bytes: 100_000, datagrams: 1000 };
     let config = Config {
         name: "liar".into(),
         address: socket.local_addr().unwrap(),
