--- a/crates/gossip/src/seal.rs
+++ b/crates/gossip/src/auth.rs
@@ -55,30 +55,30 @@
 
 /// A ring of keys.
 #[derive(Clone)]
-pub struct Ring {
+pub struct KeyRing {
     keys: BTreeMap<u8, Zeroizing<Vec<u8>>>,
     seals: u8,
 }
 
-impl fmt::Debug for Ring {
+impl fmt::Debug for KeyRing {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         // The secrets are nobody's to see.
-        write!(f, "Ring {{ keys: {:?}, seals: {} }}", self.keys.keys().collect::<Vec<_>>(), self.seals)
+        write!(f, "KeyRing {{ keys: {:?}, seals: {} }}", self.keys.keys().collect::<Vec<_>>(), self.seals)
     }
 }
 
-impl PartialEq for Ring {
-    fn eq(&self, other: &Ring) -> bool {
+impl PartialEq for KeyRing {
+    fn eq(&self, other: &KeyRing) -> bool {
         self.seals == other.seals && self.keys.keys().eq(other.keys.keys())
     }
 }
 
-impl Ring {
+impl KeyRing {
     /// Reads the text of a key file.
     ///
     /// # Errors
     /// Says what is wrong, without showing any of it.
-    pub fn read(text: &str) -> Result<Ring, KeyError> {
+    pub fn parse(text: &str) -> Result<KeyRing, KeyError> {
         let file: RingFile = toml::from_str(text).map_err(|_| KeyError::Form)?;
         if !(1..=KEYS).contains(&file.key.len()) {
             return Err(KeyError::Many(file.key.len()));
@@ -92,11 +92,11 @@
                 return Err(KeyError::Twice(k.id));
             }
         }
-        Ok(Ring { keys, seals })
+        Ok(KeyRing { keys, seals })
     }
 
     /// The key that seals.
-    pub fn sealing(&self) -> u8 {
+    pub fn signing_key_id(&self) -> u8 {
         self.seals
     }
 
@@ -111,7 +111,7 @@
     }
 
     /// Adds the seal to a datagram that names the sealing key.
-    pub fn seal(&self, mut bytes: Vec<u8>) -> Vec<u8> {
+    pub fn sign(&self, mut bytes: Vec<u8>) -> Vec<u8> {
         if let Some(mut mac) = self.mac(self.seals) {
             mac.update(&bytes);
             bytes.extend(&mac.finalize().into_bytes()[..SEAL]);
@@ -120,7 +120,7 @@
     }
 
     /// Whether a datagram was sealed with that key; compared in the same time wherever a difference is.
-    pub fn opens(&self, key: u8, bytes: &[u8]) -> bool {
+    pub fn verify(&self, key: u8, bytes: &[u8]) -> bool {
         let Some(mut mac) = self.mac(key) else { return false };
         let Some((body, seal)) = bytes.split_last_chunk::<SEAL>() else { return false };
         mac.update(body);
@@ -138,11 +138,11 @@
 mod tests {
     use super::*;
 
-    fn ring(keys: &[(u8, char, bool)]) -> Result<Ring, KeyError> {
+    fn ring(keys: &[(u8, char, bool)]) -> Result<KeyRing, KeyError> {
         let block = |(id, digit, seals): &(u8, char, bool)| {
             format!("[[key]]\nid = {id}\nsecret = \"{}\"\nseals = {seals}\n", digit.to_string().repeat(64))
         };
-        Ring::read(&keys.iter().map(block).collect::<String>())
+        KeyRing::parse(&keys.iter().map(block).collect::<String>())
     }
 
     #[test]
@@ -156,25 +156,25 @@
         .map(Result::unwrap);
         for pair in steps.windows(2) {
             for (from, to) in [(&pair[0], &pair[1]), (&pair[1], &pair[0])] {
-                let sealed = from.seal(b"hello".to_vec());
-                assert!(to.opens(from.sealing(), &sealed));
+                let sealed = from.sign(b"hello".to_vec());
+                assert!(to.verify(from.signing_key_id(), &sealed));
             }
         }
         // A key that was taken away opens nothing any more.
-        assert!(!steps[3].opens(1, &steps[0].seal(b"hello".to_vec())));
+        assert!(!steps[3].verify(1, &steps[0].sign(b"hello".to_vec())));
     }
 
     #[test]
     fn one_flipped_bit_anywhere_or_another_key_of_that_number_does_not_open() {
         let r = ring(&[(1, 'a', true)]).unwrap();
-        let sealed = r.seal(b"some words".to_vec());
+        let sealed = r.sign(b"some words".to_vec());
         for bit in 0..sealed.len() * 8 {
             let mut spoilt = sealed.clone();
             spoilt[bit / 8] ^= 1 << (bit % 8);
-            assert!(!r.opens(1, &spoilt));
+            assert!(!r.verify(1, &spoilt));
         }
-        assert!(r.opens(1, &sealed) && !ring(&[(1, 'c', true)]).unwrap().opens(1, &sealed));
-        assert!(!r.opens(1, b"") && !r.opens(9, &sealed));
+        assert!(r.verify(1, &sealed) && !ring(&[(1, 'c', true)]).unwrap().verify(1, &sealed));
+        assert!(!r.verify(1, b"") && !r.verify(9, &sealed));
     }
 
     #[test]
@@ -184,10 +184,10 @@
         assert_eq!(ring(&[(1, 'a', true), (1, 'b', false)]), Err(KeyError::Twice(1)));
         assert_eq!(ring(&[(1, 'g', true)]), Err(KeyError::Secret(1)));
         assert_eq!(ring(&[]).unwrap_err(), KeyError::Form);
-        let short = Ring::read("[[key]]\nid = 3\nsecret = \"abcd\"\nseals = true\n");
+        let short = KeyRing::parse("[[key]]\nid = 3\nsecret = \"abcd\"\nseals = true\n");
         assert_eq!(short, Err(KeyError::Secret(3)));
         let text = "[[key]]\nid = 3\nsecrt = \"deadbeef\"\n";
-        assert!(!Ring::read(text).unwrap_err().to_string().contains("deadbeef"));
+        assert!(!KeyRing::parse(text).unwrap_err().to_string().contains("deadbeef"));
         assert!(!format!("{:?}", ring(&[(1, 'a', true)]).unwrap()).contains("aa"));
     }
 }
--- a/crates/gossip/src/lab.rs
+++ b/crates/gossip/src/lab.rs
@@ -2,7 +2,7 @@
 
 use crate::rate_limit::RateLimit;
 use crate::node::{Config, Node, Output};
-use crate::seal::Ring;
+use crate::auth::KeyRing;
 use crate::swim::State;
 use crate::{Exchange, MemberId, Micros, SECOND};
 use std::collections::{BTreeMap, BTreeSet};
@@ -41,10 +41,10 @@
 }
 
 /// A ring of one key, for simulated nodes.
-pub fn ring(digit: char) -> Ring {
+pub fn ring(digit: char) -> KeyRing {
     let text = format!("[[key]]\nid = 1\nsecret = \"{}\"\nseals = true\n", digit.to_string().repeat(64));
     // The form is fixed, and right.
-    Ring::read(&text).unwrap_or_else(|e| unreachable!("{e}"))
+    KeyRing::parse(&text).unwrap_or_else(|e| unreachable!("{e}"))
 }
 
 /// The ceilings of simulated nodes.
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! [`swim`] has the members and their states, [`spread`] what is passed on and how often, [`evidence`] what instances
 //! measured, and [`belief`] what this instance makes of its own evidence and of others'. [`wire`] is the form of the
-//! datagrams, [`seal`] their authentication, [`window`] the guard against repeats, and [`rate_limit`] the ceiling of
+//! datagrams, [`auth`] their authentication, [`window`] the guard against repeats, and [`rate_limit`] the ceiling of
 //! traffic. [`node`] puts them together: datagrams and time go in, datagrams and statements about exchanges come out.
 //! [`lab`] runs many nodes on a simulated network.
 //!
@@ -15,7 +15,7 @@
 pub mod evidence;
 pub mod lab;
 pub mod node;
-pub mod seal;
+pub mod auth;
 pub mod spread;
 pub mod swim;
 pub mod window;
--- a/crates/gossip/src/node.rs
+++ b/crates/gossip/src/node.rs
@@ -4,7 +4,7 @@
 use crate::belief::{self, Belief};
 use crate::rate_limit::{TokenBucket, RateLimit, SourceLimiter};
 use crate::evidence::{Meters, Report, Reports};
-use crate::seal::Ring;
+use crate::auth::KeyRing;
 use crate::spread::{times, Queue};
 use crate::swim::{self, Members, State, ANSWER, HELPERS, PERIOD, PRESSED};
 use crate::window::Windows;
@@ -140,7 +140,7 @@
 pub struct Node {
     config: Config,
     me: MemberId,
-    ring: Ring,
+    ring: KeyRing,
     /// What it knows of the members.
     pub members: Members,
     windows: Windows,
@@ -171,7 +171,7 @@
 
 impl Node {
     /// An instance that begins its life. `unix`: the Unix clock's seconds now.
-    pub fn new(now: Micros, unix: i64, config: Config, ring: Ring, seed: u64) -> Node {
+    pub fn new(now: Micros, unix: i64, config: Config, ring: KeyRing, seed: u64) -> Node {
         let me = MemberId::of(&config.name);
         let members = Members::new(me, config.address, Incarnation::at(unix), seed);
         let mut node = Node {
@@ -244,7 +244,7 @@
     // ---- What it is told ----
 
     /// A ring of keys that was read anew.
-    pub fn set_ring(&mut self, ring: Ring) {
+    pub fn set_key_ring(&mut self, ring: KeyRing) {
         self.ring = ring;
     }
 
@@ -530,7 +530,7 @@
             self.counts.unusable += 1;
             return;
         };
-        if !self.ring.opens(key, bytes) {
+        if !self.ring.verify(key, bytes) {
             self.counts.forged += 1;
             return;
         }
@@ -775,14 +775,14 @@
             1
         });
         let d = Datagram {
-            key: self.ring.sealing(),
+            key: self.ring.signing_key_id(),
             sender: self.me,
             incarnation: self.members.incarnation,
             sequence: self.sequence,
             message,
             items,
         };
-        let bytes = self.ring.seal(d.encode());
+        let bytes = self.ring.sign(d.encode());
         if !self.out_bucket.take(now, bytes.len(), spare) {
             self.counts.held_back += 1;
             return;
--- a/crates/gossip/tests/members.rs
+++ b/crates/gossip/tests/members.rs
@@ -5,7 +5,7 @@
 use proptest::test_runner::RngSeed;
 use walnuthatch_gossip::lab::{ring, Lab, Net, CEILING, UNIX};
 use walnuthatch_gossip::node::{News, Node, Output};
-use walnuthatch_gossip::seal::Ring;
+use walnuthatch_gossip::auth::KeyRing;
 use walnuthatch_gossip::swim::State;
 use walnuthatch_gossip::wire::*;
 use walnuthatch_gossip::{Exchange, MemberId, Micros, SECOND};
@@ -17,9 +17,9 @@
     lab
 }
 
-fn forged(seal: &Ring, sender: &str, incarnation: Incarnation, sequence: u32, items: Vec<Item>) -> Vec<u8> {
+fn forged(seal: &KeyRing, sender: &str, incarnation: Incarnation, sequence: u32, items: Vec<Item>) -> Vec<u8> {
     let sender = MemberId::of(sender);
-    seal.seal(Datagram { key: 1, sender, incarnation, sequence, message: Message::Items, items }.encode())
+    seal.sign(Datagram { key: 1, sender, incarnation, sequence, message: Message::Items, items }.encode())
 }
 
 fn life() -> Incarnation {
@@ -250,7 +250,7 @@
         for step in steps {
             for i in 0..8 {
                 // Not all at the same moment.
-                lab.with(i, |n, _| n.set_ring(Ring::read(&step).unwrap()));
+                lab.with(i, |n, _| n.set_key_ring(KeyRing::parse(&step).unwrap()));
                 lab.run_until(lab.now + SECOND / 2);
             }
         }
--- a/src/program/gossip.rs
+++ b/src/program/gossip.rs
@@ -67,7 +67,7 @@
     /// Takes over seeds, networks, ceilings and keys that were read anew.
     pub fn reload(&mut self, config: &GossipConfig) {
         self.node.reload(config.node.clone());
-        self.node.set_ring(config.ring.clone());
+        self.node.set_key_ring(config.ring.clone());
     }
 
     /// Hears what the ledger does. Only set-ups that go direct are evidence of silence: what is lost over a tandem may
--- a/src/program/gossip_file.rs
+++ b/src/program/gossip_file.rs
@@ -10,7 +10,7 @@
 use std::path::{Path, PathBuf};
 use walnuthatch_gossip::rate_limit::RateLimit;
 use walnuthatch_gossip::node;
-use walnuthatch_gossip::seal::Ring;
+use walnuthatch_gossip::auth::KeyRing;
 use walnuthatch_gossip::Exchange;
 use zeroize::Zeroizing;
 
@@ -84,7 +84,7 @@
     /// What the node is told.
     pub node: node::Config,
     /// The keys.
-    pub ring: Ring,
+    pub ring: KeyRing,
 }
 
 /// What the platform tells of peers.
@@ -174,7 +174,7 @@
     c.end(Some(GossipConfig { listen: p.listen, node, ring }))
 }
 
-fn keys(c: &mut Checker<'_>, path: &Path) -> Option<Ring> {
+fn keys(c: &mut Checker<'_>, path: &Path) -> Option<KeyRing> {
     let shown = PathBuf::from(path).display().to_string();
     let mode = match std::fs::metadata(path) {
         Ok(found) => found.permissions().mode() & 0o777,
@@ -194,7 +194,7 @@
             return None;
         }
     };
-    Ring::read(&text).map_err(|e| c.add("key_file", format!("{shown:?}: {e}"))).ok()
+    KeyRing::parse(&text).map_err(|e| c.add("key_file", format!("{shown:?}: {e}"))).ok()
 }
 
 #[cfg(test)]
@@ -218,7 +218,7 @@
         );
         let read = |text: &str| read("g", text, "n1", Some(Exchange(3)), None);
         let got = read(&good).unwrap().unwrap();
-        assert_eq!((got.node.seeds.len(), got.ring.sealing()), (1, 1));
+        assert_eq!((got.node.seeds.len(), got.ring.signing_key_id()), (1, 1));
         assert!(read("enabled = false\nlisten = 7\n").unwrap().is_none());
         let open = key_file("open", 0o644);
         for (from, to, want) in [
--- a/tests/gossip.rs
+++ b/tests/gossip.rs
@@ -13,7 +13,7 @@
 use walnuthatch_control::frames::{Ask, Body, Topic};
 use walnuthatch_gossip::rate_limit::RateLimit;
 use walnuthatch_gossip::node::{Config, Node, Output};
-use walnuthatch_gossip::seal::Ring;
+use walnuthatch_gossip::auth::KeyRing;
 use walnuthatch_gossip::{Exchange as Number, MemberId};
 use walnuthatch_standin::{Callers, Exchange, Load, Table, Traits};
 
@@ -166,7 +166,7 @@
     let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap();
     let (start, mut call) = (Instant::now(), 0);
     let begun = unix.as_micros() as i64;
-    let mut node = Node::new(begun, unix.as_secs() as i64, config, Ring::read(&keys('a')).unwrap(), 3);
+    let mut node = Node::new(begun, unix.as_secs() as i64, config, KeyRing::parse(&keys('a')).unwrap(), 3);
     let mut buffer = [0; 512];
     while !over.load(Ordering::SeqCst) {
         let now = begun + start.elapsed().as_micros() as i64;
@@ -206,7 +206,7 @@
     let target = all[1].gossip;
     let flood = std::thread::spawn(move || {
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
-        let forged = Ring::read(&keys('b')).unwrap().seal(vec![1; 100]);
+        let forged = KeyRing::parse(&keys('b')).unwrap().sign(vec![1; 100]);
         let start = Instant::now();
         for n in 0..20_000u32 {
             drop(socket.send_to(if n % 2 == 0 { &forged } else { &[7; 200] }, target));
