--- a/crates/gossip/src/wire.rs
+++ b/crates/gossip/src/wire.rs
@@ -21,13 +21,13 @@
 /// The version that is spoken.
 pub const VERSION: u8 = 1;
 /// The longest datagram (bytes); the platform's limit for messages between peers.
-pub const LONGEST: usize = 256;
+pub const MAX_DATAGRAM_BYTES: usize = 256;
 /// Bytes of the seal: 96 bits, the least that RFC 2104 and SP 800-107 advise for HMAC.
 pub const SEAL: usize = 12;
 /// Bytes before the message.
 pub const HEADER: usize = 20;
 /// Bytes for the message and items.
-pub const ROOM: usize = LONGEST - HEADER - SEAL;
+pub const ROOM: usize = MAX_DATAGRAM_BYTES - HEADER - SEAL;
 /// Groups of members by which digests are told.
 pub const GROUPS: usize = 16;
 
@@ -159,7 +159,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Unusable {
     /// Too short or too long.
-    #[error("{0} bytes, expected {least} to {LONGEST}", least = HEADER + 1 + SEAL)]
+    #[error("{0} bytes, expected {least} to {MAX_DATAGRAM_BYTES}", least = HEADER + 1 + SEAL)]
     Length(usize),
     /// Another version.
     #[error("version {0}, expected {VERSION}")]
@@ -268,7 +268,7 @@
             Message::Items => out.push(6),
         }
         for item in &self.items {
-            if out.len() + item.len() > LONGEST - SEAL {
+            if out.len() + item.len() > MAX_DATAGRAM_BYTES - SEAL {
                 break;
             }
             match item {
@@ -343,7 +343,7 @@
 /// # Errors
 /// If it is no datagram of this form.
 pub fn key_of(bytes: &[u8]) -> Result<u8, Unusable> {
-    if !(HEADER + 1 + SEAL..=LONGEST).contains(&bytes.len()) {
+    if !(HEADER + 1 + SEAL..=MAX_DATAGRAM_BYTES).contains(&bytes.len()) {
         return Err(Unusable::Length(bytes.len()));
     }
     if bytes[0] != VERSION {
--- a/crates/gossip/tests/wire.rs
+++ b/crates/gossip/tests/wire.rs
@@ -86,20 +86,20 @@
         let d = Datagram { key: 3, sender: MemberId(sender), incarnation: Incarnation(7 << 12), sequence, message, items };
         let mut bytes = d.encode();
         bytes.extend([0; SEAL]);
-        prop_assert!(bytes.len() <= LONGEST);
+        prop_assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
         prop_assert_eq!(key_of(&bytes), Ok(3));
         let got = decode(&bytes).unwrap();
         prop_assert_eq!((got.sender, got.sequence, got.message), (d.sender, d.sequence, d.message));
         // What has no room is left out from the end; nothing else is changed.
         prop_assert_eq!(&got.items[..], &d.items[..got.items.len()]);
         let used: usize = HEADER + d.message.len() + d.items.iter().map(Item::len).sum::<usize>();
-        prop_assert_eq!(got.items.len() == d.items.len(), used <= LONGEST - SEAL);
+        prop_assert_eq!(got.items.len() == d.items.len(), used <= MAX_DATAGRAM_BYTES - SEAL);
     }
 
     #[test]
     fn any_bytes_are_read_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         let read = decode(&bytes);
-        if !(HEADER + 1 + SEAL..=LONGEST).contains(&bytes.len()) {
+        if !(HEADER + 1 + SEAL..=MAX_DATAGRAM_BYTES).contains(&bytes.len()) {
             prop_assert_eq!(read, Err(Unusable::Length(bytes.len())));
         }
     }
