--- a/crates/gossip/src/evidence.rs
+++ b/crates/gossip/src/evidence.rs
@@ -1,5 +1,5 @@
 //! What instances measure of exchanges. It is evidence and no verdict: each instance draws its own conclusions
-//! ([`crate::belief`]).
+//! ([`crate::exchange_suspicion`]).
 //!
 //! Evidence is taken only from whoever measured it. All keys are the group's, so that what is passed on for another
 //! could be made up, and one liar would count as many; what a sender says in its own name counts as one.
--- a/crates/gossip/src/belief.rs
+++ b/crates/gossip/src/exchange_suspicion.rs
@@ -86,22 +86,22 @@
     /// The accusers' weight.
     pub weight: f64,
     /// The weight of those who vouch.
-    pub against: f64,
+    pub opposing_weight: f64,
     /// Who accuses, this instance left out.
     pub accusers: Vec<MemberId>,
     /// Whether this instance itself misses answers.
-    pub own: bool,
+    pub observed_locally: bool,
 }
 
 /// Why a suspicion ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum EndReason {
     /// This instance heard an answer.
     Answered,
     /// Too little speaks for it any more.
-    Faded,
+    InsufficientEvidence,
     /// A graver one took its place in the share.
-    Crowded,
+    Displaced,
 }
 
 /// What changed.
@@ -110,9 +110,9 @@
     /// An exchange is suspected.
     Suspected(Exchange, Suspicion),
     /// It is no more.
-    Cleared(Exchange, End),
+    Cleared(Exchange, EndReason),
     /// What an accuser's word is worth now.
-    Weighed(MemberId, Exchange, bool, f64),
+    TrustUpdated(MemberId, Exchange, bool, f64),
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -126,7 +126,7 @@
 
 /// All statements.
 #[derive(Debug, Default)]
-pub struct Belief {
+pub struct ExchangeSuspicions {
     suspicions: BTreeMap<Exchange, Suspicion>,
     records: BTreeMap<MemberId, Record>,
     tests: BTreeMap<(MemberId, Exchange), Test>,
@@ -137,7 +137,7 @@
     r.measured - Micros::from(r.evidence.silent_ms) * MILLI
 }
 
-impl Belief {
+impl ExchangeSuspicions {
     /// The suspicions that are held.
     pub fn suspicions(&self) -> impl Iterator<Item = (Exchange, &Suspicion)> {
         self.suspicions.iter().map(|(e, s)| (*e, s))
@@ -155,7 +155,7 @@
 
     /// This instance heard an answer of an exchange: a suspicion ends at once.
     pub fn answered(&mut self, exchange: Exchange) -> Option<Change> {
-        self.suspicions.remove(&exchange).map(|_| Change::Cleared(exchange, End::Answered))
+        self.suspicions.remove(&exchange).map(|_| Change::Cleared(exchange, EndReason::Answered))
     }
 
     /// Draws its conclusions anew. `exchanges`: how many there are.
@@ -183,11 +183,11 @@
             self.suspicions.remove(&exchange);
             let heard = meters.get(exchange).and_then(|m| m.heard).is_some_and(|h| now - h < TRUSTED);
             let end = if crowded {
-                End::Crowded
+                EndReason::Displaced
             } else if heard {
-                End::Answered
+                EndReason::Answered
             } else {
-                End::Faded
+                EndReason::InsufficientEvidence
             };
             changes.push(Change::Cleared(exchange, end));
         }
@@ -211,7 +211,7 @@
         let held = self.suspicions.get(&exchange);
         let meter = meters.get(exchange);
         let own = meter.map_or(0.0, |m| m.measure(now).accuses());
-        let (mut weight, mut against, mut accusers, mut starts) = (own, 0.0, Vec::new(), Vec::new());
+        let (mut weight, mut opposing_weight, mut accusers, mut starts) = (own, 0.0, Vec::new(), Vec::new());
         for (id, r) in reports.on(now, exchange) {
             let strength = r.evidence.accuses();
             if strength > 0.0 {
@@ -220,7 +220,7 @@
                 starts.push(began(r));
             } else if r.evidence.vouches() && now - r.measured < SECOND {
                 // One who heard an answer a while ago tells nothing of now.
-                against += self.trust(id);
+                opposing_weight += self.trust(id);
             }
         }
         starts.sort_unstable();
@@ -235,12 +235,12 @@
         let enough = if held.is_some() { QUORUM * KEPT } else { QUORUM };
         let many = accusers.len() + usize::from(own > 0.0) >= ACCUSERS;
         // What this instance alone sees is the module's own business: it has its own guard against silence.
-        (many && !accusers.is_empty() && weight >= enough && weight > against).then(|| Suspicion {
+        (many && !accusers.is_empty() && weight >= enough && weight > opposing_weight).then(|| Suspicion {
             since: held.map_or(now, |h| h.since),
             weight,
-            against,
+            opposing_weight,
             accusers,
-            own: own > 0.0,
+            observed_locally: own > 0.0,
         })
     }
 
@@ -273,7 +273,7 @@
             }
             let record = self.records.entry(id).or_default();
             record.note(now, right);
-            changes.push(Change::Weighed(id, exchange, right, record.trust()));
+            changes.push(Change::TrustUpdated(id, exchange, right, record.trust()));
         }
         self.tests.retain(|_, t| now - t.came < TESTED);
     }
@@ -288,7 +288,7 @@
     const X: Exchange = Exchange(4);
 
     struct Bench {
-        belief: Belief,
+        suspicions: ExchangeSuspicions,
         meters: Meters,
         reports: Reports,
         now: Micros,
@@ -297,8 +297,8 @@
 
     impl Bench {
         fn new() -> Bench {
-            let (belief, meters, reports) = (Belief::default(), Meters::default(), Reports::default());
-            Bench { belief, meters, reports, now: 100 * SECOND, version: 0 }
+            let (suspicions, meters, reports) = (ExchangeSuspicions::default(), Meters::default(), Reports::default());
+            Bench { suspicions, meters, reports, now: 100 * SECOND, version: 0 }
         }
 
         fn say(&mut self, from: u64, exchange: Exchange, e: Evidence) {
@@ -324,8 +324,8 @@
         }
 
         fn look(&mut self) -> bool {
-            self.belief.look(self.now, &self.meters, &self.reports, 8);
-            self.belief.suspected().contains(&X)
+            self.suspicions.look(self.now, &self.meters, &self.reports, 8);
+            self.suspicions.suspected().contains(&X)
         }
 
         fn own_answer(&mut self, exchange: Exchange) {
@@ -351,7 +351,7 @@
         (1..=5).for_each(|n| b.accuse(n, X, 5));
         assert!(b.look());
         b.own_answer(X);
-        assert_eq!(b.belief.answered(X), Some(Change::Cleared(X, End::Answered)));
+        assert_eq!(b.suspicions.answered(X), Some(Change::Cleared(X, EndReason::Answered)));
         assert!(!b.look());
         b.now += SECOND;
         assert!(!b.look(), "the accusers' silence began before it answered");
@@ -378,11 +378,11 @@
     fn a_liars_word_is_soon_worth_little_however_long_it_told_the_truth() {
         let mut b = Bench::new();
         for _ in 0..100 {
-            b.belief.records.entry(MemberId(1)).or_default().note(b.now, true);
+            b.suspicions.records.entry(MemberId(1)).or_default().note(b.now, true);
         }
-        let before = b.belief.trust(MemberId(1));
+        let before = b.suspicions.trust(MemberId(1));
         let mut lies = 0;
-        while b.belief.trust(MemberId(1)) > 0.5 {
+        while b.suspicions.trust(MemberId(1)) > 0.5 {
             lies += 1;
             b.accuse(1, X, 50);
             b.now += 100 * MILLI;
@@ -392,9 +392,9 @@
         }
         assert!(before > 0.9 && lies <= 6, "{before} {lies}");
         // Right accusations mend a record, and time does.
-        let low = b.belief.trust(MemberId(1));
-        b.belief.records.get_mut(&MemberId(1)).unwrap().fade(b.now + 10 * HALF_LIFE);
-        assert!(b.belief.trust(MemberId(1)) > low);
+        let low = b.suspicions.trust(MemberId(1));
+        b.suspicions.records.get_mut(&MemberId(1)).unwrap().fade(b.now + 10 * HALF_LIFE);
+        assert!(b.suspicions.trust(MemberId(1)) > low);
     }
 
     #[test]
@@ -404,11 +404,11 @@
             (1..=6).for_each(|from| b.accuse(from, Exchange(n), 9));
         }
         b.look();
-        assert_eq!(b.belief.suspected().len(), 2);
-        let held = b.belief.suspected();
+        assert_eq!(b.suspicions.suspected().len(), 2);
+        let held = b.suspicions.suspected();
         b.now += 100 * MILLI;
         b.look();
-        assert_eq!(b.belief.suspected(), held, "and it is not others in each turn");
+        assert_eq!(b.suspicions.suspected(), held, "and it is not others in each turn");
     }
 
     #[test]
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -1,7 +1,7 @@
 //! Gossip between instances: who is alive, and what each has measured of the exchanges.
 //!
 //! [`swim`] has the members and their states, [`spread`] what is passed on and how often, [`evidence`] what instances
-//! measured, and [`belief`] what this instance makes of its own evidence and of others'. [`wire`] is the form of the
+//! measured, and [`exchange_suspicion`] what this instance makes of its own evidence and of others'. [`wire`] is the form of the
 //! datagrams, [`auth`] their authentication, [`window`] the guard against repeats, and [`rate_limit`] the ceiling of
 //! traffic. [`node`] puts them together: datagrams and time go in, datagrams and statements about exchanges come out.
 //! [`lab`] runs many nodes on a simulated network.
@@ -10,7 +10,7 @@
 //! exchange reaches the decision module as an event, and the module narrows what it sends there.
 #![forbid(unsafe_code)]
 
-pub mod belief;
+pub mod exchange_suspicion;
 pub mod rate_limit;
 pub mod evidence;
 pub mod lab;
--- a/crates/gossip/src/node.rs
+++ b/crates/gossip/src/node.rs
@@ -1,7 +1,7 @@
 //! One instance: members, evidence, belief and the messages between them. Datagrams, time and what happens to set-ups go
 //! in; datagrams, statements about exchanges and news come out.
 
-use crate::belief::{self, Belief};
+use crate::exchange_suspicion::{self, ExchangeSuspicions};
 use crate::rate_limit::{TokenBucket, RateLimit, SourceLimiter};
 use crate::evidence::{Meters, Report, Reports};
 use crate::auth::KeyRing;
@@ -95,7 +95,7 @@
     /// Two addresses claim one name.
     Conflict(MemberId, SocketAddr),
     /// A change of belief.
-    Belief(belief::Change),
+    ExchangeSuspicion(exchange_suspicion::Change),
 }
 
 /// What is to be done.
@@ -148,7 +148,7 @@
     /// What it measures.
     pub meters: Meters,
     reports: Reports,
-    belief: Belief,
+    exchange_suspicions: ExchangeSuspicions,
     probes: BTreeMap<u16, Probe>,
     nonce: u16,
     sequence: u32,
@@ -182,7 +182,7 @@
             queue: Queue::default(),
             meters: Meters::default(),
             reports: Reports::default(),
-            belief: Belief::default(),
+            exchange_suspicions: ExchangeSuspicions::default(),
             probes: BTreeMap::new(),
             nonce: 0,
             sequence: 0,
@@ -215,8 +215,8 @@
     }
 
     /// What it believes.
-    pub fn belief(&self) -> &Belief {
-        &self.belief
+    pub fn exchange_suspicions(&self) -> &ExchangeSuspicions {
+        &self.exchange_suspicions
     }
 
     /// Counts since the start.
@@ -326,9 +326,9 @@
     }
 
     fn heard(&mut self, exchange: Exchange) {
-        if let Some(change) = self.belief.answered(exchange) {
-            self.out.push(Output::Tell(News::Belief(change)));
-            self.out.push(Output::Suspected(self.belief.suspected()));
+        if let Some(change) = self.exchange_suspicions.answered(exchange) {
+            self.out.push(Output::Tell(News::ExchangeSuspicion(change)));
+            self.out.push(Output::Suspected(self.exchange_suspicions.suspected()));
         }
     }
 
@@ -503,15 +503,15 @@
             }
         }
         let busy =
-            !self.reports.is_empty() || self.belief.suspicions().next().is_some() || self.meters.wait();
+            !self.reports.is_empty() || self.exchange_suspicions.suspicions().next().is_some() || self.meters.wait();
         let stretch = if self.pressed >= PRESSED { PRESSED_STRETCH } else { 1 };
         self.next_look = if busy { now + LOOK * stretch } else { now + 20 * LOOK };
-        let changes = self.belief.look(now, &self.meters, &self.reports, self.exchanges);
-        let differs = |c: &belief::Change| !matches!(c, belief::Change::Weighed(..));
+        let changes = self.exchange_suspicions.look(now, &self.meters, &self.reports, self.exchanges);
+        let differs = |c: &exchange_suspicion::Change| !matches!(c, exchange_suspicion::Change::TrustUpdated(..));
         if changes.iter().any(differs) {
-            self.out.push(Output::Suspected(self.belief.suspected()));
+            self.out.push(Output::Suspected(self.exchange_suspicions.suspected()));
         }
-        self.out.extend(changes.into_iter().map(|c| Output::Tell(News::Belief(c))));
+        self.out.extend(changes.into_iter().map(|c| Output::Tell(News::ExchangeSuspicion(c))));
     }
 
     // ---- Messages ----
--- a/src/program/gossip.rs
+++ b/src/program/gossip.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use walnuthatch_control::views;
-use walnuthatch_gossip::belief::{Change, End};
+use walnuthatch_gossip::exchange_suspicion::{Change, EndReason};
 use walnuthatch_gossip::node::{self, News, Node};
 use walnuthatch_gossip::{Exchange, MemberId, SECOND};
 
@@ -228,22 +228,22 @@
             state: format!("{:?}", m.state.claim()).to_lowercase(),
             incarnation: m.incarnation.0,
             pressed: f64::from(m.pressed) / 255.0,
-            trust: self.node.belief().trust(id),
+            trust: self.node.exchange_suspicions().trust(id),
         };
         self.node.members.iter().map(of).collect()
     }
 
     /// The suspicions.
     pub fn suspicions(&self, now: Micros) -> Vec<views::Suspicion> {
-        let of = |(e, s): (Exchange, &walnuthatch_gossip::belief::Suspicion)| views::Suspicion {
+        let of = |(e, s): (Exchange, &walnuthatch_gossip::exchange_suspicion::Suspicion)| views::Suspicion {
             exchange: e.0,
             for_ms: u64::try_from((now - s.since) / 1000).unwrap_or(0),
             weight: s.weight,
-            against: s.against,
+            against: s.opposing_weight,
             accusers: s.accusers.iter().map(ToString::to_string).collect(),
-            own: s.own,
+            own: s.observed_locally,
         };
-        self.node.belief().suspicions().map(of).collect()
+        self.node.exchange_suspicions().suspicions().map(of).collect()
     }
 }
 
@@ -253,27 +253,27 @@
         News::Member(u) => ("peer", format!("{} at {}: {:?}", u.id, u.address, u.claim).to_lowercase()),
         News::NameTaken(at) => ("peer", format!("another instance has this one's name, at {at}")),
         News::Conflict(id, at) => ("peer", format!("{id}: claimed from {at} too, and not believed")),
-        News::Belief(Change::Suspected(e, s)) => {
+        News::ExchangeSuspicion(Change::Suspected(e, s)) => {
             let who: Vec<String> = s.accusers.iter().map(ToString::to_string).collect();
-            let own = if s.own { ", and this instance misses answers itself" } else { "" };
+            let own = if s.observed_locally { ", and this instance misses answers itself" } else { "" };
             let text = format!(
                 "exchange:{} is suspected: weight {:.2} against {:.2}, accused by {}{own}",
                 e.0,
                 s.weight,
-                s.against,
+                s.opposing_weight,
                 who.join(" ")
             );
             ("belief", text)
         }
-        News::Belief(Change::Cleared(e, end)) => {
+        News::ExchangeSuspicion(Change::Cleared(e, end)) => {
             let why = match end {
-                End::Answered => "it answered",
-                End::Faded => "too little speaks against it",
-                End::Crowded => "others are suspected with more weight",
+                EndReason::Answered => "it answered",
+                EndReason::InsufficientEvidence => "too little speaks against it",
+                EndReason::Displaced => "others are suspected with more weight",
             };
             ("belief", format!("exchange:{} is suspected no more: {why}", e.0))
         }
-        News::Belief(Change::Weighed(id, e, right, trust)) => {
+        News::ExchangeSuspicion(Change::TrustUpdated(id, e, right, trust)) => {
             let word = if *right { "right" } else { "wrong" };
             ("belief", format!("{id} was {word} of exchange:{}: its word is worth {trust:.2}", e.0))
         }
