--- a/crates/gossip/src/node.rs
+++ b/crates/gossip/src/node.rs
@@ -85,9 +85,9 @@
     pub contradicted: u64,
 }
 
-/// News for operators and the log.
+/// Event for operators and the log.
 #[derive(Clone, Debug, PartialEq)]
-pub enum News {
+pub enum Event {
     /// A member is now this.
     Member(Update),
     /// Another instance has this one's name.
@@ -117,7 +117,7 @@
         bits: u64,
     },
     /// Tell.
-    Tell(News),
+    Event(Event),
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -327,7 +327,7 @@
 
     fn heard(&mut self, exchange: Exchange) {
         if let Some(change) = self.exchange_suspicions.answered(exchange) {
-            self.out.push(Output::Tell(News::ExchangeSuspicion(change)));
+            self.out.push(Output::Event(Event::ExchangeSuspicion(change)));
             self.out.push(Output::Suspected(self.exchange_suspicions.suspected()));
         }
     }
@@ -511,7 +511,7 @@
         if changes.iter().any(differs) {
             self.out.push(Output::Suspected(self.exchange_suspicions.suspected()));
         }
-        self.out.extend(changes.into_iter().map(|c| Output::Tell(News::ExchangeSuspicion(c))));
+        self.out.extend(changes.into_iter().map(|c| Output::Event(Event::ExchangeSuspicion(c))));
     }
 
     // ---- Messages ----
@@ -541,7 +541,7 @@
         if d.sender == self.me {
             if from != self.config.address {
                 self.counts.conflicts += 1;
-                self.out.push(Output::Tell(News::NameTaken(from)));
+                self.out.push(Output::Event(Event::NameTaken(from)));
             }
             return;
         }
@@ -550,7 +550,7 @@
         let elsewhere = known.is_some_and(|(a, i, alive)| a != from && (alive || !later(i)));
         if elsewhere {
             self.counts.conflicts += 1;
-            self.out.push(Output::Tell(News::Conflict(d.sender, from)));
+            self.out.push(Output::Event(Event::Conflict(d.sender, from)));
             return;
         }
         let latest = self.latest(now);
@@ -732,12 +732,12 @@
                     let most = times(self.members.there());
                     self.links.clone().into_iter().for_each(|l| self.queue.add(l, most));
                 }
-                self.out.push(Output::Tell(News::Member(u)));
+                self.out.push(Output::Event(Event::Member(u)));
             }
-            swim::Change::NameTaken(at) => self.out.push(Output::Tell(News::NameTaken(at))),
+            swim::Change::NameTaken(at) => self.out.push(Output::Event(Event::NameTaken(at))),
             swim::Change::Conflict(id, at) => {
                 self.counts.conflicts += 1;
-                self.out.push(Output::Tell(News::Conflict(id, at)));
+                self.out.push(Output::Event(Event::Conflict(id, at)));
             }
         }
     }
--- a/crates/gossip/tests/members.rs
+++ b/crates/gossip/tests/members.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use walnuthatch_gossip::lab::{ring, Lab, Net, CEILING, UNIX};
-use walnuthatch_gossip::node::{News, Node, Output};
+use walnuthatch_gossip::node::{Event, Node, Output};
 use walnuthatch_gossip::auth::KeyRing;
 use walnuthatch_gossip::swim::State;
 use walnuthatch_gossip::wire::*;
@@ -198,10 +198,10 @@
     let n1 = lab.address(1);
     lab.inject(from, n1, bytes);
     lab.run_until(lab.now + SECOND);
-    let told = |i, want: fn(&News) -> bool| {
-        lab.said.iter().any(|(_, j, o)| *j == i && matches!(o, Output::Tell(n) if want(n)))
+    let told = |i, want: fn(&Event) -> bool| {
+        lab.said.iter().any(|(_, j, o)| *j == i && matches!(o, Output::Event(n) if want(n)))
     };
-    assert!(told(0, |n| matches!(n, News::Conflict(..))) && told(1, |n| matches!(n, News::NameTaken(_))));
+    assert!(told(0, |n| matches!(n, Event::Conflict(..))) && told(1, |n| matches!(n, Event::NameTaken(_))));
     assert!(
         is_there(&lab, 0, 1) && lab.node(0).unwrap().members.get(MemberId::of("n1")).unwrap().address == n1
     );
--- a/src/program/gossip.rs
+++ b/src/program/gossip.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use walnuthatch_control::views;
 use walnuthatch_gossip::exchange_suspicion::{Change, EndReason};
-use walnuthatch_gossip::node::{self, News, Node};
+use walnuthatch_gossip::node::{self, Event, Node};
 use walnuthatch_gossip::{Exchange, MemberId, SECOND};
 
 /// First byte of a message that tells of groups, as the decision module has it.
@@ -161,7 +161,7 @@
                     self.todo.push(Output::Suspect(all));
                 }
                 node::Output::Links { member, own, from, bits } => self.link(member, own, from, bits),
-                node::Output::Tell(news) => {
+                node::Output::Event(news) => {
                     let (kind, text) = told(&news);
                     self.todo.push(Output::Tell(kind, text));
                 }
@@ -248,12 +248,12 @@
 }
 
 /// Of which kind a piece of news is, and its words.
-fn told(news: &News) -> (&'static str, String) {
+fn told(news: &Event) -> (&'static str, String) {
     match news {
-        News::Member(u) => ("peer", format!("{} at {}: {:?}", u.id, u.address, u.claim).to_lowercase()),
-        News::NameTaken(at) => ("peer", format!("another instance has this one's name, at {at}")),
-        News::Conflict(id, at) => ("peer", format!("{id}: claimed from {at} too, and not believed")),
-        News::ExchangeSuspicion(Change::Suspected(e, s)) => {
+        Event::Member(u) => ("peer", format!("{} at {}: {:?}", u.id, u.address, u.claim).to_lowercase()),
+        Event::NameTaken(at) => ("peer", format!("another instance has this one's name, at {at}")),
+        Event::Conflict(id, at) => ("peer", format!("{id}: claimed from {at} too, and not believed")),
+        Event::ExchangeSuspicion(Change::Suspected(e, s)) => {
             let who: Vec<String> = s.accusers.iter().map(ToString::to_string).collect();
             let own = if s.observed_locally { ", and this instance misses answers itself" } else { "" };
             let text = format!(
@@ -265,7 +265,7 @@
             );
             ("belief", text)
         }
-        News::ExchangeSuspicion(Change::Cleared(e, end)) => {
+        Event::ExchangeSuspicion(Change::Cleared(e, end)) => {
             let why = match end {
                 EndReason::Answered => "it answered",
                 EndReason::InsufficientEvidence => "too little speaks against it",
@@ -273,7 +273,7 @@
             };
             ("belief", format!("exchange:{} is suspected no more: {why}", e.0))
         }
-        News::ExchangeSuspicion(Change::TrustUpdated(id, e, right, trust)) => {
+        Event::ExchangeSuspicion(Change::TrustUpdated(id, e, right, trust)) => {
             let word = if *right { "right" } else { "wrong" };
             ("belief", format!("{id} was {word} of exchange:{}: its word is worth {trust:.2}", e.0))
         }
