--- a/crates/gossip/src/node.rs
+++ b/crates/gossip/src/node.rs
@@ -287,7 +287,7 @@
     }
 
     /// An own set-up left.
-    pub fn sent(&mut self, now: Micros, exchange: Exchange, call: u64) {
+    pub fn set_up_sent(&mut self, now: Micros, exchange: Exchange, call: u64) {
         if let Some(m) = self.meters.of(now, exchange) {
             m.sent(now, call);
             self.next_look = self.next_look.min(now + LOOK);
@@ -295,7 +295,7 @@
     }
 
     /// An own set-up was given up without an answer.
-    pub fn given_up(&mut self, now: Micros, exchange: Exchange, call: u64) {
+    pub fn set_up_timed_out(&mut self, now: Micros, exchange: Exchange, call: u64) {
         if let Some(m) = self.meters.of(now, exchange) {
             m.given_up(now, call);
             self.next_look = self.next_look.min(now + LOOK);
@@ -303,14 +303,14 @@
     }
 
     /// The caller of an own set-up left.
-    pub fn dropped(&mut self, now: Micros, exchange: Exchange, call: u64) {
+    pub fn set_up_abandoned(&mut self, now: Micros, exchange: Exchange, call: u64) {
         if let Some(m) = self.meters.of(now, exchange) {
             m.dropped(call);
         }
     }
 
     /// An own set-up was answered: what is suspected of the exchange is over at once.
-    pub fn answered(&mut self, now: Micros, exchange: Exchange, call: u64, took: Micros) {
+    pub fn set_up_answered(&mut self, now: Micros, exchange: Exchange, call: u64, took: Micros) {
         if let Some(m) = self.meters.of(now, exchange) {
             m.answered(now, call, took);
         }
@@ -318,7 +318,7 @@
     }
 
     /// An own set-up was turned away: the exchange works.
-    pub fn turned_away(&mut self, now: Micros, exchange: Exchange, call: u64) {
+    pub fn set_up_refused(&mut self, now: Micros, exchange: Exchange, call: u64) {
         if let Some(m) = self.meters.of(now, exchange) {
             m.turned_away(now, call);
         }
--- a/examples/gossip_tables.rs
+++ b/examples/gossip_tables.rs
@@ -281,7 +281,7 @@
                     self.sites[i].sent_to_hung.push(now);
                 }
                 if to == j {
-                    self.tell(i, |n, now| n.sent(now, Exchange(j as u16), u64::from(call.0)));
+                    self.tell(i, |n, now| n.set_up_sent(now, Exchange(j as u16), u64::from(call.0)));
                 }
                 let legs = if to == j { 1.0 } else { 2.0 };
                 let delay = (15_000.0 + -20_000.0 * (1.0 - self.rng.f64()).ln()) * legs;
@@ -296,9 +296,9 @@
                 let e = Exchange(leg.0);
                 let call = u64::from(call.0);
                 self.tell(i, |n, now| match ending {
-                    Ending::TimedOut | Ending::CalledOff => n.given_up(now, e, call),
-                    Ending::Full | Ending::Fault => n.turned_away(now, e, call),
-                    _ => n.dropped(now, e, call),
+                    Ending::TimedOut | Ending::CalledOff => n.set_up_timed_out(now, e, call),
+                    Ending::Full | Ending::Fault => n.set_up_refused(now, e, call),
+                    _ => n.set_up_abandoned(now, e, call),
                 });
             }
             Output::Answer { call, answer, taken, destination, last, .. } => {
@@ -307,7 +307,7 @@
                     self.good[other] += u32::from(now - taken <= 1_200_000);
                     if let Some(last) = last {
                         let (e, took) = (Exchange(last.leg.map_or(0, |l| l.0)), last.took);
-                        self.tell(i, |n, now| n.answered(now, e, u64::from(call.0), took));
+                        self.tell(i, |n, now| n.set_up_answered(now, e, u64::from(call.0), took));
                     }
                 }
             }
@@ -434,9 +434,9 @@
                     fake += 1;
                     let (e, call) = (Exchange(e as u16), fake);
                     m.tell(liar, |n, now| {
-                        n.sent(now, e, call);
+                        n.set_up_sent(now, e, call);
                         if kind == Kind::Praise {
-                            n.answered(now, e, call, 20_000);
+                            n.set_up_answered(now, e, call, 20_000);
                         }
                     });
                 }
--- a/src/program/gossip.rs
+++ b/src/program/gossip.rs
@@ -79,15 +79,15 @@
                 let to = ledger.offer_of(*call).map(|o| o.ask.destination);
                 if let Some(leg) = leg.filter(|l| Some(*l) == to) {
                     self.out.insert(*call, exchange(leg));
-                    self.node.sent(now, exchange(leg), u64::from(call.0));
+                    self.node.set_up_sent(now, exchange(leg), u64::from(call.0));
                 }
             }
             LedgerOutput::Answer { call, answer: Answer::Stands(_), last: Some(last), .. } => {
                 let direct = self.out.remove(call);
                 if let Some(leg) = last.leg {
                     match direct {
-                        Some(e) => self.node.answered(now, e, u64::from(call.0), last.took),
-                        None => self.node.turned_away(now, exchange(leg), u64::from(call.0)),
+                        Some(e) => self.node.set_up_answered(now, e, u64::from(call.0), last.took),
+                        None => self.node.set_up_refused(now, exchange(leg), u64::from(call.0)),
                     }
                 }
             }
@@ -96,20 +96,20 @@
                 let (e, call) = (exchange(*leg), u64::from(call.0));
                 match (ending, cause) {
                     (Ending::Full | Ending::Fault, _) | (_, Cause::LinesBusy) => {
-                        self.node.turned_away(now, e, call)
+                        self.node.set_up_refused(now, e, call)
                     }
                     (Ending::TimedOut | Ending::CalledOff | Ending::Reset | Ending::Unreachable, _)
                         if direct =>
                     {
-                        self.node.given_up(now, e, call);
+                        self.node.set_up_timed_out(now, e, call);
                     }
-                    _ => self.node.dropped(now, e, call),
+                    _ => self.node.set_up_abandoned(now, e, call),
                 }
             }
             // Its caller left; an attempt that this side gave up is told to have ended besides.
             LedgerOutput::Clear { call, .. } if ledger.offer_of(*call).is_none() => {
                 if let Some(e) = self.out.remove(call) {
-                    self.node.dropped(now, e, u64::from(call.0));
+                    self.node.set_up_abandoned(now, e, u64::from(call.0));
                 }
             }
             _ => {}
--- a/tests/gossip.rs
+++ b/tests/gossip.rs
@@ -172,7 +172,7 @@
         let now = begun + start.elapsed().as_micros() as i64;
         for e in 1..=4 {
             call += 1;
-            node.sent(now, Number(e), call);
+            node.set_up_sent(now, Number(e), call);
         }
         if let Ok((n, from)) = socket.recv_from(&mut buffer) {
             heard.fetch_add(n as u64, Ordering::SeqCst);
