--- a/crates/gossip/src/lab.rs
+++ b/crates/gossip/src/lab.rs
@@ -175,7 +175,7 @@
     fn follow(&mut self, i: usize) {
         let Some(node) = &mut self.nodes[i] else { return };
         let outputs = node.take_outputs();
-        let due = node.next_due();
+        let due = node.next_timeout();
         self.dues.remove(&(self.due_of[i], i));
         self.due_of[i] = due;
         self.dues.insert((due, i));
@@ -222,7 +222,7 @@
                 if let Some(&j) = self.by_address.get(&to) {
                     let now = self.now;
                     if let Some(n) = &mut self.nodes[j] {
-                        n.datagram(now, from, &bytes);
+                        n.handle_datagram(now, from, &bytes);
                     }
                     self.follow(j);
                 }
@@ -231,7 +231,7 @@
             let Some((_, i)) = self.dues.pop_first() else { break };
             let now = self.now;
             if let Some(n) = &mut self.nodes[i] {
-                n.due(now);
+                n.handle_timeouts(now);
             }
             self.follow(i);
         }
--- a/crates/gossip/src/node.rs
+++ b/crates/gossip/src/node.rs
@@ -229,8 +229,8 @@
         (self.reports.len(), self.queue.len())
     }
 
-    /// When [`Node::due`] must be called next.
-    pub fn next_due(&self) -> Micros {
+    /// When [`Node::handle_timeouts`] must be called next.
+    pub fn next_timeout(&self) -> Micros {
         let probe =
             self.probes.values().map(|p| if p.asked { p.over } else { p.ask_others.min(p.over) }).min();
         self.next_period.min(self.next_look).min(probe.unwrap_or(Micros::MAX))
@@ -344,7 +344,7 @@
     // ---- Time ----
 
     /// Does what is due.
-    pub fn due(&mut self, now: Micros) {
+    pub fn handle_timeouts(&mut self, now: Micros) {
         self.probes_due(now);
         if now >= self.next_look {
             self.look(now);
@@ -517,7 +517,7 @@
     // ---- Messages ----
 
     /// A datagram came. What can be refused cheaply is refused first, so that a flood costs little.
-    pub fn datagram(&mut self, now: Micros, from: SocketAddr, bytes: &[u8]) {
+    pub fn handle_datagram(&mut self, now: Micros, from: SocketAddr, bytes: &[u8]) {
         if !self.config.allowed.iter().any(|n| n.contains(&from.ip())) {
             self.counts.foreign += 1;
             return;
--- a/crates/gossip/tests/members.rs
+++ b/crates/gossip/tests/members.rs
@@ -143,7 +143,7 @@
     let counts = |l: &Lab| l.node(0).unwrap().counts();
     // Another key; the right key but a bit flipped; a life before this one; a name from another's address.
     let mut take = |from, bytes: Vec<u8>| {
-        lab.with(0, |n, now| n.datagram(now, from, &bytes));
+        lab.with(0, |n, now| n.handle_datagram(now, from, &bytes));
     };
     take(from, forged(&ring('b'), "n1", life(), 9_000, vec![lie(life())]));
     let good = forged(&ring('a'), "n1", life(), 9_001, vec![]);
@@ -261,7 +261,7 @@
     assert_eq!(lab.living().map(|n| n.1.counts().forged).sum::<u64>(), 0);
     // Whoever has the first key still is heard no more.
     let bytes = forged(&ring('a'), "n1", Incarnation::at(UNIX + 60), 900_000, Vec::new());
-    lab.with(0, |n, now| n.datagram(now, lab_address(1), &bytes));
+    lab.with(0, |n, now| n.handle_datagram(now, lab_address(1), &bytes));
     assert_eq!(lab.node(0).unwrap().counts().forged, 1);
 }
 
@@ -299,7 +299,7 @@
         };
         sequence += 1;
         let bytes = forged(&ring('a'), "n1", life(), sequence, (0..9).map(item).collect());
-        lab.with(0, |n, now| n.datagram(now, lab_address(1), &bytes));
+        lab.with(0, |n, now| n.handle_datagram(now, lab_address(1), &bytes));
         lab.now += SECOND / 20;
     }
     let node = lab.node(0).unwrap();
--- a/src/program/gossip.rs
+++ b/src/program/gossip.rs
@@ -119,7 +119,7 @@
 
     /// A datagram came.
     pub fn datagram(&mut self, now: Micros, from: SocketAddr, body: &[u8]) {
-        self.node.datagram(now, from, body);
+        self.node.handle_datagram(now, from, body);
         self.follow(now);
     }
 
@@ -137,7 +137,7 @@
             self.node.set_exchanges(known.len());
             self.node.set_pressed((ledger.pressed(now) * 200.0).clamp(0.0, 255.0) as u8);
         }
-        self.node.due(now);
+        self.node.handle_timeouts(now);
         self.follow(now);
     }
 
@@ -167,7 +167,7 @@
                 }
             }
         }
-        let due = self.node.next_due().min(self.tick + SECOND).max(now + 1);
+        let due = self.node.next_timeout().min(self.tick + SECOND).max(now + 1);
         if due < self.next || self.next <= now {
             self.next = due;
             self.todo.push(Output::Wake(due));
--- a/tests/gossip.rs
+++ b/tests/gossip.rs
@@ -176,9 +176,9 @@
         }
         if let Ok((n, from)) = socket.recv_from(&mut buffer) {
             heard.fetch_add(n as u64, Ordering::SeqCst);
-            node.datagram(now, from, &buffer[..n]);
+            node.handle_datagram(now, from, &buffer[..n]);
         }
-        node.due(now);
+        node.handle_timeouts(now);
         for output in node.take_outputs() {
             if let Output::Send(to, bytes) = output {
                 drop(socket.send_to(&bytes, to));
