--- a/crates/gossip/src/node.rs
+++ b/crates/gossip/src/node.rs
@@ -6,7 +6,7 @@
 use crate::evidence::{Meters, Report, Reports};
 use crate::auth::KeyRing;
 use crate::spread::{times, Queue};
-use crate::swim::{self, Members, State, ANSWER, HELPERS, PERIOD, PRESSED};
+use crate::swim::{self, Members, State, ANSWER, HELPERS, PERIOD, OVERLOAD_LEVEL};
 use crate::window::Windows;
 use crate::wire::{self, Claim, Datagram, Incarnation, Item, Message, Update, GROUPS, ROOM};
 use crate::{Exchange, MemberId, Micros, MILLI, SECOND};
@@ -25,7 +25,7 @@
 /// A contradiction of what is said of the own instance goes to so many at once.
 const CONTRADICT: usize = 6;
 /// While the own processor is pressed, periods are so many times longer.
-const PRESSED_STRETCH: Micros = 4;
+const OVERLOAD_PERIOD_FACTOR: Micros = 4;
 /// Incarnations that lie further ahead than this are nobody's (s): clocks differ, but not by a day.
 const AHEAD: i64 = 86_400;
 /// Questions that wait for an answer at most.
@@ -160,7 +160,7 @@
     next_look: Micros,
     /// The Unix clock's seconds at the program's time 0, as told at the start.
     unix: i64,
-    pressed: u8,
+    load: u8,
     leaving: bool,
     links: Vec<Item>,
     bound: BTreeMap<Exchange, MemberId>,
@@ -193,7 +193,7 @@
             periods: 0,
             next_look: now + LOOK,
             unix: unix - now.div_euclid(SECOND),
-            pressed: 0,
+            load: 0,
             leaving: false,
             links: Vec::new(),
             bound: BTreeMap::new(),
@@ -261,8 +261,8 @@
     }
 
     /// How pressed the own processor is, from 0 to 255.
-    pub fn set_pressed(&mut self, pressed: u8) {
-        self.pressed = pressed;
+    pub fn set_load(&mut self, load: u8) {
+        self.load = load;
     }
 
     /// How many exchanges there are.
@@ -355,8 +355,8 @@
     }
 
     fn stretch(&self) -> Micros {
-        let pressed = if self.pressed >= PRESSED { PRESSED_STRETCH } else { 1 };
-        self.members.stretch() * pressed
+        let overload = if self.load >= OVERLOAD_LEVEL { OVERLOAD_PERIOD_FACTOR } else { 1 };
+        self.members.stretch() * overload
     }
 
     fn period(&mut self, now: Micros) {
@@ -382,7 +382,7 @@
         if alone || self.periods.is_multiple_of(RECONNECT) {
             self.reconnect(now, alone);
         }
-        if self.periods.is_multiple_of(SYNC) && self.pressed < PRESSED {
+        if self.periods.is_multiple_of(SYNC) && self.load < OVERLOAD_LEVEL {
             if let Some((_, address)) = self.members.some(1, self.me).first().copied() {
                 let groups = self.members.digest();
                 self.send(now, address, Message::Digest { reply: true, groups }, Vec::new(), 0.5);
@@ -490,7 +490,7 @@
                 let item = Item::Evidence(exchange, e);
                 if now_or_never {
                     urgent.push(item);
-                } else if self.pressed < PRESSED {
+                } else if self.load < OVERLOAD_LEVEL {
                     self.queue.add(item, most);
                 }
             }
@@ -504,7 +504,7 @@
         }
         let busy =
             !self.reports.is_empty() || self.exchange_suspicions.suspicions().next().is_some() || self.meters.wait();
-        let stretch = if self.pressed >= PRESSED { PRESSED_STRETCH } else { 1 };
+        let stretch = if self.load >= OVERLOAD_LEVEL { OVERLOAD_PERIOD_FACTOR } else { 1 };
         self.next_look = if busy { now + LOOK * stretch } else { now + 20 * LOOK };
         let changes = self.exchange_suspicions.look(now, &self.meters, &self.reports, self.exchanges);
         let differs = |c: &exchange_suspicion::Change| !matches!(c, exchange_suspicion::Change::TrustUpdated(..));
@@ -584,14 +584,14 @@
             Message::Ping { nonce, target } => {
                 // One that is meant for whoever had this address before is not answered.
                 if (target == self.me || target == MemberId(0)) && !self.leaving {
-                    let pressed = self.pressed;
+                    let load = self.load;
                     // One that is taken for gone hears it, and can contradict.
                     let said = self.said_of(d.sender);
-                    self.send(now, from, Message::Ack { nonce, pressed }, said.into_iter().collect(), 0.0);
+                    self.send(now, from, Message::Ack { nonce, load }, said.into_iter().collect(), 0.0);
                 }
             }
-            Message::Ack { nonce, pressed } => {
-                self.members.note_pressed(d.sender, pressed);
+            Message::Ack { nonce, load } => {
+                self.members.note_load(d.sender, load);
                 // Itself, or a helper's word that it is there.
                 let there = |p: &Probe| {
                     let says = |i: &Item| matches!(i, Item::Member(u) if u.id == p.target && u.claim == Claim::Alive);
@@ -606,7 +606,7 @@
                             let (address, incarnation) = (m.address, m.incarnation);
                             Item::Member(Update { id: d.sender, address, incarnation, claim: Claim::Alive })
                         });
-                        let message = Message::Ack { nonce: theirs, pressed };
+                        let message = Message::Ack { nonce: theirs, load };
                         self.send(now, asker, message, item.into_iter().collect(), 0.0);
                     }
                     None => self.members.note_health(false),
@@ -614,7 +614,7 @@
             }
             Message::PingReq { nonce, target, address } => {
                 let fits = self.config.allowed.iter().any(|n| n.contains(&address.ip()));
-                if self.probes.len() < PROBES && fits && self.pressed < PRESSED {
+                if self.probes.len() < PROBES && fits && self.load < OVERLOAD_LEVEL {
                     let own = self.ping(now, address, target);
                     let (ask_others, over) = (now + ANSWER, now + 2 * ANSWER);
                     let behalf = Some((from, nonce));
@@ -651,10 +651,10 @@
         theirs: &[u32; GROUPS],
     ) {
         let mine = self.members.digest();
-        if mine == *theirs || self.pressed >= PRESSED {
+        if mine == *theirs || self.load >= OVERLOAD_LEVEL {
             return;
         }
-        if self.members.get(peer).is_some_and(|m| m.pressed >= PRESSED) {
+        if self.members.get(peer).is_some_and(|m| m.load >= OVERLOAD_LEVEL) {
             return;
         }
         let mut updates = self.members.of_groups(|g| mine[g] != theirs[g]);
@@ -745,8 +745,8 @@
     /// Sends a message, with as much as fits of what waits to be passed on.
     fn send(&mut self, now: Micros, to: SocketAddr, message: Message, mut items: Vec<Item>, spare: f64) {
         let used: usize = message.len() + items.iter().map(Item::len).sum::<usize>();
-        let pressed = self.members.presses(to);
-        if !pressed {
+        let overloaded = self.members.is_overloaded(to);
+        if !overloaded {
             self.queue.fill(ROOM.saturating_sub(used), &mut items);
         }
         self.send_plain(now, to, message, items, spare);
--- a/crates/gossip/src/swim.rs
+++ b/crates/gossip/src/swim.rs
@@ -28,7 +28,7 @@
 /// so that an old word does not bring it back.
 pub const TOMBSTONE: Micros = 600 * SECOND;
 /// A processor is pressed from here on (of 255): then only what keeps membership goes there.
-pub const PRESSED: u8 = 200;
+pub const OVERLOAD_LEVEL: u8 = 200;
 /// Members that are known at most. Guards memory against names without end.
 pub const MEMBERS: usize = 2048;
 
@@ -72,7 +72,7 @@
     /// What it is.
     pub state: State,
     /// How pressed its processor said it was, from 0 to 255.
-    pub pressed: u8,
+    pub load: u8,
 }
 
 /// Something that changed.
@@ -95,7 +95,7 @@
     pub incarnation: Incarnation,
     all: BTreeMap<MemberId, Member>,
     /// Where those are that said that they are pressed.
-    pressed: BTreeSet<SocketAddr>,
+    overloaded: BTreeSet<SocketAddr>,
     /// Whom to ask next, and so on: each once before any again.
     round: Vec<MemberId>,
     /// How bad the own health is, from 0 to `WORST`.
@@ -114,7 +114,7 @@
             address,
             incarnation,
             all: BTreeMap::new(),
-            pressed: BTreeSet::new(),
+            overloaded: BTreeSet::new(),
             round: Vec::new(),
             health: 0,
             rng,
@@ -244,7 +244,7 @@
             Claim::Left => State::Left(now),
         };
         let there = state.is_there();
-        let member = Member { address: u.address, incarnation: u.incarnation, state, pressed: 0 };
+        let member = Member { address: u.address, incarnation: u.incarnation, state, load: 0 };
         self.all.insert(u.id, member);
         if there {
             self.enter_round(u.id);
@@ -266,20 +266,20 @@
     }
 
     /// How pressed a member says that it is.
-    pub fn note_pressed(&mut self, id: MemberId, pressed: u8) {
+    pub fn note_load(&mut self, id: MemberId, load: u8) {
         if let Some(m) = self.all.get_mut(&id) {
-            m.pressed = pressed;
-            if pressed >= PRESSED {
-                self.pressed.insert(m.address);
+            m.load = load;
+            if load >= OVERLOAD_LEVEL {
+                self.overloaded.insert(m.address);
             } else {
-                self.pressed.remove(&m.address);
+                self.overloaded.remove(&m.address);
             }
         }
     }
 
     /// Whether a member at this address said that it is pressed.
-    pub fn presses(&self, address: SocketAddr) -> bool {
-        self.pressed.contains(&address)
+    pub fn is_overloaded(&self, address: SocketAddr) -> bool {
+        self.overloaded.contains(&address)
     }
 
     /// It did not answer this instance.
@@ -307,9 +307,9 @@
         }
         self.all
             .retain(|_, m| !matches!(m.state, State::Dead(at) | State::Left(at) if now - at >= TOMBSTONE));
-        if !self.pressed.is_empty() {
+        if !self.overloaded.is_empty() {
             let there: BTreeSet<SocketAddr> = self.all.values().map(|m| m.address).collect();
-            self.pressed.retain(|a| there.contains(a));
+            self.overloaded.retain(|a| there.contains(a));
         }
         changes
     }
--- a/crates/gossip/src/wire.rs
+++ b/crates/gossip/src/wire.rs
@@ -92,7 +92,7 @@
         /// The question's.
         nonce: u16,
         /// How pressed.
-        pressed: u8,
+        load: u8,
     },
     /// Ask this member for me.
     PingReq {
@@ -245,10 +245,10 @@
                 put(&mut out, (*nonce).into(), 2);
                 put(&mut out, target.0, 8);
             }
-            Message::Ack { nonce, pressed } => {
+            Message::Ack { nonce, load } => {
                 out.push(2);
                 put(&mut out, (*nonce).into(), 2);
-                out.push(*pressed);
+                out.push(*load);
             }
             Message::PingReq { nonce, target, address } => {
                 out.push(3);
@@ -365,7 +365,7 @@
     let at = r.at;
     let message = match r.byte()? {
         1 => Message::Ping { nonce: r.number(2)? as u16, target: MemberId(r.number(8)?) },
-        2 => Message::Ack { nonce: r.number(2)? as u16, pressed: r.byte()? },
+        2 => Message::Ack { nonce: r.number(2)? as u16, load: r.byte()? },
         3 => Message::PingReq {
             nonce: r.number(2)? as u16,
             target: MemberId(r.number(8)?),
--- a/crates/gossip/tests/wire.rs
+++ b/crates/gossip/tests/wire.rs
@@ -42,7 +42,7 @@
 fn message() -> impl Strategy<Value = Message> {
     prop_oneof![
         (any::<u16>(), any::<u64>()).prop_map(|(nonce, t)| Message::Ping { nonce, target: MemberId(t) }),
-        (any::<u16>(), any::<u8>()).prop_map(|(nonce, pressed)| Message::Ack { nonce, pressed }),
+        (any::<u16>(), any::<u8>()).prop_map(|(nonce, load)| Message::Ack { nonce, load }),
         (any::<u16>(), any::<u64>(), address()).prop_map(|(nonce, t, address)| Message::PingReq {
             nonce,
             target: MemberId(t),
--- a/src/program/gossip.rs
+++ b/src/program/gossip.rs
@@ -135,7 +135,7 @@
             self.node.set_links(&linked.map(|(e, _)| exchange(e.exchange)).collect());
             let known: BTreeSet<ExchangeNo> = offices.iter().map(|(e, _)| e.exchange).collect();
             self.node.set_exchanges(known.len());
-            self.node.set_pressed((ledger.pressed(now) * 200.0).clamp(0.0, 255.0) as u8);
+            self.node.set_load((ledger.pressed(now) * 200.0).clamp(0.0, 255.0) as u8);
         }
         self.node.handle_timeouts(now);
         self.follow(now);
@@ -227,7 +227,7 @@
             address: m.address.to_string(),
             state: format!("{:?}", m.state.claim()).to_lowercase(),
             incarnation: m.incarnation.0,
-            pressed: f64::from(m.pressed) / 255.0,
+            pressed: f64::from(m.load) / 255.0,
             trust: self.node.exchange_suspicions().trust(id),
         };
         self.node.members.iter().map(of).collect()
