--- a/crates/gossip/src/node.rs
+++ b/crates/gossip/src/node.rs
@@ -225,7 +225,7 @@
     }
 
     /// Reports held, and things that wait to be passed on.
-    pub fn held(&self) -> (usize, usize) {
+    pub fn buffered_counts(&self) -> (usize, usize) {
         (self.reports.len(), self.queue.len())
     }
 
--- a/crates/gossip/tests/members.rs
+++ b/crates/gossip/tests/members.rs
@@ -304,7 +304,7 @@
     }
     let node = lab.node(0).unwrap();
     assert!(node.members.iter().count() <= walnuthatch_gossip::swim::MEMBERS);
-    assert!(node.held().1 <= 2048);
+    assert!(node.buffered_counts().1 <= 2048);
 }
 
 #[test]
--- a/src/program/gossip.rs
+++ b/src/program/gossip.rs
@@ -198,7 +198,7 @@
     /// Counters.
     pub fn counters(&self) -> Vec<(String, u64)> {
         let c = self.node.counts();
-        let (reports, queue) = self.node.held();
+        let (reports, queue) = self.node.buffered_counts();
         [
             ("gossip.sent", c.sent),
             ("gossip.sent_bytes", c.sent_bytes),
