--- a/crates/gossip/src/auth.rs
+++ b/crates/gossip/src/auth.rs
@@ -138,7 +138,7 @@
 mod tests {
     use super::*;
 
-    fn ring(keys: &[(u8, char, bool)]) -> Result<KeyRing, KeyError> {
+    fn key_ring(keys: &[(u8, char, bool)]) -> Result<KeyRing, KeyError> {
         let block = |(id, digit, seals): &(u8, char, bool)| {
             format!("[[key]]\nid = {id}\nsecret = \"{}\"\nseals = {seals}\n", digit.to_string().repeat(64))
         };
@@ -148,10 +148,10 @@
     #[test]
     fn a_key_is_replaced_in_three_steps_and_peers_understand_each_other_in_each() {
         let steps = [
-            ring(&[(1, 'a', true)]),
-            ring(&[(1, 'a', true), (2, 'b', false)]),
-            ring(&[(1, 'a', false), (2, 'b', true)]),
-            ring(&[(2, 'b', true)]),
+            key_ring(&[(1, 'a', true)]),
+            key_ring(&[(1, 'a', true), (2, 'b', false)]),
+            key_ring(&[(1, 'a', false), (2, 'b', true)]),
+            key_ring(&[(2, 'b', true)]),
         ]
         .map(Result::unwrap);
         for pair in steps.windows(2) {
@@ -166,28 +166,28 @@
 
     #[test]
     fn one_flipped_bit_anywhere_or_another_key_of_that_number_does_not_open() {
-        let r = ring(&[(1, 'a', true)]).unwrap();
+        let r = key_ring(&[(1, 'a', true)]).unwrap();
         let sealed = r.sign(b"some words".to_vec());
         for bit in 0..sealed.len() * 8 {
             let mut spoilt = sealed.clone();
             spoilt[bit / 8] ^= 1 << (bit % 8);
             assert!(!r.verify(1, &spoilt));
         }
-        assert!(r.verify(1, &sealed) && !ring(&[(1, 'c', true)]).unwrap().verify(1, &sealed));
+        assert!(r.verify(1, &sealed) && !key_ring(&[(1, 'c', true)]).unwrap().verify(1, &sealed));
         assert!(!r.verify(1, b"") && !r.verify(9, &sealed));
     }
 
     #[test]
     fn faults_are_named_and_no_secret_is_shown() {
-        assert_eq!(ring(&[(1, 'a', false)]), Err(KeyError::Seals(0)));
-        assert_eq!(ring(&[(1, 'a', true), (2, 'b', true)]), Err(KeyError::Seals(2)));
-        assert_eq!(ring(&[(1, 'a', true), (1, 'b', false)]), Err(KeyError::Twice(1)));
-        assert_eq!(ring(&[(1, 'g', true)]), Err(KeyError::Secret(1)));
-        assert_eq!(ring(&[]).unwrap_err(), KeyError::Form);
+        assert_eq!(key_ring(&[(1, 'a', false)]), Err(KeyError::Seals(0)));
+        assert_eq!(key_ring(&[(1, 'a', true), (2, 'b', true)]), Err(KeyError::Seals(2)));
+        assert_eq!(key_ring(&[(1, 'a', true), (1, 'b', false)]), Err(KeyError::Twice(1)));
+        assert_eq!(key_ring(&[(1, 'g', true)]), Err(KeyError::Secret(1)));
+        assert_eq!(key_ring(&[]).unwrap_err(), KeyError::Form);
         let short = KeyRing::parse("[[key]]\nid = 3\nsecret = \"abcd\"\nseals = true\n");
         assert_eq!(short, Err(KeyError::Secret(3)));
         let text = "[[key]]\nid = 3\nsecrt = \"deadbeef\"\n";
         assert!(!KeyRing::parse(text).unwrap_err().to_string().contains("deadbeef"));
-        assert!(!format!("{:?}", ring(&[(1, 'a', true)]).unwrap()).contains("aa"));
+        assert!(!format!("{:?}", key_ring(&[(1, 'a', true)]).unwrap()).contains("aa"));
     }
 }
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -4,7 +4,7 @@
 //! measured, and [`exchange_suspicion`] what this instance makes of its own evidence and of others'. [`wire`] is the form of the
 //! datagrams, [`auth`] their authentication, [`window`] the guard against repeats, and [`rate_limit`] the ceiling of
 //! traffic. [`node`] puts them together: datagrams and time go in, datagrams and statements about exchanges come out.
-//! [`lab`] runs many nodes on a simulated network.
+//! [`simulation`] runs many nodes on a simulated network.
 //!
 //! Nothing here has a clock or does input or output, and nothing is decided about a call: what is believed of an
 //! exchange reaches the decision module as an event, and the module narrows what it sends there.
@@ -13,7 +13,7 @@
 pub mod exchange_suspicion;
 pub mod rate_limit;
 pub mod evidence;
-pub mod lab;
+pub mod simulation;
 pub mod node;
 pub mod auth;
 pub mod spread;
--- a/crates/gossip/src/lab.rs
+++ b/crates/gossip/src/simulation.rs
@@ -13,7 +13,7 @@
 
 /// How the network is.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Net {
+pub struct Network {
     /// Shortest and longest time that a datagram takes; one may overtake another.
     pub delay: (Micros, Micros),
     /// Share of datagrams that are lost.
@@ -24,10 +24,10 @@
     pub skew: i64,
 }
 
-impl Default for Net {
+impl Default for Network {
     fn default() -> Self {
         // The delays between session controllers that were seen.
-        Net { delay: (2_700, 26_000), loss: 0.0, twice: 0.0, skew: 2 }
+        Network { delay: (2_700, 26_000), loss: 0.0, twice: 0.0, skew: 2 }
     }
 }
 
@@ -41,21 +41,21 @@
 }
 
 /// A ring of one key, for simulated nodes.
-pub fn ring(digit: char) -> KeyRing {
+pub fn key_ring(digit: char) -> KeyRing {
     let text = format!("[[key]]\nid = 1\nsecret = \"{}\"\nseals = true\n", digit.to_string().repeat(64));
     // The form is fixed, and right.
     KeyRing::parse(&text).unwrap_or_else(|e| unreachable!("{e}"))
 }
 
 /// The ceilings of simulated nodes.
-pub const CEILING: RateLimit = RateLimit { bytes: 16_384, datagrams: 100 };
+pub const RATE_LIMIT: RateLimit = RateLimit { bytes: 16_384, datagrams: 100 };
 
 /// Many nodes.
-pub struct Lab {
+pub struct Simulation {
     /// The time.
     pub now: Micros,
     /// The network.
-    pub net: Net,
+    pub net: Network,
     nodes: Vec<Option<Node>>,
     addresses: Vec<SocketAddr>,
     by_address: BTreeMap<SocketAddr, usize>,
@@ -74,15 +74,15 @@
     pub keep: bool,
 }
 
-impl Lab {
+impl Simulation {
     /// So many nodes, all of which know the first three.
-    pub fn new(nodes: usize, seed: u64, net: Net) -> Lab {
+    pub fn new(nodes: usize, seed: u64, net: Network) -> Simulation {
         let address = |i: usize| {
             let [a, b] = (i as u16).to_be_bytes();
             SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, 1, a, b)), 7946)
         };
         let addresses: Vec<SocketAddr> = (0..nodes).map(address).collect();
-        let mut lab = Lab {
+        let mut simulation = Simulation {
             now: 0,
             net,
             nodes: (0..nodes).map(|_| None).collect(),
@@ -99,8 +99,8 @@
             said: Vec::new(),
             keep: false,
         };
-        (0..nodes).for_each(|i| lab.start(i));
-        lab
+        (0..nodes).for_each(|i| simulation.start(i));
+        simulation
     }
 
     /// What a node is told.
@@ -111,9 +111,9 @@
             seeds: self.addresses.iter().take(3).copied().collect(),
             allowed: "127.0.0.0/8".parse().into_iter().collect(),
             own: Some(Exchange(i as u16)),
-            send: CEILING,
+            send: RATE_LIMIT,
             receive: RateLimit { bytes: 65_536, datagrams: 400 },
-            source: CEILING,
+            source: RATE_LIMIT,
         }
     }
 
@@ -121,7 +121,7 @@
     pub fn start(&mut self, i: usize) {
         let skew = self.rng.i64(-self.net.skew..=self.net.skew);
         let unix = UNIX + self.now / SECOND + skew;
-        let mut node = Node::new(self.now, unix, self.config(i), ring('a'), self.rng.u64(..));
+        let mut node = Node::new(self.now, unix, self.config(i), key_ring('a'), self.rng.u64(..));
         node.set_exchanges(self.nodes.len());
         self.nodes[i] = Some(node);
         self.follow(i);
@@ -239,7 +239,7 @@
     }
 
     /// Lets time pass until something is so, looked at each 50 ms (1 s in large groups). When that was, if it came about by `end`.
-    pub fn run_while(&mut self, end: Micros, mut not_yet: impl FnMut(&Lab) -> bool) -> Option<Micros> {
+    pub fn run_while(&mut self, end: Micros, mut not_yet: impl FnMut(&Simulation) -> bool) -> Option<Micros> {
         while self.now < end {
             // In large groups a look costs more than what is gained by the finer time.
             let step = if self.nodes.len() > 200 { SECOND } else { SECOND / 20 };
--- a/examples/gossip_tables.rs
+++ b/examples/gossip_tables.rs
@@ -9,7 +9,7 @@
 use walnuthatch::routing::interface::*;
 use walnuthatch::routing::ledger::{Answer, FrontId, Ledger, LedgerDue, Offer, Output};
 use walnuthatch_gossip::rate_limit::RateLimit;
-use walnuthatch_gossip::lab::{Lab, Net, CEILING};
+use walnuthatch_gossip::simulation::{Simulation, Network, RATE_LIMIT};
 use walnuthatch_gossip::node::Output as NodeOutput;
 use walnuthatch_gossip::{Exchange, SECOND};
 
@@ -45,10 +45,10 @@
 
 // ---- Membership ----
 
-fn settled(n: usize, seed: u64, net: Net) -> Lab {
-    let mut lab = Lab::new(n, seed, net);
-    lab.run_while(300 * SECOND, |l| !l.whole());
-    lab
+fn settled(n: usize, seed: u64, net: Network) -> Simulation {
+    let mut simulation = Simulation::new(n, seed, net);
+    simulation.run_while(300 * SECOND, |l| !l.whole());
+    simulation
 }
 
 /// What one seed showed.
@@ -64,29 +64,29 @@
 fn one_seed(n: usize, seed: u64) -> Seen {
     let mut seen = Seen::default();
     for (at, loss) in [0.0, 0.05, 0.2].into_iter().enumerate() {
-        let mut lab = settled(n, seed, Net { loss, ..Net::default() });
-        let before: u64 = lab.living().map(|x| x.1.counts().deaths).sum();
-        let second = (lab.now / SECOND) as usize;
-        lab.run_until(lab.now + 60 * SECOND);
-        seen.falsely[at] = lab.living().map(|x| x.1.counts().deaths).sum::<u64>() - before;
+        let mut simulation = settled(n, seed, Network { loss, ..Network::default() });
+        let before: u64 = simulation.living().map(|x| x.1.counts().deaths).sum();
+        let second = (simulation.now / SECOND) as usize;
+        simulation.run_until(simulation.now + 60 * SECOND);
+        seen.falsely[at] = simulation.living().map(|x| x.1.counts().deaths).sum::<u64>() - before;
         if loss > 0.0 {
             continue;
         }
-        for t in &lab.traffic {
+        for t in &simulation.traffic {
             seen.bytes.extend(t.bytes.iter().skip(second).map(|b| f64::from(*b)));
             seen.datagrams.extend(t.datagrams.iter().skip(second).map(|d| f64::from(*d)));
         }
         let span = |from: Micros, to: Option<Micros>| to.map_or(f64::INFINITY, |t| (t - from) as f64 / 1e6);
-        let died = lab.now;
-        lab.kill(n - 1);
-        seen.death = span(died, lab.run_while(died + 300 * SECOND, |l| l.dead_to(n - 1) < n - 1));
-        lab.start(n - 1);
-        lab.run_while(lab.now + 120 * SECOND, |l| !l.whole());
-        lab.split(Some((0..n).map(|i| u8::from(2 * i >= n)).collect()));
-        lab.run_until(lab.now + 60 * SECOND);
-        lab.split(None);
-        let healed = lab.now;
-        seen.heal = span(healed, lab.run_while(healed + 600 * SECOND, |l| !l.whole()));
+        let died = simulation.now;
+        simulation.kill(n - 1);
+        seen.death = span(died, simulation.run_while(died + 300 * SECOND, |l| l.dead_to(n - 1) < n - 1));
+        simulation.start(n - 1);
+        simulation.run_while(simulation.now + 120 * SECOND, |l| !l.whole());
+        simulation.split(Some((0..n).map(|i| u8::from(2 * i >= n)).collect()));
+        simulation.run_until(simulation.now + 60 * SECOND);
+        simulation.split(None);
+        let healed = simulation.now;
+        seen.heal = span(healed, simulation.run_while(healed + 600 * SECOND, |l| !l.whole()));
     }
     seen
 }
@@ -124,7 +124,7 @@
             worst(&heals)
         );
     }
-    let RateLimit { bytes, datagrams } = CEILING;
+    let RateLimit { bytes, datagrams } = RATE_LIMIT;
     println!(
         "\nCeiling: {bytes} bytes and {datagrams} datagrams a second, one and a half of it in any second.\n"
     );
@@ -225,7 +225,7 @@
 
 struct Model {
     now: Micros,
-    lab: Option<Lab>,
+    simulation: Option<Simulation>,
     sites: Vec<Site>,
     dues: BTreeMap<(Micros, u64), Due>,
     next: u64,
@@ -264,8 +264,8 @@
     }
 
     fn tell(&mut self, i: usize, f: impl FnOnce(&mut walnuthatch_gossip::node::Node, Micros)) {
-        if let Some(lab) = &mut self.lab {
-            lab.with(i, f);
+        if let Some(simulation) = &mut self.simulation {
+            simulation.with(i, f);
         }
     }
 
@@ -349,9 +349,9 @@
 
     fn step(&mut self) {
         let now = self.now;
-        if let Some(lab) = &mut self.lab {
-            lab.run_until(now);
-            for (_, i, said) in std::mem::take(&mut lab.said) {
+        if let Some(simulation) = &mut self.simulation {
+            simulation.run_until(now);
+            for (_, i, said) in std::mem::take(&mut simulation.said) {
                 if let (NodeOutput::Suspected(all), true) = (said, i < SITES) {
                     let all: BTreeSet<ExchangeNo> = all.into_iter().map(|e| ExchangeNo(e.0)).collect();
                     self.sites[i].ledger.suspect(now, all);
@@ -395,14 +395,14 @@
         Kind::Third => 3,
         _ => 0,
     };
-    let lab = (kind != Kind::Without).then(|| {
-        let mut lab = Lab::new(SITES + extra, seed, Net::default());
-        lab.keep = true;
-        lab
+    let simulation = (kind != Kind::Without).then(|| {
+        let mut simulation = Simulation::new(SITES + extra, seed, Network::default());
+        simulation.keep = true;
+        simulation
     });
     let mut m = Model {
         now: 0,
-        lab,
+        simulation,
         sites: (0..SITES).map(site).collect(),
         dues: BTreeMap::new(),
         next: 0,
@@ -425,7 +425,7 @@
             }
         }
         if kind == Kind::Gone && m.now == HANGS.0 - 5 * SECOND {
-            m.lab.as_mut().unwrap_or_else(|| unreachable!("it gossips")).kill(3);
+            m.simulation.as_mut().unwrap_or_else(|| unreachable!("it gossips")).kill(3);
         }
         if m.now % 100_000 == 0 {
             for liar in SITES..SITES + extra {
