--- a/crates/gossip/src/node.rs
+++ b/crates/gossip/src/node.rs
@@ -45,13 +45,13 @@
     /// Networks that datagrams are taken from.
     pub allowed: Vec<IpNet>,
     /// The own exchange.
-    pub own: Option<Exchange>,
+    pub own_exchange: Option<Exchange>,
     /// RateLimit of what is sent.
-    pub send: RateLimit,
+    pub send_limit: RateLimit,
     /// RateLimit of what is taken in, before it is authenticated.
-    pub receive: RateLimit,
+    pub receive_limit: RateLimit,
     /// The same for each source.
-    pub source: RateLimit,
+    pub source_limit: RateLimit,
 }
 
 /// What is counted.
@@ -186,9 +186,9 @@
             probes: BTreeMap::new(),
             nonce: 0,
             sequence: 0,
-            out_bucket: TokenBucket::new(now, config.send),
-            in_bucket: TokenBucket::new(now, config.receive),
-            sources: SourceLimiter::new(config.source),
+            out_bucket: TokenBucket::new(now, config.send_limit),
+            in_bucket: TokenBucket::new(now, config.receive_limit),
+            sources: SourceLimiter::new(config.source_limit),
             next_period: now,
             periods: 0,
             next_look: now + LOOK,
@@ -250,10 +250,10 @@
 
     /// Seeds, networks and ceilings that were read anew.
     pub fn reload(&mut self, config: Config) {
-        self.out_bucket.set(config.send);
-        self.in_bucket.set(config.receive);
-        if self.config.source != config.source {
-            self.sources = SourceLimiter::new(config.source);
+        self.out_bucket.set(config.send_limit);
+        self.in_bucket.set(config.receive_limit);
+        if self.config.source_limit != config.source_limit {
+            self.sources = SourceLimiter::new(config.source_limit);
         }
         // The name and the address are those of this life.
         let (name, address) = (self.config.name.clone(), self.config.address);
@@ -272,7 +272,7 @@
 
     /// The exchanges that the own one has groups with.
     pub fn set_links(&mut self, linked: &BTreeSet<Exchange>) {
-        let Some(own) = self.config.own else { return };
+        let Some(own) = self.config.own_exchange else { return };
         let mut blocks: BTreeMap<u16, u64> = BTreeMap::new();
         for e in linked {
             *blocks.entry(e.0 / 64 * 64).or_default() |= 1 << (63 - e.0 % 64);
@@ -706,7 +706,7 @@
                 // One instance speaks for one exchange, and none for another's.
                 let holder = *self.bound.entry(own).or_insert(sender);
                 let second = self.bound.iter().any(|(e, id)| *e != own && *id == sender);
-                if holder != sender || second || Some(own) == self.config.own {
+                if holder != sender || second || Some(own) == self.config.own_exchange {
                     self.counts.conflicts += 1;
                     return;
                 }
--- a/crates/gossip/src/simulation.rs
+++ b/crates/gossip/src/simulation.rs
@@ -110,10 +110,10 @@
             address: self.addresses[i],
             seeds: self.addresses.iter().take(3).copied().collect(),
             allowed: "127.0.0.0/8".parse().into_iter().collect(),
-            own: Some(Exchange(i as u16)),
-            send: RATE_LIMIT,
-            receive: RateLimit { bytes: 65_536, datagrams: 400 },
-            source: RATE_LIMIT,
+            own_exchange: Some(Exchange(i as u16)),
+            send_limit: RATE_LIMIT,
+            receive_limit: RateLimit { bytes: 65_536, datagrams: 400 },
+            source_limit: RATE_LIMIT,
         }
     }
 
--- a/src/program/gossip_file.rs
+++ b/src/program/gossip_file.rs
@@ -148,10 +148,10 @@
         address,
         seeds,
         allowed,
-        own,
-        send: ceiling(l.send_bytes_per_s, l.send_datagrams_per_s),
-        receive: ceiling(l.receive_bytes_per_s, l.receive_datagrams_per_s),
-        source: ceiling(l.source_bytes_per_s, l.source_datagrams_per_s),
+        own_exchange: own,
+        send_limit: ceiling(l.send_bytes_per_s, l.send_datagrams_per_s),
+        receive_limit: ceiling(l.receive_bytes_per_s, l.receive_datagrams_per_s),
+        source_limit: ceiling(l.source_bytes_per_s, l.source_datagrams_per_s),
     }
 }
 
--- a/tests/gossip.rs
+++ b/tests/gossip.rs
@@ -158,10 +158,10 @@
         address: socket.local_addr().unwrap(),
         seeds: vec![to],
         allowed: vec!["127.0.0.0/8".parse().unwrap()],
-        own: Some(Number(200)),
-        send: ceiling,
-        receive: ceiling,
-        source: ceiling,
+        own_exchange: Some(Number(200)),
+        send_limit: ceiling,
+        receive_limit: ceiling,
+        source_limit: ceiling,
     };
     let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap();
     let (start, mut call) = (Instant::now(), 0);
