--- a/crates/gossip/src/auth.rs
+++ b/crates/gossip/src/auth.rs
@@ -5,7 +5,7 @@
 //! come from a file that nobody but its owner may read, are wiped from memory when they are dropped, and are never
 //! shown.
 
-use crate::wire::SEAL;
+use crate::wire::TAG_BYTES;
 use hmac::{Hmac, KeyInit, Mac};
 use serde::Deserialize;
 use sha2::Sha256;
@@ -14,28 +14,28 @@
 use zeroize::Zeroizing;
 
 /// The shortest secret that is taken (bytes): as long as the hash, as RFC 2104 advises.
-pub const SECRET: usize = 32;
+pub const MIN_SECRET_BYTES: usize = 32;
 /// Keys that a ring may hold: the old, the one in use, the next, and one to spare.
-pub const KEYS: usize = 4;
+pub const MAX_KEYS: usize = 4;
 
 /// Why a ring of keys is of no use.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum KeyError {
     /// It is not of the form. Nothing of its contents is told.
-    #[error("not a ring of keys: expected [[key]] blocks with id, secret (64 hex digits) and, for one of them, seals = true")]
-    Form,
+    #[error("not a key ring: expected [[key]] blocks with id, secret (64 hex digits) and, for one of them, seals = true")]
+    Structure,
     /// A secret is too short, or not in hex.
     #[error("key.{0}.secret: expected 64 hex digits")]
     Secret(u8),
     /// A number is there twice.
-    #[error("key.{0}.id: there twice")]
-    Twice(u8),
+    #[error("key.{0}.id: duplicate id")]
+    DuplicateId(u8),
     /// None, or more than one, seals.
     #[error("seals: expected true for one key, found it for {0}")]
-    Seals(usize),
+    SigningKeyCount(usize),
     /// Too many.
-    #[error("{0} keys, expected 1 to {KEYS}")]
-    Many(usize),
+    #[error("{0} keys, expected 1 to {MAX_KEYS}")]
+    KeyCount(usize),
 }
 
 #[derive(Deserialize)]
@@ -57,19 +57,19 @@
 #[derive(Clone)]
 pub struct KeyRing {
     keys: BTreeMap<u8, Zeroizing<Vec<u8>>>,
-    seals: u8,
+    signing_key: u8,
 }
 
 impl fmt::Debug for KeyRing {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         // The secrets are nobody's to see.
-        write!(f, "KeyRing {{ keys: {:?}, seals: {} }}", self.keys.keys().collect::<Vec<_>>(), self.seals)
+        write!(f, "KeyRing {{ keys: {:?}, signing_key: {} }}", self.keys.keys().collect::<Vec<_>>(), self.signing_key)
     }
 }
 
 impl PartialEq for KeyRing {
     fn eq(&self, other: &KeyRing) -> bool {
-        self.seals == other.seals && self.keys.keys().eq(other.keys.keys())
+        self.signing_key == other.signing_key && self.keys.keys().eq(other.keys.keys())
     }
 }
 
@@ -79,25 +79,25 @@
     /// # Errors
     /// Says what is wrong, without showing any of it.
     pub fn parse(text: &str) -> Result<KeyRing, KeyError> {
-        let file: RingFile = toml::from_str(text).map_err(|_| KeyError::Form)?;
-        if !(1..=KEYS).contains(&file.key.len()) {
-            return Err(KeyError::Many(file.key.len()));
+        let file: RingFile = toml::from_str(text).map_err(|_| KeyError::Structure)?;
+        if !(1..=MAX_KEYS).contains(&file.key.len()) {
+            return Err(KeyError::KeyCount(file.key.len()));
         }
-        let sealing: Vec<u8> = file.key.iter().filter(|k| k.seals).map(|k| k.id).collect();
-        let &[seals] = sealing.as_slice() else { return Err(KeyError::Seals(sealing.len())) };
+        let signing: Vec<u8> = file.key.iter().filter(|k| k.seals).map(|k| k.id).collect();
+        let &[signing_key] = signing.as_slice() else { return Err(KeyError::SigningKeyCount(signing.len())) };
         let mut keys = BTreeMap::new();
         for k in &file.key {
-            let secret = hex(&k.secret).filter(|s| s.len() >= SECRET).ok_or(KeyError::Secret(k.id))?;
+            let secret = hex(&k.secret).filter(|s| s.len() >= MIN_SECRET_BYTES).ok_or(KeyError::Secret(k.id))?;
             if keys.insert(k.id, secret).is_some() {
-                return Err(KeyError::Twice(k.id));
+                return Err(KeyError::DuplicateId(k.id));
             }
         }
-        Ok(KeyRing { keys, seals })
+        Ok(KeyRing { keys, signing_key })
     }
 
     /// The key that seals.
     pub fn signing_key_id(&self) -> u8 {
-        self.seals
+        self.signing_key
     }
 
     /// The numbers of all keys.
@@ -112,19 +112,19 @@
 
     /// Adds the seal to a datagram that names the sealing key.
     pub fn sign(&self, mut bytes: Vec<u8>) -> Vec<u8> {
-        if let Some(mut mac) = self.mac(self.seals) {
+        if let Some(mut mac) = self.mac(self.signing_key) {
             mac.update(&bytes);
-            bytes.extend(&mac.finalize().into_bytes()[..SEAL]);
+            bytes.extend(&mac.finalize().into_bytes()[..TAG_BYTES]);
         }
         bytes
     }
 
-    /// Whether a datagram was sealed with that key; compared in the same time wherever a difference is.
+    /// Whether a datagram was signed with that key; compared in the same time wherever a difference is.
     pub fn verify(&self, key: u8, bytes: &[u8]) -> bool {
         let Some(mut mac) = self.mac(key) else { return false };
-        let Some((body, seal)) = bytes.split_last_chunk::<SEAL>() else { return false };
+        let Some((body, tag)) = bytes.split_last_chunk::<TAG_BYTES>() else { return false };
         mac.update(body);
-        mac.verify_truncated_left(seal).is_ok()
+        mac.verify_truncated_left(tag).is_ok()
     }
 }
 
@@ -156,8 +156,8 @@
         .map(Result::unwrap);
         for pair in steps.windows(2) {
             for (from, to) in [(&pair[0], &pair[1]), (&pair[1], &pair[0])] {
-                let sealed = from.sign(b"hello".to_vec());
-                assert!(to.verify(from.signing_key_id(), &sealed));
+                let signed = from.sign(b"hello".to_vec());
+                assert!(to.verify(from.signing_key_id(), &signed));
             }
         }
         // A key that was taken away opens nothing any more.
@@ -167,23 +167,23 @@
     #[test]
     fn one_flipped_bit_anywhere_or_another_key_of_that_number_does_not_open() {
         let r = key_ring(&[(1, 'a', true)]).unwrap();
-        let sealed = r.sign(b"some words".to_vec());
-        for bit in 0..sealed.len() * 8 {
-            let mut spoilt = sealed.clone();
-            spoilt[bit / 8] ^= 1 << (bit % 8);
-            assert!(!r.verify(1, &spoilt));
+        let signed = r.sign(b"some words".to_vec());
+        for bit in 0..signed.len() * 8 {
+            let mut corrupted = signed.clone();
+            corrupted[bit / 8] ^= 1 << (bit % 8);
+            assert!(!r.verify(1, &corrupted));
         }
-        assert!(r.verify(1, &sealed) && !key_ring(&[(1, 'c', true)]).unwrap().verify(1, &sealed));
-        assert!(!r.verify(1, b"") && !r.verify(9, &sealed));
+        assert!(r.verify(1, &signed) && !key_ring(&[(1, 'c', true)]).unwrap().verify(1, &signed));
+        assert!(!r.verify(1, b"") && !r.verify(9, &signed));
     }
 
     #[test]
     fn faults_are_named_and_no_secret_is_shown() {
-        assert_eq!(key_ring(&[(1, 'a', false)]), Err(KeyError::Seals(0)));
-        assert_eq!(key_ring(&[(1, 'a', true), (2, 'b', true)]), Err(KeyError::Seals(2)));
-        assert_eq!(key_ring(&[(1, 'a', true), (1, 'b', false)]), Err(KeyError::Twice(1)));
+        assert_eq!(key_ring(&[(1, 'a', false)]), Err(KeyError::SigningKeyCount(0)));
+        assert_eq!(key_ring(&[(1, 'a', true), (2, 'b', true)]), Err(KeyError::SigningKeyCount(2)));
+        assert_eq!(key_ring(&[(1, 'a', true), (1, 'b', false)]), Err(KeyError::DuplicateId(1)));
         assert_eq!(key_ring(&[(1, 'g', true)]), Err(KeyError::Secret(1)));
-        assert_eq!(key_ring(&[]).unwrap_err(), KeyError::Form);
+        assert_eq!(key_ring(&[]).unwrap_err(), KeyError::Structure);
         let short = KeyRing::parse("[[key]]\nid = 3\nsecret = \"abcd\"\nseals = true\n");
         assert_eq!(short, Err(KeyError::Secret(3)));
         let text = "[[key]]\nid = 3\nsecrt = \"deadbeef\"\n";
--- a/crates/gossip/src/exchange_suspicion.rs
+++ b/crates/gossip/src/exchange_suspicion.rs
@@ -11,8 +11,8 @@
 //!   vouch. One instance alone may have a faulty link, or lie.
 //! - **Influence is capped.** No accuser counts for more than 1, however many set-ups it claims to have lost.
 //! - **Records.** An accuser is weighed by what it said before against what this instance saw later. A wrong
-//!   accusation counts four times a right one, and no record of right ones is worth more than [`RECORD`] of them, so
-//!   that a long truth buys few lies. Records fade by half in [`HALF_LIFE`], so that a mended link is believed again.
+//!   accusation counts four times a right one, and no record of right ones is worth more than [`MAX_CONFIRMED`] of them, so
+//!   that a long truth buys few lies. Records decay by half in [`HALF_LIFE`], so that a mended link is believed again.
 //! - **A share.** No more than a quarter of the exchanges, and one at the least, are suspected on others' word at a
 //!   time: more than the tenth or so that were ever seen to hang at once, and far less than what a site can do without.
 //! - **An end.** Evidence expires after seconds, and a suspicion with it.
@@ -25,56 +25,56 @@
 /// record yet.
 pub const QUORUM: f64 = 1.0;
 /// A suspicion goes on while there is this share of the quorum: it must not come and go with each report.
-const KEPT: f64 = 0.5;
+const KEEP_SHARE: f64 = 0.5;
 /// Distinct accusers at the least, this instance among them.
-const ACCUSERS: usize = 2;
+const MIN_ACCUSERS: usize = 2;
 /// Share of exchanges that may be suspected on others' word.
-pub const SHARE: f64 = 0.25;
+pub const MAX_SUSPECTED_SHARE: f64 = 0.25;
 /// Right accusations that a record may hold.
-pub const RECORD: f64 = 20.0;
+pub const MAX_CONFIRMED: f64 = 20.0;
 /// What a wrong accusation counts, in right ones.
-const WRONG: f64 = 4.0;
+const FALSE_WEIGHT: f64 = 4.0;
 /// A record is worth half after this (µs).
 pub const HALF_LIFE: Micros = 600 * SECOND;
 /// An accusation that this instance could not check within this time is no part of a record (µs).
-const CHECK: Micros = 3 * SECOND;
+const VERIFICATION_TIMEOUT: Micros = 3 * SECOND;
 /// Tests are remembered for so long (µs), so that one silence is not held against its accuser twice.
-const TESTED: Micros = 60 * SECOND;
+const VERIFICATION_LIFETIME: Micros = 60 * SECOND;
 /// Tests remembered.
-const TESTS: usize = 4096;
+const MAX_VERIFICATIONS: usize = 4096;
 /// Times of other instances are known to about this (µs): what messages take, and the unit of ages.
-const SLACK: Micros = 60 * MILLI;
+const TIME_UNCERTAINTY: Micros = 60 * MILLI;
 /// After an own answer an exchange is not suspected anew for this long, unless this instance itself misses answers (µs).
-const TRUSTED: Micros = 300 * MILLI;
+const ANSWER_GRACE: Micros = 300 * MILLI;
 /// Records kept.
-const RECORDS: usize = 2048;
+const MAX_REPUTATIONS: usize = 2048;
 
 /// What an accuser's word was worth.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Record {
-    right: f64,
-    wrong: f64,
-    at: Micros,
+pub struct Reputation {
+    confirmed: f64,
+    refuted: f64,
+    updated: Micros,
 }
 
-impl Record {
-    fn fade(&mut self, now: Micros) {
-        let share = 0.5f64.powf((now - self.at).max(0) as f64 / HALF_LIFE as f64);
-        (self.right, self.wrong, self.at) = (self.right * share, self.wrong * share, now);
+impl Reputation {
+    fn decay(&mut self, now: Micros) {
+        let share = 0.5f64.powf((now - self.updated).max(0) as f64 / HALF_LIFE as f64);
+        (self.confirmed, self.refuted, self.updated) = (self.confirmed * share, self.refuted * share, now);
     }
 
-    fn note(&mut self, now: Micros, right: bool) {
-        self.fade(now);
-        if right {
-            self.right = (self.right + 1.0).min(RECORD);
+    fn record(&mut self, now: Micros, confirmed: bool) {
+        self.decay(now);
+        if confirmed {
+            self.confirmed = (self.confirmed + 1.0).min(MAX_CONFIRMED);
         } else {
-            self.wrong += 1.0;
+            self.refuted += 1.0;
         }
     }
 
     /// From 0 to 1; two thirds without a record.
     pub fn trust(&self) -> f64 {
-        (self.right + 2.0) / (self.right + WRONG * self.wrong + 3.0)
+        (self.confirmed + 2.0) / (self.confirmed + FALSE_WEIGHT * self.refuted + 3.0)
     }
 }
 
@@ -116,11 +116,11 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Test {
+struct Verification {
     /// The accuser's silence began then.
-    began: Micros,
+    silence_start: Micros,
     /// The accusation came then.
-    came: Micros,
+    received: Micros,
     done: bool,
 }
 
@@ -128,13 +128,13 @@
 #[derive(Debug, Default)]
 pub struct ExchangeSuspicions {
     suspicions: BTreeMap<Exchange, Suspicion>,
-    records: BTreeMap<MemberId, Record>,
-    tests: BTreeMap<(MemberId, Exchange), Test>,
+    reputations: BTreeMap<MemberId, Reputation>,
+    verifications: BTreeMap<(MemberId, Exchange), Verification>,
 }
 
 /// When the silence that a report tells of began.
-fn began(r: &Report) -> Micros {
-    r.measured - Micros::from(r.evidence.silent_ms) * MILLI
+fn silence_start(r: &Report) -> Micros {
+    r.measured - Micros::from(r.evidence.silence_ms) * MILLI
 }
 
 impl ExchangeSuspicions {
@@ -150,23 +150,23 @@
 
     /// What an accuser's word is worth.
     pub fn trust(&self, id: MemberId) -> f64 {
-        self.records.get(&id).copied().unwrap_or_default().trust()
+        self.reputations.get(&id).copied().unwrap_or_default().trust()
     }
 
     /// This instance heard an answer of an exchange: a suspicion ends at once.
-    pub fn answered(&mut self, exchange: Exchange) -> Option<Change> {
+    pub fn clear(&mut self, exchange: Exchange) -> Option<Change> {
         self.suspicions.remove(&exchange).map(|_| Change::Cleared(exchange, EndReason::Answered))
     }
 
     /// Draws its conclusions anew. `exchanges`: how many there are.
-    pub fn look(&mut self, now: Micros, meters: &Meters, reports: &Reports, exchanges: usize) -> Vec<Change> {
+    pub fn evaluate(&mut self, now: Micros, meters: &Meters, reports: &Reports, exchanges: usize) -> Vec<Change> {
         let mut changes = Vec::new();
-        self.check_records(now, meters, reports, &mut changes);
+        self.verify_accusations(now, meters, reports, &mut changes);
         let mut candidates: Vec<(Exchange, Suspicion)> = Vec::new();
         let named: BTreeSet<Exchange> =
             reports.exchanges().into_iter().chain(self.suspicions.keys().copied()).collect();
         for exchange in named {
-            if let Some(s) = self.judge(now, exchange, meters, reports) {
+            if let Some(s) = self.weigh(now, exchange, meters, reports) {
                 candidates.push((exchange, s));
             }
         }
@@ -175,16 +175,16 @@
             let held = |c: &(Exchange, Suspicion)| u8::from(self.suspicions.contains_key(&c.0));
             (b.1.weight + f64::from(held(b)) * 0.1).total_cmp(&(a.1.weight + f64::from(held(a)) * 0.1))
         });
-        let most = ((exchanges as f64 * SHARE) as usize).max(1);
-        let kept: BTreeMap<Exchange, Suspicion> = candidates.iter().take(most).cloned().collect();
+        let limit = ((exchanges as f64 * MAX_SUSPECTED_SHARE) as usize).max(1);
+        let kept: BTreeMap<Exchange, Suspicion> = candidates.iter().take(limit).cloned().collect();
         let held: Vec<Exchange> = self.suspicions.keys().copied().collect();
         for exchange in held.into_iter().filter(|e| !kept.contains_key(e)) {
-            let crowded = candidates.iter().any(|c| c.0 == exchange);
+            let displaced = candidates.iter().any(|c| c.0 == exchange);
             self.suspicions.remove(&exchange);
-            let heard = meters.get(exchange).and_then(|m| m.heard).is_some_and(|h| now - h < TRUSTED);
-            let end = if crowded {
+            let answered = meters.get(exchange).and_then(|m| m.last_response).is_some_and(|h| now - h < ANSWER_GRACE);
+            let end = if displaced {
                 EndReason::Displaced
-            } else if heard {
+            } else if answered {
                 EndReason::Answered
             } else {
                 EndReason::InsufficientEvidence
@@ -201,7 +201,7 @@
     }
 
     /// What speaks for and against an exchange, and whether that is enough.
-    fn judge(
+    fn weigh(
         &self,
         now: Micros,
         exchange: Exchange,
@@ -210,14 +210,14 @@
     ) -> Option<Suspicion> {
         let held = self.suspicions.get(&exchange);
         let meter = meters.get(exchange);
-        let own = meter.map_or(0.0, |m| m.measure(now).accuses());
+        let own = meter.map_or(0.0, |m| m.measure(now).accusation_strength());
         let (mut weight, mut opposing_weight, mut accusers, mut starts) = (own, 0.0, Vec::new(), Vec::new());
-        for (id, r) in reports.on(now, exchange) {
-            let strength = r.evidence.accuses();
+        for (id, r) in reports.fresh(now, exchange) {
+            let strength = r.evidence.accusation_strength();
             if strength > 0.0 {
                 weight += self.trust(id) * strength.min(1.0);
                 accusers.push(id);
-                starts.push(began(r));
+                starts.push(silence_start(r));
             } else if r.evidence.vouches() && now - r.measured < SECOND {
                 // One who heard an answer a while ago tells nothing of now.
                 opposing_weight += self.trust(id);
@@ -225,17 +225,17 @@
         }
         starts.sort_unstable();
         if let Some(&start) = starts.get(starts.len() / 2) {
-            let heard = meter.and_then(|m| m.heard);
-            let after = heard.is_some_and(|h| h > start + SLACK);
-            let lately = heard.is_some_and(|h| now - h < TRUSTED) && own == 0.0 && held.is_none();
-            if after || lately {
+            let last_response = meter.and_then(|m| m.last_response);
+            let after = last_response.is_some_and(|h| h > start + TIME_UNCERTAINTY);
+            let recent = last_response.is_some_and(|h| now - h < ANSWER_GRACE) && own == 0.0 && held.is_none();
+            if after || recent {
                 return None;
             }
         }
-        let enough = if held.is_some() { QUORUM * KEPT } else { QUORUM };
-        let many = accusers.len() + usize::from(own > 0.0) >= ACCUSERS;
+        let required = if held.is_some() { QUORUM * KEEP_SHARE } else { QUORUM };
+        let enough_accusers = accusers.len() + usize::from(own > 0.0) >= MIN_ACCUSERS;
         // What this instance alone sees is the module's own business: it has its own guard against silence.
-        (many && !accusers.is_empty() && weight >= enough && weight > opposing_weight).then(|| Suspicion {
+        (enough_accusers && !accusers.is_empty() && weight >= required && weight > opposing_weight).then(|| Suspicion {
             since: held.map_or(now, |h| h.since),
             weight,
             opposing_weight,
@@ -245,37 +245,37 @@
     }
 
     /// Puts accusations to the test of what this instance sees itself.
-    fn check_records(&mut self, now: Micros, meters: &Meters, reports: &Reports, changes: &mut Vec<Change>) {
+    fn verify_accusations(&mut self, now: Micros, meters: &Meters, reports: &Reports, changes: &mut Vec<Change>) {
         for exchange in reports.exchanges() {
-            for (id, r) in reports.on(now, exchange).filter(|r| r.1.evidence.accuses() > 0.0) {
+            for (id, r) in reports.fresh(now, exchange).filter(|r| r.1.evidence.accusation_strength() > 0.0) {
                 // The same silence is put to the test once, however often it is told.
-                let again = self.tests.get(&(id, exchange)).is_none_or(|t| began(r) > t.came - SLACK);
-                if again && self.tests.len() < TESTS {
-                    self.tests.insert((id, exchange), Test { began: began(r), came: now, done: false });
+                let is_new = self.verifications.get(&(id, exchange)).is_none_or(|t| silence_start(r) > t.received - TIME_UNCERTAINTY);
+                if is_new && self.verifications.len() < MAX_VERIFICATIONS {
+                    self.verifications.insert((id, exchange), Verification { silence_start: silence_start(r), received: now, done: false });
                 }
             }
         }
         let mut verdicts = Vec::new();
-        for (&(id, exchange), t) in self.tests.iter_mut().filter(|t| !t.1.done && now - t.1.came < CHECK) {
+        for (&(id, exchange), t) in self.verifications.iter_mut().filter(|t| !t.1.done && now - t.1.received < VERIFICATION_TIMEOUT) {
             let meter = meters.get(exchange);
-            let answered = meter.and_then(|m| m.good).is_some_and(|g| g > t.began + SLACK);
-            let silent = meter.is_some_and(|m| m.measure(now).accuses() > 0.0);
-            if answered || silent {
+            let answered = meter.and_then(|m| m.last_established).is_some_and(|g| g > t.silence_start + TIME_UNCERTAINTY);
+            let unanswered = meter.is_some_and(|m| m.measure(now).accusation_strength() > 0.0);
+            if answered || unanswered {
                 t.done = true;
                 // What this instance misses itself speaks for the accuser, though an answer came since.
-                verdicts.push((id, exchange, silent));
+                verdicts.push((id, exchange, unanswered));
             }
         }
-        for (id, exchange, right) in verdicts {
-            if self.records.len() >= RECORDS && !self.records.contains_key(&id) {
-                let oldest = self.records.iter().min_by_key(|r| r.1.at).map(|r| *r.0);
-                oldest.map(|id| self.records.remove(&id));
+        for (id, exchange, confirmed) in verdicts {
+            if self.reputations.len() >= MAX_REPUTATIONS && !self.reputations.contains_key(&id) {
+                let oldest = self.reputations.iter().min_by_key(|r| r.1.updated).map(|r| *r.0);
+                oldest.map(|id| self.reputations.remove(&id));
             }
-            let record = self.records.entry(id).or_default();
-            record.note(now, right);
-            changes.push(Change::TrustUpdated(id, exchange, right, record.trust()));
+            let reputation = self.reputations.entry(id).or_default();
+            reputation.record(now, confirmed);
+            changes.push(Change::TrustUpdated(id, exchange, confirmed, reputation.trust()));
         }
-        self.tests.retain(|_, t| now - t.came < TESTED);
+        self.verifications.retain(|_, t| now - t.received < VERIFICATION_LIFETIME);
     }
 }
 
@@ -312,26 +312,26 @@
             let e = Evidence {
                 sent: unanswered,
                 unanswered,
-                silent_ms: 300,
-                usual_ms: 30,
+                silence_ms: 300,
+                typical_ms: 30,
                 ..Evidence::default()
             };
             self.say(from, exchange, e);
         }
 
         fn vouch(&mut self, from: u64, exchange: Exchange) {
-            self.say(from, exchange, Evidence { sent: 9, answered: 9, usual_ms: 30, ..Evidence::default() });
+            self.say(from, exchange, Evidence { sent: 9, answered: 9, typical_ms: 30, ..Evidence::default() });
         }
 
         fn look(&mut self) -> bool {
-            self.suspicions.look(self.now, &self.meters, &self.reports, 8);
+            self.suspicions.evaluate(self.now, &self.meters, &self.reports, 8);
             self.suspicions.suspected().contains(&X)
         }
 
         fn own_answer(&mut self, exchange: Exchange) {
-            let m = self.meters.of(self.now, exchange).unwrap();
-            m.sent(self.now, 1);
-            m.answered(self.now, 1, 20 * MILLI);
+            let m = self.meters.get_or_create(self.now, exchange).unwrap();
+            m.set_up_sent(self.now, 1);
+            m.set_up_answered(self.now, 1, 20 * MILLI);
         }
     }
 
@@ -351,7 +351,7 @@
         (1..=5).for_each(|n| b.accuse(n, X, 5));
         assert!(b.look());
         b.own_answer(X);
-        assert_eq!(b.suspicions.answered(X), Some(Change::Cleared(X, EndReason::Answered)));
+        assert_eq!(b.suspicions.clear(X), Some(Change::Cleared(X, EndReason::Answered)));
         assert!(!b.look());
         b.now += SECOND;
         assert!(!b.look(), "the accusers' silence began before it answered");
@@ -366,7 +366,7 @@
         let mut b = Bench::new();
         (1..=3).for_each(|n| b.accuse(n, X, 3));
         assert!(b.look());
-        b.now += crate::evidence::EXPIRES;
+        b.now += crate::evidence::EVIDENCE_LIFETIME;
         assert!(!b.look());
         let mut b = Bench::new();
         (1..=2).for_each(|n| b.accuse(n, X, 90));
@@ -378,7 +378,7 @@
     fn a_liars_word_is_soon_worth_little_however_long_it_told_the_truth() {
         let mut b = Bench::new();
         for _ in 0..100 {
-            b.suspicions.records.entry(MemberId(1)).or_default().note(b.now, true);
+            b.suspicions.reputations.entry(MemberId(1)).or_default().record(b.now, true);
         }
         let before = b.suspicions.trust(MemberId(1));
         let mut lies = 0;
@@ -393,7 +393,7 @@
         assert!(before > 0.9 && lies <= 6, "{before} {lies}");
         // Right accusations mend a record, and time does.
         let low = b.suspicions.trust(MemberId(1));
-        b.suspicions.records.get_mut(&MemberId(1)).unwrap().fade(b.now + 10 * HALF_LIFE);
+        b.suspicions.reputations.get_mut(&MemberId(1)).unwrap().decay(b.now + 10 * HALF_LIFE);
         assert!(b.suspicions.trust(MemberId(1)) > low);
     }
 
@@ -414,8 +414,8 @@
     #[test]
     fn praise_does_not_cover_what_this_instance_misses_itself() {
         let mut b = Bench::new();
-        let m = b.meters.of(b.now, X).unwrap();
-        (0..5).for_each(|call| m.sent(b.now, call));
+        let m = b.meters.get_or_create(b.now, X).unwrap();
+        (0..5).for_each(|call| m.set_up_sent(b.now, call));
         b.now += 600 * MILLI;
         b.vouch(1, X);
         b.accuse(2, X, 5);
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -16,9 +16,9 @@
 pub mod simulation;
 pub mod node;
 pub mod auth;
-pub mod spread;
+pub mod dissemination;
 pub mod swim;
-pub mod window;
+pub mod replay;
 pub mod wire;
 
 use std::fmt;
--- a/crates/gossip/src/simulation.rs
+++ b/crates/gossip/src/simulation.rs
@@ -9,7 +9,7 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
 /// The Unix clock's seconds when a run begins.
-pub const UNIX: i64 = 1_796_000_000;
+pub const START_UNIX: i64 = 1_796_000_000;
 
 /// How the network is.
 #[derive(Clone, Debug, PartialEq)]
@@ -19,15 +19,15 @@
     /// Share of datagrams that are lost.
     pub loss: f64,
     /// Share that come twice.
-    pub twice: f64,
+    pub duplication: f64,
     /// By how much each node's Unix clock may be off, to either side (s).
-    pub skew: i64,
+    pub clock_skew: i64,
 }
 
 impl Default for Network {
     fn default() -> Self {
         // The delays between session controllers that were seen.
-        Network { delay: (2_700, 26_000), loss: 0.0, twice: 0.0, skew: 2 }
+        Network { delay: (2_700, 26_000), loss: 0.0, duplication: 0.0, clock_skew: 2 }
     }
 }
 
@@ -59,19 +59,19 @@
     nodes: Vec<Option<Node>>,
     addresses: Vec<SocketAddr>,
     by_address: BTreeMap<SocketAddr, usize>,
-    under_way: BTreeMap<(Micros, u64), (SocketAddr, SocketAddr, Vec<u8>)>,
-    dues: BTreeSet<(Micros, usize)>,
-    due_of: Vec<Micros>,
-    next: u64,
+    in_flight: BTreeMap<(Micros, u64), (SocketAddr, SocketAddr, Vec<u8>)>,
+    timers: BTreeSet<(Micros, usize)>,
+    timer_of: Vec<Micros>,
+    next_number: u64,
     rng: fastrand::Rng,
-    parts: Option<Vec<u8>>,
-    deaf: BTreeSet<(usize, usize)>,
+    partition: Option<Vec<u8>>,
+    blocked_links: BTreeSet<(usize, usize)>,
     /// What went out of each node.
     pub traffic: Vec<Traffic>,
     /// Everything but datagrams that nodes put out, by node.
-    pub said: Vec<(Micros, usize, Output)>,
+    pub outputs: Vec<(Micros, usize, Output)>,
     /// Whether that is kept.
-    pub keep: bool,
+    pub record_outputs: bool,
 }
 
 impl Simulation {
@@ -88,16 +88,16 @@
             nodes: (0..nodes).map(|_| None).collect(),
             by_address: addresses.iter().enumerate().map(|(i, a)| (*a, i)).collect(),
             addresses,
-            under_way: BTreeMap::new(),
-            dues: BTreeSet::new(),
-            due_of: vec![Micros::MAX; nodes],
-            next: 0,
+            in_flight: BTreeMap::new(),
+            timers: BTreeSet::new(),
+            timer_of: vec![Micros::MAX; nodes],
+            next_number: 0,
             rng: fastrand::Rng::with_seed(seed),
-            parts: None,
-            deaf: BTreeSet::new(),
+            partition: None,
+            blocked_links: BTreeSet::new(),
             traffic: vec![Traffic::default(); nodes],
-            said: Vec::new(),
-            keep: false,
+            outputs: Vec::new(),
+            record_outputs: false,
         };
         (0..nodes).for_each(|i| simulation.start(i));
         simulation
@@ -119,18 +119,18 @@
 
     /// Starts a node, or starts it anew with nothing of its earlier life.
     pub fn start(&mut self, i: usize) {
-        let skew = self.rng.i64(-self.net.skew..=self.net.skew);
-        let unix = UNIX + self.now / SECOND + skew;
+        let skew = self.rng.i64(-self.net.clock_skew..=self.net.clock_skew);
+        let unix = START_UNIX + self.now / SECOND + skew;
         let mut node = Node::new(self.now, unix, self.config(i), key_ring('a'), self.rng.u64(..));
         node.set_exchanges(self.nodes.len());
         self.nodes[i] = Some(node);
-        self.follow(i);
+        self.process_outputs(i);
     }
 
     /// Ends a node without a word.
     pub fn kill(&mut self, i: usize) {
         self.nodes[i] = None;
-        self.dues.remove(&(self.due_of[i], i));
+        self.timers.remove(&(self.timer_of[i], i));
     }
 
     /// A node, while it lives.
@@ -139,10 +139,10 @@
     }
 
     /// Does something to a node, and carries out what follows.
-    pub fn with<T>(&mut self, i: usize, act: impl FnOnce(&mut Node, Micros) -> T) -> Option<T> {
+    pub fn with_node<T>(&mut self, i: usize, act: impl FnOnce(&mut Node, Micros) -> T) -> Option<T> {
         let now = self.now;
         let done = self.nodes[i].as_mut().map(|n| act(n, now));
-        self.follow(i);
+        self.process_outputs(i);
         done
     }
 
@@ -152,37 +152,37 @@
     }
 
     /// Cuts the network in parts: nodes of different numbers don't reach each other. `None`: it is whole.
-    pub fn split(&mut self, parts: Option<Vec<u8>>) {
-        self.parts = parts;
+    pub fn partition(&mut self, partition: Option<Vec<u8>>) {
+        self.partition = partition;
     }
 
     /// What the first sends to the second is lost from now on, or no longer.
-    pub fn one_way(&mut self, from: usize, to: usize, lost: bool) {
+    pub fn block_link(&mut self, from: usize, to: usize, lost: bool) {
         if lost {
-            self.deaf.insert((from, to));
+            self.blocked_links.insert((from, to));
         } else {
-            self.deaf.remove(&(from, to));
+            self.blocked_links.remove(&(from, to));
         }
     }
 
     /// Brings a datagram of anybody's under way.
     pub fn inject(&mut self, from: SocketAddr, to: SocketAddr, bytes: Vec<u8>) {
         let delay = self.rng.i64(self.net.delay.0..=self.net.delay.1);
-        self.next += 1;
-        self.under_way.insert((self.now + delay, self.next), (from, to, bytes));
+        self.next_number += 1;
+        self.in_flight.insert((self.now + delay, self.next_number), (from, to, bytes));
     }
 
-    fn follow(&mut self, i: usize) {
+    fn process_outputs(&mut self, i: usize) {
         let Some(node) = &mut self.nodes[i] else { return };
         let outputs = node.take_outputs();
         let due = node.next_timeout();
-        self.dues.remove(&(self.due_of[i], i));
-        self.due_of[i] = due;
-        self.dues.insert((due, i));
+        self.timers.remove(&(self.timer_of[i], i));
+        self.timer_of[i] = due;
+        self.timers.insert((due, i));
         for output in outputs {
             match output {
                 Output::Send(to, bytes) => self.send(i, to, bytes),
-                other if self.keep => self.said.push((self.now, i, other)),
+                other if self.record_outputs => self.outputs.push((self.now, i, other)),
                 _ => {}
             }
         }
@@ -196,44 +196,44 @@
         t.bytes[second] += bytes.len() as u32;
         t.datagrams[second] += 1;
         let Some(&j) = self.by_address.get(&to) else { return };
-        let cut = self.parts.as_ref().is_some_and(|p| p[i] != p[j]) || self.deaf.contains(&(i, j));
-        if cut || self.rng.f64() < self.net.loss {
+        let blocked = self.partition.as_ref().is_some_and(|p| p[i] != p[j]) || self.blocked_links.contains(&(i, j));
+        if blocked || self.rng.f64() < self.net.loss {
             return;
         }
-        if self.rng.f64() < self.net.twice {
+        if self.rng.f64() < self.net.duplication {
             self.inject(self.addresses[i], to, bytes.clone());
         }
         self.inject(self.addresses[i], to, bytes);
     }
 
     /// When something happens next.
-    pub fn next(&self) -> Option<Micros> {
-        let datagram = self.under_way.keys().next().map(|k| k.0);
-        let due = self.dues.first().map(|d| d.0);
+    pub fn next_event_time(&self) -> Option<Micros> {
+        let datagram = self.in_flight.keys().next().map(|k| k.0);
+        let due = self.timers.first().map(|d| d.0);
         datagram.into_iter().chain(due).min()
     }
 
     /// Lets time pass.
     pub fn run_until(&mut self, end: Micros) {
-        while let Some(at) = self.next().filter(|at| *at <= end) {
+        while let Some(at) = self.next_event_time().filter(|at| *at <= end) {
             self.now = self.now.max(at);
-            let datagram = self.under_way.first_entry().filter(|e| e.key().0 <= at).map(|e| e.remove());
+            let datagram = self.in_flight.first_entry().filter(|e| e.key().0 <= at).map(|e| e.remove());
             if let Some((from, to, bytes)) = datagram {
                 if let Some(&j) = self.by_address.get(&to) {
                     let now = self.now;
                     if let Some(n) = &mut self.nodes[j] {
                         n.handle_datagram(now, from, &bytes);
                     }
-                    self.follow(j);
+                    self.process_outputs(j);
                 }
                 continue;
             }
-            let Some((_, i)) = self.dues.pop_first() else { break };
+            let Some((_, i)) = self.timers.pop_first() else { break };
             let now = self.now;
             if let Some(n) = &mut self.nodes[i] {
                 n.handle_timeouts(now);
             }
-            self.follow(i);
+            self.process_outputs(i);
         }
         self.now = self.now.max(end);
     }
@@ -252,31 +252,31 @@
     }
 
     /// Living nodes.
-    pub fn living(&self) -> impl Iterator<Item = (usize, &Node)> {
+    pub fn running(&self) -> impl Iterator<Item = (usize, &Node)> {
         self.nodes.iter().enumerate().filter_map(|(i, n)| n.as_ref().map(|n| (i, n)))
     }
 
     /// The share of all pairs of living nodes in which the first takes the second for there.
-    pub fn known(&self) -> f64 {
-        let ids: Vec<MemberId> = self.living().map(|n| n.1.id()).collect();
+    pub fn known_share(&self) -> f64 {
+        let ids: Vec<MemberId> = self.running().map(|n| n.1.id()).collect();
         let pairs = ids.len() * ids.len().saturating_sub(1);
         let there = |n: &Node| {
-            ids.iter().filter(|id| n.members.get(**id).is_some_and(|m| m.state.is_there())).count()
+            ids.iter().filter(|id| n.members.get(**id).is_some_and(|m| m.state.is_active())).count()
         };
-        self.living().map(|n| there(n.1)).sum::<usize>() as f64 / pairs.max(1) as f64
+        self.running().map(|n| there(n.1)).sum::<usize>() as f64 / pairs.max(1) as f64
     }
 
     /// Whether all living nodes take each other for there.
-    pub fn whole(&self) -> bool {
-        let ids: Vec<MemberId> = self.living().map(|n| n.1.id()).collect();
-        let there = |n: &Node, id: MemberId| n.members.get(id).is_some_and(|m| m.state.is_there());
-        self.living().all(|(_, n)| ids.iter().all(|id| *id == n.id() || there(n, *id)))
+    pub fn converged(&self) -> bool {
+        let ids: Vec<MemberId> = self.running().map(|n| n.1.id()).collect();
+        let there = |n: &Node, id: MemberId| n.members.get(id).is_some_and(|m| m.state.is_active());
+        self.running().all(|(_, n)| ids.iter().all(|id| *id == n.id() || there(n, *id)))
     }
 
     /// How many living nodes take this one for dead.
-    pub fn dead_to(&self, i: usize) -> usize {
+    pub fn dead_count(&self, i: usize) -> usize {
         let id = MemberId::of(&format!("n{i}"));
         let dead = |n: &Node| n.members.get(id).is_some_and(|m| matches!(m.state, State::Dead(_)));
-        self.living().filter(|(j, n)| *j != i && dead(n)).count()
+        self.running().filter(|(j, n)| *j != i && dead(n)).count()
     }
 }
--- a/crates/gossip/src/swim.rs
+++ b/crates/gossip/src/swim.rs
@@ -4,33 +4,33 @@
 //!
 //! This module has the states and the choice of whom to ask; [`crate::node`] has the messages.
 
-use crate::wire::{Claim, Incarnation, Update, GROUPS};
+use crate::wire::{Claim, Incarnation, Update, DIGEST_BUCKETS};
 use crate::{MemberId, Micros, SECOND};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// One member is asked in each period (µs), longer while the own health is bad.
-pub const PERIOD: Micros = SECOND;
-/// An answer is waited for so long before others are asked to ask (µs). Far over a round trip on these networks (up to
+/// One member is asked in each period (µs), longer while the own health_score is bad.
+pub const PROTOCOL_PERIOD: Micros = SECOND;
+/// An answer is waited for so long before others are asked to ask (µs). Far expired a round trip on these networks (up to
 /// 54 ms), and leaves the rest of the period to the others.
-pub const ANSWER: Micros = 300_000;
+pub const PING_TIMEOUT: Micros = 300_000;
 /// Others that are asked to ask.
-pub const HELPERS: usize = 3;
-/// The worst own health: periods and waits are up to so many times longer, less one.
-pub const WORST: u32 = 8;
+pub const INDIRECT_PINGS: usize = 3;
+/// The worst own health_score: periods and waits are up to so many times longer, less one.
+pub const MAX_HEALTH_SCORE: u32 = 8;
 /// A suspicion lasts so many periods at the least, times the logarithm of the group's size (Lifeguard's alpha).
-const ALPHA: f64 = 4.0;
+const SUSPICION_ALPHA: f64 = 4.0;
 /// And so many times that at the most, while nobody confirms it (Lifeguard's beta).
-const BETA: f64 = 6.0;
+const SUSPICION_BETA: f64 = 6.0;
 /// Confirmations after which it lasts no longer than the least.
-const CONFIRMED: usize = 3;
+const MAX_CONFIRMATIONS: usize = 3;
 /// One that is dead or has left is remembered for so long (µs): far longer than what is said of it takes to reach all,
 /// so that an old word does not bring it back.
-pub const TOMBSTONE: Micros = 600 * SECOND;
+pub const TOMBSTONE_LIFETIME: Micros = 600 * SECOND;
 /// A processor is pressed from here on (of 255): then only what keeps membership goes there.
 pub const OVERLOAD_LEVEL: u8 = 200;
 /// Members that are known at most. Guards memory against names without end.
-pub const MEMBERS: usize = 2048;
+pub const MAX_MEMBERS: usize = 2048;
 
 /// What a member is.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -57,7 +57,7 @@
     }
 
     /// Whether it counts as there.
-    pub fn is_there(&self) -> bool {
+    pub fn is_active(&self) -> bool {
         matches!(self, State::Alive | State::Suspect(..))
     }
 }
@@ -89,107 +89,107 @@
 /// All members but the own instance.
 #[derive(Debug)]
 pub struct Members {
-    me: MemberId,
+    own_id: MemberId,
     address: SocketAddr,
     /// The own incarnation.
     pub incarnation: Incarnation,
-    all: BTreeMap<MemberId, Member>,
+    members: BTreeMap<MemberId, Member>,
     /// Where those are that said that they are pressed.
     overloaded: BTreeSet<SocketAddr>,
     /// Whom to ask next, and so on: each once before any again.
     round: Vec<MemberId>,
-    /// How bad the own health is, from 0 to `WORST`.
-    health: u32,
+    /// How bad the own health_score is, from 0 to `MAX_HEALTH_SCORE`.
+    health_score: u32,
     rng: fastrand::Rng,
     /// Members that found no place.
-    pub lost: u64,
+    pub dropped: u64,
 }
 
 impl Members {
     /// Only the own instance is there.
-    pub fn new(me: MemberId, address: SocketAddr, incarnation: Incarnation, seed: u64) -> Members {
+    pub fn new(own_id: MemberId, address: SocketAddr, incarnation: Incarnation, seed: u64) -> Members {
         let rng = fastrand::Rng::with_seed(seed);
         Members {
-            me,
+            own_id,
             address,
             incarnation,
-            all: BTreeMap::new(),
+            members: BTreeMap::new(),
             overloaded: BTreeSet::new(),
             round: Vec::new(),
-            health: 0,
+            health_score: 0,
             rng,
-            lost: 0,
+            dropped: 0,
         }
     }
 
     /// The own instance as it is passed on.
-    pub fn myself(&self, claim: Claim) -> Update {
-        Update { id: self.me, address: self.address, incarnation: self.incarnation, claim }
+    pub fn own_update(&self, claim: Claim) -> Update {
+        Update { id: self.own_id, address: self.address, incarnation: self.incarnation, claim }
     }
 
     /// A member.
     pub fn get(&self, id: MemberId) -> Option<&Member> {
-        self.all.get(&id)
+        self.members.get(&id)
     }
 
     /// All members.
     pub fn iter(&self) -> impl Iterator<Item = (MemberId, &Member)> {
-        self.all.iter().map(|(id, m)| (*id, m))
+        self.members.iter().map(|(id, m)| (*id, m))
     }
 
     /// Members that are there, the own instance among them.
-    pub fn there(&self) -> usize {
-        1 + self.all.values().filter(|m| m.state.is_there()).count()
+    pub fn active_count(&self) -> usize {
+        1 + self.members.values().filter(|m| m.state.is_active()).count()
     }
 
-    /// By how much the own health stretches waits.
-    pub fn stretch(&self) -> i64 {
-        i64::from(self.health) + 1
+    /// By how much the own health_score stretches waits.
+    pub fn health_factor(&self) -> i64 {
+        i64::from(self.health_score) + 1
     }
 
-    /// The own health got worse, or better.
-    pub fn note_health(&mut self, worse: bool) {
-        self.health = if worse { (self.health + 1).min(WORST) } else { self.health.saturating_sub(1) };
+    /// The own health_score got worse, or better.
+    pub fn adjust_local_health(&mut self, worse: bool) {
+        self.health_score = if worse { (self.health_score + 1).min(MAX_HEALTH_SCORE) } else { self.health_score.saturating_sub(1) };
     }
 
     /// How long a suspicion lasts, by the group's size and those who confirm it.
-    pub fn suspicion(&self, accusers: usize) -> Micros {
-        suspicion(self.there(), accusers)
+    pub fn suspicion_timeout(&self, accusers: usize) -> Micros {
+        suspicion_timeout(self.active_count(), accusers)
     }
 
     /// Whether somebody that is there listens at an address.
     pub fn is_at(&self, address: SocketAddr) -> bool {
-        self.all.values().any(|m| m.address == address && m.state.is_there())
+        self.members.values().any(|m| m.address == address && m.state.is_active())
     }
 
-    /// Takes what is said of a member. `from`: who says it; `latest`: incarnations beyond this are nobody's.
-    pub fn hear(&mut self, now: Micros, u: Update, from: MemberId, latest: Incarnation) -> Option<Change> {
-        if u.incarnation > latest {
+    /// Takes what is said of a member. `from`: who says it; `max_incarnation`: incarnations beyond this are nobody's.
+    pub fn apply(&mut self, now: Micros, update: Update, from: MemberId, max_incarnation: Incarnation) -> Option<Change> {
+        if update.incarnation > max_incarnation {
             return None;
         }
-        if u.id == self.me {
-            return self.hear_of_myself(u);
+        if update.id == self.own_id {
+            return self.apply_own_update(update);
         }
-        let Some(known) = self.all.get_mut(&u.id) else {
-            return self.hear_of_new(now, u, from);
+        let Some(known) = self.members.get_mut(&update.id) else {
+            return self.apply_new_member(now, update, from);
         };
-        if u.address != known.address {
+        if update.address != known.address {
             // A later life may be elsewhere, once the earlier one no longer answers: nobody takes a living one's name.
-            let later = u.incarnation.0 >> 12 > known.incarnation.0 >> 12;
-            let moved = later && u.claim == Claim::Alive && known.state != State::Alive;
+            let later = update.incarnation.0 >> 12 > known.incarnation.0 >> 12;
+            let moved = later && update.claim == Claim::Alive && known.state != State::Alive;
             if !moved {
-                let conflict = u.claim == Claim::Alive && u.incarnation >= known.incarnation;
-                return conflict.then_some(Change::Conflict(u.id, u.address));
+                let conflict = update.claim == Claim::Alive && update.incarnation >= known.incarnation;
+                return conflict.then_some(Change::Conflict(update.id, update.address));
             }
         }
-        let newer = u.incarnation > known.incarnation;
-        let same = u.incarnation == known.incarnation;
-        let state = match (u.claim, &mut known.state) {
+        let newer = update.incarnation > known.incarnation;
+        let same = update.incarnation == known.incarnation;
+        let state = match (update.claim, &mut known.state) {
             (Claim::Alive, _) if newer => State::Alive,
             (Claim::Suspect, State::Suspect(_, accusers)) if same => {
                 // One more who says so: that is news to others while it shortens anything.
-                let fresh = accusers.len() < CONFIRMED + 1 && accusers.insert(from);
-                return fresh.then_some(Change::Member(u));
+                let fresh = accusers.len() < MAX_CONFIRMATIONS + 1 && accusers.insert(from);
+                return fresh.then_some(Change::Member(update));
             }
             (Claim::Suspect, State::Alive) if newer || same => State::Suspect(now, BTreeSet::from([from])),
             (Claim::Suspect, State::Suspect(..)) if newer => State::Suspect(now, BTreeSet::from([from])),
@@ -199,75 +199,75 @@
             (Claim::Left, State::Dead(at)) if newer || same => State::Left(*at),
             _ => return None,
         };
-        let back = !known.state.is_there() && state.is_there();
-        (known.incarnation, known.state, known.address) = (u.incarnation, state, u.address);
-        if back {
-            self.enter_round(u.id);
+        let rejoined = !known.state.is_active() && state.is_active();
+        (known.incarnation, known.state, known.address) = (update.incarnation, state, update.address);
+        if rejoined {
+            self.insert_into_round(update.id);
         }
-        Some(Change::Member(u))
+        Some(Change::Member(update))
     }
 
-    fn hear_of_myself(&mut self, u: Update) -> Option<Change> {
-        if u.address != self.address && u.claim == Claim::Alive && u.incarnation >= self.incarnation {
-            return Some(Change::NameTaken(u.address));
+    fn apply_own_update(&mut self, update: Update) -> Option<Change> {
+        if update.address != self.address && update.claim == Claim::Alive && update.incarnation >= self.incarnation {
+            return Some(Change::NameTaken(update.address));
         }
-        let contradicts = match u.claim {
-            // An earlier life of the own with a higher number, as when the clock has gone back.
-            Claim::Alive => u.incarnation > self.incarnation,
-            Claim::Suspect | Claim::Dead | Claim::Left => u.incarnation >= self.incarnation,
+        let contradicts = match update.claim {
+            // An earlier life of the own with a higher number, as when the clock has inactive back.
+            Claim::Alive => update.incarnation > self.incarnation,
+            Claim::Suspect | Claim::Dead | Claim::Left => update.incarnation >= self.incarnation,
         };
         if !contradicts {
             return None;
         }
-        self.incarnation = u.incarnation.max(self.incarnation).next();
+        self.incarnation = update.incarnation.max(self.incarnation).next();
         // To be suspected is a sign that the own messages come late.
-        if u.claim == Claim::Suspect {
-            self.note_health(true);
+        if update.claim == Claim::Suspect {
+            self.adjust_local_health(true);
         }
-        Some(Change::Member(self.myself(Claim::Alive)))
+        Some(Change::Member(self.own_update(Claim::Alive)))
     }
 
-    fn hear_of_new(&mut self, now: Micros, u: Update, from: MemberId) -> Option<Change> {
-        if self.all.len() >= MEMBERS {
-            let gone = self.all.iter().find(|m| !m.1.state.is_there()).map(|m| *m.0);
-            let Some(gone) = gone else {
-                self.lost += 1;
+    fn apply_new_member(&mut self, now: Micros, update: Update, from: MemberId) -> Option<Change> {
+        if self.members.len() >= MAX_MEMBERS {
+            let inactive = self.members.iter().find(|m| !m.1.state.is_active()).map(|m| *m.0);
+            let Some(inactive) = inactive else {
+                self.dropped += 1;
                 return None;
             };
-            self.all.remove(&gone);
+            self.members.remove(&inactive);
         }
-        let state = match u.claim {
+        let state = match update.claim {
             Claim::Alive => State::Alive,
             Claim::Suspect => State::Suspect(now, BTreeSet::from([from])),
             // Kept, so that an old word does not bring it in.
             Claim::Dead => State::Dead(now),
             Claim::Left => State::Left(now),
         };
-        let there = state.is_there();
-        let member = Member { address: u.address, incarnation: u.incarnation, state, load: 0 };
-        self.all.insert(u.id, member);
+        let there = state.is_active();
+        let member = Member { address: update.address, incarnation: update.incarnation, state, load: 0 };
+        self.members.insert(update.id, member);
         if there {
-            self.enter_round(u.id);
+            self.insert_into_round(update.id);
         }
-        there.then_some(Change::Member(u))
+        there.then_some(Change::Member(update))
     }
 
     /// It was heard itself, in this incarnation: whatever others say, it is there.
-    pub fn heard_itself(
+    pub fn heard_directly(
         &mut self,
         now: Micros,
         id: MemberId,
         address: SocketAddr,
         incarnation: Incarnation,
-        latest: Incarnation,
+        max_incarnation: Incarnation,
     ) -> Option<Change> {
-        let u = Update { id, address, incarnation, claim: Claim::Alive };
-        self.hear(now, u, id, latest)
+        let update = Update { id, address, incarnation, claim: Claim::Alive };
+        self.apply(now, update, id, max_incarnation)
     }
 
     /// How pressed a member says that it is.
-    pub fn note_load(&mut self, id: MemberId, load: u8) {
-        if let Some(m) = self.all.get_mut(&id) {
+    pub fn set_member_load(&mut self, id: MemberId, load: u8) {
+        if let Some(m) = self.members.get_mut(&id) {
             m.load = load;
             if load >= OVERLOAD_LEVEL {
                 self.overloaded.insert(m.address);
@@ -283,39 +283,39 @@
     }
 
     /// It did not answer this instance.
-    pub fn unanswered(&mut self, now: Micros, id: MemberId) -> Option<Change> {
-        let m = self.all.get(&id)?;
-        let u = Update { id, address: m.address, incarnation: m.incarnation, claim: Claim::Suspect };
-        self.hear(now, u, self.me, Incarnation::MAX)
+    pub fn suspect(&mut self, now: Micros, id: MemberId) -> Option<Change> {
+        let m = self.members.get(&id)?;
+        let update = Update { id, address: m.address, incarnation: m.incarnation, claim: Claim::Suspect };
+        self.apply(now, update, self.own_id, Incarnation::MAX)
     }
 
     /// Suspicions whose time is up become deaths; tombstones whose time is up go.
-    pub fn sweep(&mut self, now: Micros) -> Vec<Change> {
-        let there = self.there();
-        let over = |m: &&Member| match &m.state {
-            State::Suspect(since, accusers) => now - since >= suspicion(there, accusers.len()),
+    pub fn expire(&mut self, now: Micros) -> Vec<Change> {
+        let there = self.active_count();
+        let expired = |m: &&Member| match &m.state {
+            State::Suspect(since, accusers) => now - since >= suspicion_timeout(there, accusers.len()),
             _ => false,
         };
-        let dead: Vec<MemberId> = self.all.iter().filter(|m| over(&m.1)).map(|m| *m.0).collect();
+        let dead: Vec<MemberId> = self.members.iter().filter(|m| expired(&m.1)).map(|m| *m.0).collect();
         let mut changes = Vec::new();
         for id in dead {
-            if let Some(m) = self.all.get_mut(&id) {
+            if let Some(m) = self.members.get_mut(&id) {
                 m.state = State::Dead(now);
                 let (address, incarnation) = (m.address, m.incarnation);
                 changes.push(Change::Member(Update { id, address, incarnation, claim: Claim::Dead }));
             }
         }
-        self.all
-            .retain(|_, m| !matches!(m.state, State::Dead(at) | State::Left(at) if now - at >= TOMBSTONE));
+        self.members
+            .retain(|_, m| !matches!(m.state, State::Dead(at) | State::Left(at) if now - at >= TOMBSTONE_LIFETIME));
         if !self.overloaded.is_empty() {
-            let there: BTreeSet<SocketAddr> = self.all.values().map(|m| m.address).collect();
+            let there: BTreeSet<SocketAddr> = self.members.values().map(|m| m.address).collect();
             self.overloaded.retain(|a| there.contains(a));
         }
         changes
     }
 
     /// A new one gets a place by lot, so that not all ask it at the same time.
-    fn enter_round(&mut self, id: MemberId) {
+    fn insert_into_round(&mut self, id: MemberId) {
         if !self.round.contains(&id) {
             let at = self.rng.usize(..=self.round.len());
             self.round.insert(at, id);
@@ -323,24 +323,24 @@
     }
 
     /// Whom to ask now: each that is there once, in an order drawn anew for each round (SWIM, section 4.3).
-    pub fn next_to_ask(&mut self) -> Option<MemberId> {
+    pub fn next_ping_target(&mut self) -> Option<MemberId> {
         for _ in 0..2 {
             while let Some(id) = self.round.pop() {
-                if self.all.get(&id).is_some_and(|m| m.state.is_there()) {
+                if self.members.get(&id).is_some_and(|m| m.state.is_active()) {
                     return Some(id);
                 }
             }
-            self.round = self.all.iter().filter(|m| m.1.state.is_there()).map(|m| *m.0).collect();
+            self.round = self.members.iter().filter(|m| m.1.state.is_active()).map(|m| *m.0).collect();
             self.rng.shuffle(&mut self.round);
         }
         None
     }
 
     /// Some that are there, by lot, but for one.
-    pub fn some(&mut self, most: usize, but: MemberId) -> Vec<(MemberId, SocketAddr)> {
-        let there = self.all.iter().filter(|m| m.1.state == State::Alive && *m.0 != but);
+    pub fn random_alive(&mut self, count: usize, except: MemberId) -> Vec<(MemberId, SocketAddr)> {
+        let there = self.members.iter().filter(|m| m.1.state == State::Alive && *m.0 != except);
         let mut all: Vec<(MemberId, SocketAddr)> = there.map(|(id, m)| (*id, m.address)).collect();
-        let n = most.min(all.len());
+        let n = count.min(all.len());
         for i in 0..n {
             let j = self.rng.usize(i..all.len());
             all.swap(i, j);
@@ -350,70 +350,70 @@
     }
 
     /// One that is dead, by lot: after a split the halves find each other by asking the dead.
-    pub fn a_dead_one(&mut self) -> Option<(MemberId, SocketAddr)> {
-        let dead: Vec<_> = self.all.iter().filter(|m| matches!(m.1.state, State::Dead(_))).collect();
+    pub fn random_dead(&mut self) -> Option<(MemberId, SocketAddr)> {
+        let dead: Vec<_> = self.members.iter().filter(|m| matches!(m.1.state, State::Dead(_))).collect();
         let n = dead.len();
         (n > 0).then(|| dead[self.rng.usize(..n)]).map(|(id, m)| (*id, m.address))
     }
 
     /// A number by lot.
-    pub fn lot(&mut self, below: u32) -> u32 {
-        self.rng.u32(..below.max(1))
+    pub fn random_below(&mut self, bound: u32) -> u32 {
+        self.rng.u32(..bound.max(1))
     }
 
     /// A hash of each group of members and their states, the own instance among them.
-    pub fn digest(&self) -> [u32; GROUPS] {
-        let mut hashers: Vec<blake3::Hasher> = (0..GROUPS).map(|_| blake3::Hasher::new()).collect();
-        let me = [(self.me, self.incarnation, Claim::Alive)];
-        let others = self.all.iter().map(|(id, m)| {
+    pub fn digest(&self) -> [u32; DIGEST_BUCKETS] {
+        let mut hashers: Vec<blake3::Hasher> = (0..DIGEST_BUCKETS).map(|_| blake3::Hasher::new()).collect();
+        let own_id = [(self.own_id, self.incarnation, Claim::Alive)];
+        let others = self.members.iter().map(|(id, m)| {
             // A suspicion comes and goes; only what lasts is compared.
-            let claim = if m.state.is_there() { Claim::Alive } else { m.state.claim() };
+            let claim = if m.state.is_active() { Claim::Alive } else { m.state.claim() };
             (*id, m.incarnation, claim)
         });
-        let mut all: Vec<_> = me.into_iter().chain(others).collect();
+        let mut all: Vec<_> = own_id.into_iter().chain(others).collect();
         all.sort_unstable();
         for (id, incarnation, claim) in all {
-            let h = &mut hashers[group(id)];
+            let h = &mut hashers[bucket_of(id)];
             h.update(&id.0.to_be_bytes());
             h.update(&incarnation.0.to_be_bytes());
             h.update(&[claim as u8]);
         }
-        let cut = |h: &blake3::Hasher| {
+        let truncate = |h: &blake3::Hasher| {
             let b = h.finalize();
             let b = b.as_bytes();
             u32::from_be_bytes([b[0], b[1], b[2], b[3]])
         };
-        std::array::from_fn(|i| cut(&hashers[i]))
+        std::array::from_fn(|i| truncate(&hashers[i]))
     }
 
     /// What is known of the members of some groups, the own instance among them.
-    pub fn of_groups(&self, wanted: impl Fn(usize) -> bool) -> Vec<Update> {
-        let me = [self.myself(Claim::Alive)];
-        let others = self.all.iter().map(|(id, m)| Update {
+    pub fn updates_in_buckets(&self, wanted: impl Fn(usize) -> bool) -> Vec<Update> {
+        let own_id = [self.own_update(Claim::Alive)];
+        let others = self.members.iter().map(|(id, m)| Update {
             id: *id,
             address: m.address,
             incarnation: m.incarnation,
             claim: m.state.claim(),
         });
-        me.into_iter().chain(others).filter(|u| wanted(group(u.id))).collect()
+        own_id.into_iter().chain(others).filter(|update| wanted(bucket_of(update.id))).collect()
     }
 }
 
 /// The group of a member, for digests.
-pub fn group(id: MemberId) -> usize {
-    (id.0 % GROUPS as u64) as usize
+pub fn bucket_of(id: MemberId) -> usize {
+    (id.0 % DIGEST_BUCKETS as u64) as usize
 }
 
 /// How long a suspicion lasts in a group of so many, by those who confirm it.
-fn suspicion(there: usize, accusers: usize) -> Micros {
+fn suspicion_timeout(there: usize, accusers: usize) -> Micros {
     let size = (there as f64).log10().max(1.0);
-    let least = ALPHA * size * PERIOD as f64;
+    let least = SUSPICION_ALPHA * size * PROTOCOL_PERIOD as f64;
     // With nobody to confirm it, as between two, the longest wait would be for nothing.
-    let others = there.saturating_sub(2).min(CONFIRMED);
+    let others = there.saturating_sub(2).min(MAX_CONFIRMATIONS);
     if others == 0 {
         return least as Micros;
     }
-    let most = BETA * least;
+    let most = SUSPICION_BETA * least;
     let share = (accusers.max(1) as f64).ln() / (others as f64 + 1.0).ln();
     (most - (most - least) * share).max(least) as Micros
 }
--- a/crates/gossip/src/wire.rs
+++ b/crates/gossip/src/wire.rs
@@ -23,13 +23,13 @@
 /// The longest datagram (bytes); the platform's limit for messages between peers.
 pub const MAX_DATAGRAM_BYTES: usize = 256;
 /// Bytes of the seal: 96 bits, the least that RFC 2104 and SP 800-107 advise for HMAC.
-pub const SEAL: usize = 12;
+pub const TAG_BYTES: usize = 12;
 /// Bytes before the message.
-pub const HEADER: usize = 20;
+pub const HEADER_BYTES: usize = 20;
 /// Bytes for the message and items.
-pub const ROOM: usize = MAX_DATAGRAM_BYTES - HEADER - SEAL;
+pub const PAYLOAD_BYTES: usize = MAX_DATAGRAM_BYTES - HEADER_BYTES - TAG_BYTES;
 /// Groups of members by which digests are told.
-pub const GROUPS: usize = 16;
+pub const DIGEST_BUCKETS: usize = 16;
 
 /// When an instance began its present life, and how often it has contradicted others since: 36 bits of seconds and
 /// 12 bits of count, so that a later life always has the higher number.
@@ -113,7 +113,7 @@
         /// Whether the other's is wanted in return.
         reply: bool,
         /// The hash of each group, cut short.
-        groups: [u32; GROUPS],
+        bucket_hashes: [u32; DIGEST_BUCKETS],
     },
     /// Nothing but items.
     Items,
@@ -142,7 +142,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Datagram {
     /// Which key it is sealed with.
-    pub key: u8,
+    pub key_id: u8,
     /// Who sends it.
     pub sender: MemberId,
     /// In which incarnation.
@@ -157,16 +157,16 @@
 
 /// Why a datagram is of no use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Unusable {
+pub enum DecodeError {
     /// Too short or too long.
-    #[error("{0} bytes, expected {least} to {MAX_DATAGRAM_BYTES}", least = HEADER + 1 + SEAL)]
+    #[error("{0} bytes, expected {least} to {MAX_DATAGRAM_BYTES}", least = HEADER_BYTES + 1 + TAG_BYTES)]
     Length(usize),
     /// Another version.
-    #[error("version {0}, expected {VERSION}")]
+    #[error("unsupported version {0}, expected {VERSION}")]
     Version(u8),
     /// Something that is not known, or cut short.
-    #[error("byte {0} is not understood")]
-    Form(usize),
+    #[error("invalid or truncated value at byte {0}")]
+    Value(usize),
 }
 
 // ---- Writing ----
@@ -203,7 +203,7 @@
             Message::Ack { .. } => 1 + 2 + 1,
             Message::PingReq { address, .. } => 1 + 2 + 8 + address_len(address),
             Message::Nack { .. } => 1 + 2,
-            Message::Digest { .. } => 1 + 1 + 4 * GROUPS,
+            Message::Digest { .. } => 1 + 1 + 4 * DIGEST_BUCKETS,
             Message::Items => 1,
         }
     }
@@ -235,7 +235,7 @@
 impl Datagram {
     /// Its bytes without the seal. Items that do not fit are left out: whoever makes one counts beforehand.
     pub fn encode(&self) -> Vec<u8> {
-        let mut out = vec![VERSION, self.key];
+        let mut out = vec![VERSION, self.key_id];
         put(&mut out, self.sender.0, 8);
         put(&mut out, self.incarnation.0, 6);
         put(&mut out, self.sequence.into(), 4);
@@ -260,15 +260,15 @@
                 out.push(4);
                 put(&mut out, (*nonce).into(), 2);
             }
-            Message::Digest { reply, groups } => {
+            Message::Digest { reply, bucket_hashes } => {
                 out.push(5);
                 out.push(u8::from(*reply));
-                groups.iter().for_each(|g| put(&mut out, (*g).into(), 4));
+                bucket_hashes.iter().for_each(|g| put(&mut out, (*g).into(), 4));
             }
             Message::Items => out.push(6),
         }
         for item in &self.items {
-            if out.len() + item.len() > MAX_DATAGRAM_BYTES - SEAL {
+            if out.len() + item.len() > MAX_DATAGRAM_BYTES - TAG_BYTES {
                 break;
             }
             match item {
@@ -299,17 +299,17 @@
 
 struct Reader<'a> {
     bytes: &'a [u8],
-    at: usize,
+    offset: usize,
 }
 
 impl Reader<'_> {
-    fn take<const N: usize>(&mut self) -> Result<[u8; N], Unusable> {
-        let part = self.bytes.get(self.at..self.at + N).ok_or(Unusable::Form(self.at))?;
-        self.at += N;
-        part.try_into().map_err(|_| Unusable::Form(self.at))
+    fn take<const N: usize>(&mut self) -> Result<[u8; N], DecodeError> {
+        let part = self.bytes.get(self.offset..self.offset + N).ok_or(DecodeError::Value(self.offset))?;
+        self.offset += N;
+        part.try_into().map_err(|_| DecodeError::Value(self.offset))
     }
 
-    fn number(&mut self, bytes: usize) -> Result<u64, Unusable> {
+    fn number(&mut self, bytes: usize) -> Result<u64, DecodeError> {
         let mut n = 0;
         for _ in 0..bytes {
             let [b] = self.take::<1>()?;
@@ -318,21 +318,21 @@
         Ok(n)
     }
 
-    fn byte(&mut self) -> Result<u8, Unusable> {
+    fn byte(&mut self) -> Result<u8, DecodeError> {
         Ok(self.take::<1>()?[0])
     }
 
-    fn address(&mut self) -> Result<SocketAddr, Unusable> {
-        let at = self.at;
+    fn address(&mut self) -> Result<SocketAddr, DecodeError> {
+        let at = self.offset;
         let ip = match self.byte()? {
             4 => IpAddr::from(Ipv4Addr::from(self.take::<4>()?)),
             6 => IpAddr::from(Ipv6Addr::from(self.take::<16>()?)),
-            _ => return Err(Unusable::Form(at)),
+            _ => return Err(DecodeError::Value(at)),
         };
         let port = self.number(2)? as u16;
         // Nobody listens there, or everybody: neither is a member's.
         if port == 0 || ip.is_unspecified() || ip.is_multicast() {
-            return Err(Unusable::Form(at));
+            return Err(DecodeError::Value(at));
         }
         Ok(SocketAddr::new(ip, port))
     }
@@ -342,12 +342,12 @@
 ///
 /// # Errors
 /// If it is no datagram of this form.
-pub fn key_of(bytes: &[u8]) -> Result<u8, Unusable> {
-    if !(HEADER + 1 + SEAL..=MAX_DATAGRAM_BYTES).contains(&bytes.len()) {
-        return Err(Unusable::Length(bytes.len()));
+pub fn key_id(bytes: &[u8]) -> Result<u8, DecodeError> {
+    if !(HEADER_BYTES + 1 + TAG_BYTES..=MAX_DATAGRAM_BYTES).contains(&bytes.len()) {
+        return Err(DecodeError::Length(bytes.len()));
     }
     if bytes[0] != VERSION {
-        return Err(Unusable::Version(bytes[0]));
+        return Err(DecodeError::Version(bytes[0]));
     }
     Ok(bytes[1])
 }
@@ -356,13 +356,13 @@
 ///
 /// # Errors
 /// Names the byte that is not understood.
-pub fn decode(bytes: &[u8]) -> Result<Datagram, Unusable> {
-    let key = key_of(bytes)?;
-    let mut r = Reader { bytes: &bytes[..bytes.len() - SEAL], at: 2 };
+pub fn decode(bytes: &[u8]) -> Result<Datagram, DecodeError> {
+    let key_id = key_id(bytes)?;
+    let mut r = Reader { bytes: &bytes[..bytes.len() - TAG_BYTES], offset: 2 };
     let sender = MemberId(r.number(8)?);
     let incarnation = Incarnation(r.number(6)?);
     let sequence = r.number(4)? as u32;
-    let at = r.at;
+    let at = r.offset;
     let message = match r.byte()? {
         1 => Message::Ping { nonce: r.number(2)? as u16, target: MemberId(r.number(8)?) },
         2 => Message::Ack { nonce: r.number(2)? as u16, load: r.byte()? },
@@ -376,20 +376,20 @@
             let reply = match r.byte()? {
                 0 => false,
                 1 => true,
-                _ => return Err(Unusable::Form(r.at - 1)),
+                _ => return Err(DecodeError::Value(r.offset - 1)),
             };
-            let mut groups = [0; GROUPS];
-            for g in &mut groups {
+            let mut bucket_hashes = [0; DIGEST_BUCKETS];
+            for g in &mut bucket_hashes {
                 *g = r.number(4)? as u32;
             }
-            Message::Digest { reply, groups }
+            Message::Digest { reply, bucket_hashes }
         }
         6 => Message::Items,
-        _ => return Err(Unusable::Form(at)),
+        _ => return Err(DecodeError::Value(at)),
     };
     let mut items = Vec::new();
-    while r.at < r.bytes.len() {
-        let at = r.at;
+    while r.offset < r.bytes.len() {
+        let at = r.offset;
         items.push(match r.byte()? {
             claim @ 0x10..=0x13 => {
                 let claim =
@@ -403,8 +403,8 @@
                 from: Exchange(r.number(2)? as u16),
                 bits: r.number(8)?,
             },
-            _ => return Err(Unusable::Form(at)),
+            _ => return Err(DecodeError::Value(at)),
         });
     }
-    Ok(Datagram { key, sender, incarnation, sequence, message, items })
+    Ok(Datagram { key_id, sender, incarnation, sequence, message, items })
 }
--- a/crates/gossip/tests/wire.rs
+++ b/crates/gossip/tests/wire.rs
@@ -49,7 +49,7 @@
             address
         }),
         any::<u16>().prop_map(|nonce| Message::Nack { nonce }),
-        (any::<bool>(), any::<[u32; GROUPS]>()).prop_map(|(reply, groups)| Message::Digest { reply, groups }),
+        (any::<bool>(), any::<[u32; DIGEST_BUCKETS]>()).prop_map(|(reply, bucket_hashes)| Message::Digest { reply, bucket_hashes }),
         Just(Message::Items),
     ]
 }
@@ -73,7 +73,7 @@
 
 fn joined(a: &Reports, b: &Reports) -> Reports {
     let mut both = a.clone();
-    both.join(b);
+    both.merge_all(b);
     both
 }
 
@@ -83,33 +83,33 @@
     #[test]
     fn what_is_written_is_read_back(sender in any::<u64>(), sequence in any::<u32>(), message in message(),
                                     items in prop::collection::vec(item(), 0..12)) {
-        let d = Datagram { key: 3, sender: MemberId(sender), incarnation: Incarnation(7 << 12), sequence, message, items };
+        let d = Datagram { key_id: 3, sender: MemberId(sender), incarnation: Incarnation(7 << 12), sequence, message, items };
         let mut bytes = d.encode();
-        bytes.extend([0; SEAL]);
+        bytes.extend([0; TAG_BYTES]);
         prop_assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
-        prop_assert_eq!(key_of(&bytes), Ok(3));
+        prop_assert_eq!(key_id(&bytes), Ok(3));
         let got = decode(&bytes).unwrap();
         prop_assert_eq!((got.sender, got.sequence, got.message), (d.sender, d.sequence, d.message));
         // What has no room is left out from the end; nothing else is changed.
         prop_assert_eq!(&got.items[..], &d.items[..got.items.len()]);
-        let used: usize = HEADER + d.message.len() + d.items.iter().map(Item::len).sum::<usize>();
-        prop_assert_eq!(got.items.len() == d.items.len(), used <= MAX_DATAGRAM_BYTES - SEAL);
+        let used: usize = HEADER_BYTES + d.message.len() + d.items.iter().map(Item::len).sum::<usize>();
+        prop_assert_eq!(got.items.len() == d.items.len(), used <= MAX_DATAGRAM_BYTES - TAG_BYTES);
     }
 
     #[test]
     fn any_bytes_are_read_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         let read = decode(&bytes);
-        if !(HEADER + 1 + SEAL..=MAX_DATAGRAM_BYTES).contains(&bytes.len()) {
-            prop_assert_eq!(read, Err(Unusable::Length(bytes.len())));
+        if !(HEADER_BYTES + 1 + TAG_BYTES..=MAX_DATAGRAM_BYTES).contains(&bytes.len()) {
+            prop_assert_eq!(read, Err(DecodeError::Length(bytes.len())));
         }
     }
 
     #[test]
     fn a_datagram_cut_short_or_spoilt_never_panics(message in message(), items in prop::collection::vec(item(), 1..6),
                                                    cut in 0usize..256, at in 0usize..256, bit in 0u8..8) {
-        let d = Datagram { key: 1, sender: MemberId(1), incarnation: Incarnation(1), sequence: 1, message, items };
+        let d = Datagram { key_id: 1, sender: MemberId(1), incarnation: Incarnation(1), sequence: 1, message, items };
         let mut bytes = d.encode();
-        bytes.extend([0; SEAL]);
+        bytes.extend([0; TAG_BYTES]);
         let _ = decode(&bytes[..cut.min(bytes.len())]);
         let at = at % bytes.len();
         bytes[at] ^= 1 << bit;
@@ -129,7 +129,7 @@
 /// What counts of a store: for each exchange and reporter what was said.
 fn strip(r: &Reports) -> Vec<(u16, u64, Incarnation, Evidence)> {
     let on = |e: u16| {
-        r.on(8, Exchange(e)).map(move |(id, r)| (e, id.0, r.incarnation, r.evidence)).collect::<Vec<_>>()
+        r.fresh(8, Exchange(e)).map(move |(id, r)| (e, id.0, r.incarnation, r.evidence)).collect::<Vec<_>>()
     };
     let strip = |mut x: (u16, u64, Incarnation, Evidence)| {
         x.3.age = 0;
--- a/examples/gossip_tables.rs
+++ b/examples/gossip_tables.rs
@@ -47,7 +47,7 @@
 
 fn settled(n: usize, seed: u64, net: Network) -> Simulation {
     let mut simulation = Simulation::new(n, seed, net);
-    simulation.run_while(300 * SECOND, |l| !l.whole());
+    simulation.run_while(300 * SECOND, |l| !l.converged());
     simulation
 }
 
@@ -65,10 +65,10 @@
     let mut seen = Seen::default();
     for (at, loss) in [0.0, 0.05, 0.2].into_iter().enumerate() {
         let mut simulation = settled(n, seed, Network { loss, ..Network::default() });
-        let before: u64 = simulation.living().map(|x| x.1.counts().deaths).sum();
+        let before: u64 = simulation.running().map(|x| x.1.counts().deaths).sum();
         let second = (simulation.now / SECOND) as usize;
         simulation.run_until(simulation.now + 60 * SECOND);
-        seen.falsely[at] = simulation.living().map(|x| x.1.counts().deaths).sum::<u64>() - before;
+        seen.falsely[at] = simulation.running().map(|x| x.1.counts().deaths).sum::<u64>() - before;
         if loss > 0.0 {
             continue;
         }
@@ -79,14 +79,14 @@
         let span = |from: Micros, to: Option<Micros>| to.map_or(f64::INFINITY, |t| (t - from) as f64 / 1e6);
         let died = simulation.now;
         simulation.kill(n - 1);
-        seen.death = span(died, simulation.run_while(died + 300 * SECOND, |l| l.dead_to(n - 1) < n - 1));
+        seen.death = span(died, simulation.run_while(died + 300 * SECOND, |l| l.dead_count(n - 1) < n - 1));
         simulation.start(n - 1);
-        simulation.run_while(simulation.now + 120 * SECOND, |l| !l.whole());
-        simulation.split(Some((0..n).map(|i| u8::from(2 * i >= n)).collect()));
+        simulation.run_while(simulation.now + 120 * SECOND, |l| !l.converged());
+        simulation.partition(Some((0..n).map(|i| u8::from(2 * i >= n)).collect()));
         simulation.run_until(simulation.now + 60 * SECOND);
-        simulation.split(None);
+        simulation.partition(None);
         let healed = simulation.now;
-        seen.heal = span(healed, simulation.run_while(healed + 600 * SECOND, |l| !l.whole()));
+        seen.heal = span(healed, simulation.run_while(healed + 600 * SECOND, |l| !l.converged()));
     }
     seen
 }
@@ -265,7 +265,7 @@
 
     fn tell(&mut self, i: usize, f: impl FnOnce(&mut walnuthatch_gossip::node::Node, Micros)) {
         if let Some(simulation) = &mut self.simulation {
-            simulation.with(i, f);
+            simulation.with_node(i, f);
         }
     }
 
@@ -351,7 +351,7 @@
         let now = self.now;
         if let Some(simulation) = &mut self.simulation {
             simulation.run_until(now);
-            for (_, i, said) in std::mem::take(&mut simulation.said) {
+            for (_, i, said) in std::mem::take(&mut simulation.outputs) {
                 if let (NodeOutput::Suspected(all), true) = (said, i < SITES) {
                     let all: BTreeSet<ExchangeNo> = all.into_iter().map(|e| ExchangeNo(e.0)).collect();
                     self.sites[i].ledger.suspect(now, all);
@@ -397,7 +397,7 @@
     };
     let simulation = (kind != Kind::Without).then(|| {
         let mut simulation = Simulation::new(SITES + extra, seed, Network::default());
-        simulation.keep = true;
+        simulation.record_outputs = true;
         simulation
     });
     let mut m = Model {
