--- a/src/program/gossip_file.rs
+++ b/src/program/gossip_file.rs
@@ -8,9 +8,9 @@
 use std::net::SocketAddr;
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
-use walnuthatch_gossip::rate_limit::RateLimit;
-use walnuthatch_gossip::node;
 use walnuthatch_gossip::auth::KeyRing;
+use walnuthatch_gossip::node;
+use walnuthatch_gossip::rate_limit::RateLimit;
 use walnuthatch_gossip::Exchange;
 use zeroize::Zeroizing;
 
--- a/tests/gossip.rs
+++ b/tests/gossip.rs
@@ -11,9 +11,9 @@
 use std::time::{Duration, Instant};
 use walnuthatch_control::client::Connection;
 use walnuthatch_control::frames::{Ask, Body, Topic};
-use walnuthatch_gossip::rate_limit::RateLimit;
-use walnuthatch_gossip::node::{Config, Node, Output};
 use walnuthatch_gossip::auth::KeyRing;
+use walnuthatch_gossip::node::{Config, Node, Output};
+use walnuthatch_gossip::rate_limit::RateLimit;
 use walnuthatch_gossip::{Exchange as Number, MemberId};
 use walnuthatch_standin::{Callers, Exchange, Load, Table, Traits};
 
