--- a/crates/gossip/src/auth.rs
+++ b/crates/gossip/src/auth.rs
@@ -1,9 +1,8 @@
-//! Authentication: HMAC-SHA256 (RFC 2104, RFC 6234) cut to 96 bits, with a ring of keys.
+//! Message authentication with HMAC-SHA256 (RFC 2104, RFC 6234), truncated to 96 bits, and a key ring.
 //!
-//! A key is known by a number. One key of the ring seals, all of them open, so that keys are replaced without dropping
-//! a peer: first every instance is given the new key, then each seals with it, then the old one is taken away. Keys
-//! come from a file that nobody but its owner may read, are wiped from memory when they are dropped, and are never
-//! shown.
+//! Each key has an id. One key of the ring signs and all of them verify, so that keys can be rotated without losing a
+//! peer: first add the new key on every instance, then make it the signing key on each, then remove the old one. Keys
+//! are read from a file that only its owner may read, are wiped from memory when dropped, and are never printed.
 
 use crate::wire::TAG_BYTES;
 use hmac::{Hmac, KeyInit, Mac};
@@ -13,27 +12,27 @@
 use std::fmt;
 use zeroize::Zeroizing;
 
-/// The shortest secret that is taken (bytes): as long as the hash, as RFC 2104 advises.
+/// Minimum length of a secret (bytes): the length of the hash, as RFC 2104 recommends.
 pub const MIN_SECRET_BYTES: usize = 32;
-/// Keys that a ring may hold: the old, the one in use, the next, and one to spare.
+/// Maximum number of keys in a ring: the previous, the current and the next one, and one spare.
 pub const MAX_KEYS: usize = 4;
 
-/// Why a ring of keys is of no use.
+/// Error in a key file.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum KeyError {
-    /// It is not of the form. Nothing of its contents is told.
+    /// The file has the wrong structure. The message quotes none of its contents.
     #[error("not a key ring: expected [[key]] blocks with id, secret (64 hex digits) and, for one of them, seals = true")]
     Structure,
-    /// A secret is too short, or not in hex.
+    /// A secret is too short or not hexadecimal.
     #[error("key.{0}.secret: expected 64 hex digits")]
     Secret(u8),
-    /// A number is there twice.
+    /// A key id occurs twice.
     #[error("key.{0}.id: duplicate id")]
     DuplicateId(u8),
-    /// None, or more than one, seals.
+    /// Not exactly one key is marked for signing.
     #[error("seals: expected true for one key, found it for {0}")]
     SigningKeyCount(usize),
-    /// Too many.
+    /// The number of keys is out of range.
     #[error("{0} keys, expected 1 to {MAX_KEYS}")]
     KeyCount(usize),
 }
@@ -53,7 +52,7 @@
     seals: bool,
 }
 
-/// A ring of keys.
+/// A key ring.
 #[derive(Clone)]
 pub struct KeyRing {
     keys: BTreeMap<u8, Zeroizing<Vec<u8>>>,
@@ -62,8 +61,13 @@
 
 impl fmt::Debug for KeyRing {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        // The secrets are nobody's to see.
-        write!(f, "KeyRing {{ keys: {:?}, signing_key: {} }}", self.keys.keys().collect::<Vec<_>>(), self.signing_key)
+        // Secrets must not appear in debug output.
+        write!(
+            f,
+            "KeyRing {{ keys: {:?}, signing_key: {} }}",
+            self.keys.keys().collect::<Vec<_>>(),
+            self.signing_key
+        )
     }
 }
 
@@ -74,10 +78,10 @@
 }
 
 impl KeyRing {
-    /// Reads the text of a key file.
+    /// Parses the text of a key file.
     ///
     /// # Errors
-    /// Says what is wrong, without showing any of it.
+    /// Describes the fault without quoting the file.
     pub fn parse(text: &str) -> Result<KeyRing, KeyError> {
         let file: RingFile = toml::from_str(text).map_err(|_| KeyError::Structure)?;
         if !(1..=MAX_KEYS).contains(&file.key.len()) {
@@ -87,7 +91,8 @@
         let &[signing_key] = signing.as_slice() else { return Err(KeyError::SigningKeyCount(signing.len())) };
         let mut keys = BTreeMap::new();
         for k in &file.key {
-            let secret = hex(&k.secret).filter(|s| s.len() >= MIN_SECRET_BYTES).ok_or(KeyError::Secret(k.id))?;
+            let secret =
+                hex(&k.secret).filter(|s| s.len() >= MIN_SECRET_BYTES).ok_or(KeyError::Secret(k.id))?;
             if keys.insert(k.id, secret).is_some() {
                 return Err(KeyError::DuplicateId(k.id));
             }
@@ -95,22 +100,22 @@
         Ok(KeyRing { keys, signing_key })
     }
 
-    /// The key that seals.
+    /// Id of the key that signs.
     pub fn signing_key_id(&self) -> u8 {
         self.signing_key
     }
 
-    /// The numbers of all keys.
+    /// Ids of all keys.
     pub fn ids(&self) -> impl Iterator<Item = u8> + '_ {
         self.keys.keys().copied()
     }
 
     fn mac(&self, key: u8) -> Option<Hmac<Sha256>> {
-        // HMAC takes a key of any length.
+        // Cannot fail, since HMAC accepts keys of any length.
         Hmac::new_from_slice(self.keys.get(&key)?).ok()
     }
 
-    /// Adds the seal to a datagram that names the sealing key.
+    /// Appends the authentication tag to a datagram that names the signing key.
     pub fn sign(&self, mut bytes: Vec<u8>) -> Vec<u8> {
         if let Some(mut mac) = self.mac(self.signing_key) {
             mac.update(&bytes);
@@ -119,7 +124,7 @@
         bytes
     }
 
-    /// Whether a datagram was signed with that key; compared in the same time wherever a difference is.
+    /// Whether the tag of a datagram is valid for this key. The comparison takes constant time.
     pub fn verify(&self, key: u8, bytes: &[u8]) -> bool {
         let Some(mut mac) = self.mac(key) else { return false };
         let Some((body, tag)) = bytes.split_last_chunk::<TAG_BYTES>() else { return false };
@@ -146,7 +151,7 @@
     }
 
     #[test]
-    fn a_key_is_replaced_in_three_steps_and_peers_understand_each_other_in_each() {
+    fn key_rotation_keeps_peers_compatible_at_each_step() {
         let steps = [
             key_ring(&[(1, 'a', true)]),
             key_ring(&[(1, 'a', true), (2, 'b', false)]),
@@ -160,12 +165,12 @@
                 assert!(to.verify(from.signing_key_id(), &signed));
             }
         }
-        // A key that was taken away opens nothing any more.
+        // A removed key no longer verifies.
         assert!(!steps[3].verify(1, &steps[0].sign(b"hello".to_vec())));
     }
 
     #[test]
-    fn one_flipped_bit_anywhere_or_another_key_of_that_number_does_not_open() {
+    fn a_flipped_bit_or_another_key_with_the_same_id_fails_verification() {
         let r = key_ring(&[(1, 'a', true)]).unwrap();
         let signed = r.sign(b"some words".to_vec());
         for bit in 0..signed.len() * 8 {
@@ -178,7 +183,7 @@
     }
 
     #[test]
-    fn faults_are_named_and_no_secret_is_shown() {
+    fn errors_name_the_fault_and_never_show_a_secret() {
         assert_eq!(key_ring(&[(1, 'a', false)]), Err(KeyError::SigningKeyCount(0)));
         assert_eq!(key_ring(&[(1, 'a', true), (2, 'b', true)]), Err(KeyError::SigningKeyCount(2)));
         assert_eq!(key_ring(&[(1, 'a', true), (1, 'b', false)]), Err(KeyError::DuplicateId(1)));
--- a/crates/gossip/src/evidence.rs
+++ b/crates/gossip/src/evidence.rs
@@ -1,49 +1,49 @@
-//! What instances measure of exchanges. It is evidence and no verdict: each instance draws its own conclusions
-//! ([`crate::exchange_suspicion`]).
+//! Measurements of exchanges by the instances of the group. They are evidence only: each instance decides by itself
+//! which exchanges it suspects ([`crate::exchange_suspicion`]).
 //!
-//! Evidence is taken only from whoever measured it. All keys are the group's, so that what is passed on for another
-//! could be made up, and one liar would count as many; what a sender says in its own name counts as one.
+//! Evidence is accepted only from the instance that measured it. All instances share the same keys, so evidence that is
+//! relayed for others could be fabricated, and one liar would count as many; a sender's own evidence counts once.
 
 use crate::wire::Incarnation;
 use crate::{Exchange, MemberId, Micros, MILLI, SECOND};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Counts are of so many last seconds.
+/// Length of the measurement window in seconds.
 pub const WINDOW_SECONDS: usize = 5;
-/// Evidence older than this says nothing (µs): a processor that hangs is restarted, or off the list, within seconds,
-/// and what it did before then is history.
+/// Lifetime of evidence (µs): a hung processor is restarted or taken off the list within seconds, so older evidence
+/// says nothing about its present state.
 pub const EVIDENCE_LIFETIME: Micros = 4 * SECOND;
-/// Reports held at most. Guards memory: a thousand members with four exchanges each in trouble.
+/// Maximum number of stored reports. Bounds memory: a thousand members that report four faulty exchanges each.
 pub const MAX_REPORTS: usize = 4096;
-/// Exchanges metered at most.
+/// Maximum number of measured exchanges.
 pub const MAX_METERS: usize = 512;
 
-/// What one instance measured of one exchange.
+/// Measurements of one exchange by one instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Evidence {
-    /// Rises with time within a life: the unit is 20 ms, and it comes round after 2.7 years.
+    /// Version; increases with time within a run, in units of 20 ms, and wraps after 2.7 years.
     pub version: u32,
-    /// Set-ups sent in the last seconds.
+    /// Set-ups sent within the window.
     pub sent: u16,
-    /// Set-ups that stood.
+    /// Set-ups answered with an established call.
     pub answered: u16,
-    /// Set-ups given up without an answer, or out for longer than they usually are with nothing heard since.
+    /// Set-ups that timed out, or are outstanding while the exchange has been silent for unusually long.
     pub unanswered: u16,
-    /// Set-ups that were turned away: the exchange works.
+    /// Set-ups that were refused; a refusal shows that the exchange works.
     pub refused: u16,
-    /// For how long nothing was heard of the exchange though a set-up is out (ms); 0: something was.
+    /// Time since the last response while a set-up is outstanding (ms); 0 if it is not unusually long.
     pub silence_ms: u16,
-    /// How long 90 of 100 set-ups take (ms).
+    /// Typical set-up time (ms), about the 90th percentile.
     pub typical_ms: u16,
-    /// How old it was when it was sent (in 20 ms; 255: that or more).
+    /// Age at the time of sending, in units of 20 ms; 255 stands for 255 units or more.
     pub age: u8,
 }
 
 impl Evidence {
-    /// Bytes on the wire.
+    /// Encoded length.
     pub const BYTES: usize = 17;
 
-    /// Its bytes.
+    /// Encodes the measurements.
     pub fn encode(&self) -> [u8; Evidence::BYTES] {
         let mut out = [0; Evidence::BYTES];
         out[..4].copy_from_slice(&self.version.to_be_bytes());
@@ -56,7 +56,7 @@
         out
     }
 
-    /// Reads its bytes; any bytes are evidence of something.
+    /// Decodes the measurements; every byte sequence is valid.
     pub fn decode(bytes: [u8; Evidence::BYTES]) -> Evidence {
         let at = |i: usize| u16::from_be_bytes([bytes[i], bytes[i + 1]]);
         Evidence {
@@ -71,10 +71,10 @@
         }
     }
 
-    /// Whether it speaks against the exchange, and how strongly, from 0 to 1: one unanswered set-up is half a proof
-    /// that the exchange hangs, each further one half of what is missing.
+    /// Strength of the accusation, from 0 (none) to 1: the first unanswered set-up counts one half, and each further
+    /// one half of the remainder.
     pub fn accusation_strength(&self) -> f64 {
-        let silent = self.silence_ms >= accusing_silence(self.typical_ms) && self.unanswered > 0;
+        let silent = self.silence_ms >= accusing_silence_ms(self.typical_ms) && self.unanswered > 0;
         let lost = self.unanswered >= 3 && 5 * u32::from(self.unanswered) >= 3 * u32::from(self.sent);
         match silent || (lost && self.answered == 0) {
             true => 1.0 - 0.5f64.powi(i32::from(self.unanswered.min(30))),
@@ -82,15 +82,15 @@
         }
     }
 
-    /// Whether it speaks for the exchange: it was heard of, and nothing waits in vain.
+    /// Whether the exchange has responded recently and no set-up waits unusually long.
     pub fn vouches(&self) -> bool {
         self.silence_ms == 0 && self.answered + self.refused > 0 && self.accusation_strength() == 0.0
     }
 }
 
-/// Silence from which on an exchange is accused (ms): four times what set-ups usually take, since a queue doubles and
-/// doubles again without anything being wrong, and no less than what a network's hiccup lasts.
-pub fn accusing_silence(typical_ms: u16) -> u16 {
+/// Silence from which an exchange is accused (ms): four times the typical set-up time, since a queue may double twice
+/// in normal operation, but at least the length of a short network interruption.
+pub fn accusing_silence_ms(typical_ms: u16) -> u16 {
     typical_ms.saturating_mul(4).clamp(150, 1000)
 }
 
@@ -105,15 +105,15 @@
     refused: u16,
 }
 
-/// What this instance measures of one exchange.
+/// Measurements of one exchange by this instance.
 #[derive(Debug, Default)]
 pub struct Meter {
-    /// Set-ups that are out, by their calls, oldest first.
+    /// Outstanding set-ups by call id, with the time of sending.
     outstanding: BTreeMap<u64, Micros>,
     seconds: VecDeque<Second>,
-    /// When the exchange was last heard of.
+    /// Time of the last response.
     pub last_response: Option<Micros>,
-    /// When a set-up was last answered with a call that stands.
+    /// Time of the last set-up that was answered with an established call.
     pub last_established: Option<Micros>,
     mean_setup_time: f64,
     mean_deviation: f64,
@@ -133,18 +133,18 @@
         &mut self.seconds[last]
     }
 
-    /// A set-up left.
+    /// Records a set-up.
     pub fn set_up_sent(&mut self, now: Micros, call: u64) {
         self.second(now).sent += 1;
         self.outstanding.insert(call, now);
     }
 
-    /// It stood, after so long.
+    /// Records an answer with an established call, and its set-up time.
     pub fn set_up_answered(&mut self, now: Micros, call: u64, setup_time: Micros) {
         self.outstanding.remove(&call);
         self.second(now).answered += 1;
         (self.last_response, self.last_established) = (Some(now), Some(now));
-        // Mean and mean deviation, smoothed as round-trip times are (RFC 6298).
+        // Smoothed mean and mean deviation, as for round-trip times in RFC 6298.
         let setup_time = setup_time as f64;
         if self.mean_setup_time == 0.0 {
             (self.mean_setup_time, self.mean_deviation) = (setup_time, setup_time / 2.0);
@@ -154,20 +154,20 @@
         }
     }
 
-    /// It was turned away, or met a fault: the exchange works.
+    /// Records a refusal or a fault; both show that the exchange works.
     pub fn set_up_refused(&mut self, now: Micros, call: u64) {
         self.outstanding.remove(&call);
         self.second(now).refused += 1;
         self.last_response = Some(now);
     }
 
-    /// It was given up without an answer.
+    /// Records a set-up that timed out.
     pub fn set_up_timed_out(&mut self, now: Micros, call: u64) {
         self.outstanding.remove(&call);
         self.second(now).timed_out += 1;
     }
 
-    /// Its caller left: that says nothing of the exchange.
+    /// Records a set-up that its caller abandoned, which says nothing about the exchange.
     pub fn set_up_abandoned(&mut self, call: u64) {
         self.outstanding.remove(&call);
     }
@@ -176,13 +176,13 @@
         ((self.mean_setup_time + 1.5 * self.mean_deviation) / MILLI as f64).clamp(0.0, 60_000.0) as u16
     }
 
-    /// For how long nothing was heard though a set-up is out.
+    /// Time since the last response or the oldest outstanding set-up, whichever is later; 0 if none is outstanding.
     pub fn silence(&self, now: Micros) -> Micros {
         let oldest = self.outstanding.values().min();
         oldest.map_or(0, |sent| now - (*sent).max(self.last_response.unwrap_or(*sent)))
     }
 
-    /// What it measured as of now.
+    /// The measurements as of now.
     pub fn measure(&self, now: Micros) -> Evidence {
         let second = now.div_euclid(SECOND);
         let version = now.div_euclid(20 * MILLI) as u32;
@@ -194,7 +194,7 @@
             e.refused = e.refused.saturating_add(s.refused);
         }
         let silence_ms = (self.silence(now) / MILLI).clamp(0, 60_000) as u16;
-        if silence_ms >= accusing_silence(e.typical_ms) {
+        if silence_ms >= accusing_silence_ms(e.typical_ms) {
             e.silence_ms = silence_ms;
             let last_response = self.last_response.unwrap_or(Micros::MIN);
             let since = self.outstanding.values().filter(|sent| **sent >= last_response).count();
@@ -203,15 +203,17 @@
         e
     }
 
-    /// What is to be told now, if it is worth telling: an accusation as soon as it is one and each quarter of a
-    /// second, its end, and else the state once in two seconds where there is traffic.
+    /// Returns a report if one is due, and whether it is urgent. Accusations are reported at once and repeated every
+    /// quarter of a second, their end is reported at once, and other measurements every two seconds while there is
+    /// traffic.
     pub fn report(&mut self, now: Micros) -> Option<(Evidence, bool)> {
         let e = self.measure(now);
         let accuses = e.accusation_strength() > 0.0;
-        let before = self.last_report.map(|(t, at)| (t.accusation_strength() > 0.0, now - at));
-        let urgent = accuses && before.is_none_or(|(was, age)| !was || age >= SECOND / 4);
-        let cleared = !accuses && before.is_some_and(|(was, _)| was);
-        let periodic = e.sent > 0 && before.is_none_or(|(_, age)| age >= 2 * SECOND);
+        let previous =
+            self.last_report.map(|(evidence, at)| (evidence.accusation_strength() > 0.0, now - at));
+        let urgent = accuses && previous.is_none_or(|(was, age)| !was || age >= SECOND / 4);
+        let cleared = !accuses && previous.is_some_and(|(was, _)| was);
+        let periodic = e.sent > 0 && previous.is_none_or(|(_, age)| age >= 2 * SECOND);
         if !(urgent || cleared || periodic) {
             return None;
         }
@@ -219,7 +221,7 @@
         Some((e, urgent || cleared))
     }
 
-    /// Whether something of it must be looked at again soon.
+    /// Whether the meter must be evaluated again soon.
     pub fn needs_evaluation(&self) -> bool {
         !self.outstanding.is_empty() || self.last_report.is_some_and(|t| t.0.accusation_strength() > 0.0)
     }
@@ -229,14 +231,14 @@
     }
 }
 
-/// What this instance measures of all exchanges.
+/// Measurements of all exchanges by this instance.
 #[derive(Debug, Default)]
 pub struct Meters {
     all: BTreeMap<Exchange, Meter>,
 }
 
 impl Meters {
-    /// The meter of an exchange; `None` if there are too many.
+    /// The meter of an exchange, created if needed; `None` if the limit is reached.
     pub fn get_or_create(&mut self, now: Micros, exchange: Exchange) -> Option<&mut Meter> {
         if !self.all.contains_key(&exchange) && self.all.len() >= MAX_METERS {
             self.all.retain(|_, m| !m.idle(now));
@@ -247,37 +249,37 @@
         Some(self.all.entry(exchange).or_default())
     }
 
-    /// The meter of an exchange, if there is one.
+    /// The existing meter of an exchange.
     pub fn get(&self, exchange: Exchange) -> Option<&Meter> {
         self.all.get(&exchange)
     }
 
-    /// All of them.
+    /// Iterates over all meters.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (Exchange, &mut Meter)> {
         self.all.iter_mut().map(|(e, m)| (*e, m))
     }
 
-    /// Whether something must be looked at again soon.
+    /// Whether any meter must be evaluated again soon.
     pub fn need_evaluation(&self) -> bool {
         self.all.values().any(Meter::needs_evaluation)
     }
 
-    /// The exchanges that are metered.
+    /// The measured exchanges.
     pub fn exchanges(&self) -> impl Iterator<Item = Exchange> + '_ {
         self.all.keys().copied()
     }
 }
 
-// ---- Others' reports ----
+// ---- Reports of other instances ----
 
-/// A report, with when it was measured by this instance's clock.
+/// Measurements received from another instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Report {
-    /// The reporter's incarnation.
+    /// Incarnation of the reporter.
     pub incarnation: Incarnation,
-    /// What it measured. The age counts in no comparison: the same report may come twice.
+    /// The measurements. Comparisons ignore the age, since the same report may arrive twice with different ages.
     pub evidence: Evidence,
-    /// When, by this instance's clock.
+    /// Time of measurement by the own clock.
     pub measured: Micros,
 }
 
@@ -287,15 +289,15 @@
     }
 }
 
-/// What others reported. Of two reports by the same instance on the same exchange the later counts; of two that claim
-/// to be the same and are not, always the same one. So it does not matter in which order, or how often, they come.
+/// Reports of other instances. Of two reports by one instance on one exchange the later wins; for equal versions with
+/// different contents the choice is deterministic. Merging therefore does not depend on order or repetition.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Reports {
     all: BTreeMap<(Exchange, MemberId), Report>,
 }
 
 impl Reports {
-    /// Takes a report. Whether it is news.
+    /// Merges a report; returns whether it was newer than the stored one.
     pub fn merge(&mut self, exchange: Exchange, from: MemberId, report: Report) -> bool {
         let known = self.all.get(&(exchange, from));
         if known.is_some_and(|k| k.rank() >= report.rank()) {
@@ -309,36 +311,36 @@
         true
     }
 
-    /// Takes all of another's.
+    /// Merges all reports of another store.
     pub fn merge_all(&mut self, other: &Reports) {
         for (&(exchange, from), &report) in &other.all {
             self.merge(exchange, from, report);
         }
     }
 
-    /// The fresh reports on an exchange.
+    /// The unexpired reports on an exchange.
     pub fn fresh(&self, now: Micros, exchange: Exchange) -> impl Iterator<Item = (MemberId, &Report)> + '_ {
         let range = (exchange, MemberId(0))..=(exchange, MemberId(u64::MAX));
         let unexpired = move |r: &(&(Exchange, MemberId), &Report)| now - r.1.measured < EVIDENCE_LIFETIME;
         self.all.range(range).filter(unexpired).map(|(key, r)| (key.1, r))
     }
 
-    /// Drops what is too old, and what was said by those who are gone.
+    /// Removes expired reports and those of inactive members.
     pub fn expire(&mut self, now: Micros, is_active: impl Fn(MemberId) -> bool) {
         self.all.retain(|key, r| now - r.measured < EVIDENCE_LIFETIME && is_active(key.1));
     }
 
-    /// The exchanges that are reported on.
+    /// The exchanges with reports.
     pub fn exchanges(&self) -> std::collections::BTreeSet<Exchange> {
         self.all.keys().map(|k| k.0).collect()
     }
 
-    /// How many there are.
+    /// Number of reports.
     pub fn len(&self) -> usize {
         self.all.len()
     }
 
-    /// Whether there is none.
+    /// Whether there are no reports.
     pub fn is_empty(&self) -> bool {
         self.all.is_empty()
     }
@@ -349,7 +351,7 @@
     use super::*;
 
     #[test]
-    fn a_meter_accuses_what_is_silent_and_not_what_is_slow_or_refuses() {
+    fn a_meter_accuses_silent_exchanges_but_not_slow_or_refusing_ones() {
         let mut m = Meter::default();
         let mut now = SECOND;
         for call in 0..50 {
@@ -365,10 +367,12 @@
         assert!((e.accusation_strength() - 0.75).abs() < 1e-9 && e.unanswered == 2, "{e:?}");
         let (told, urgent) = m.report(now + 200 * MILLI).unwrap();
         assert!(urgent && told == e && m.report(now + 210 * MILLI).is_none());
-        // A refusal is a sign of life, and the relief is told at once.
+        // A refusal is a response, and the end of the accusation is reported at once.
         m.set_up_refused(now + 220 * MILLI, 100);
-        assert!(m.report(now + 220 * MILLI).is_some_and(|(e, urgent)| urgent && e.accusation_strength() == 0.0));
-        // Slow, but it goes on answering.
+        assert!(m
+            .report(now + 220 * MILLI)
+            .is_some_and(|(e, urgent)| urgent && e.accusation_strength() == 0.0));
+        // Slow, but responding.
         for call in 200..260 {
             m.set_up_sent(now, call);
             m.set_up_answered(now, call - 10, 400 * MILLI);
@@ -378,7 +382,7 @@
     }
 
     #[test]
-    fn memory_is_bounded_whatever_is_called_or_heard() {
+    fn meters_and_reports_are_bounded() {
         let mut meters = Meters::default();
         for n in 0..60_000 {
             if let Some(m) = meters.get_or_create(SECOND, Exchange(n)) {
--- a/crates/gossip/src/exchange_suspicion.rs
+++ b/crates/gossip/src/exchange_suspicion.rs
@@ -1,55 +1,56 @@
-//! What this instance makes of its own evidence and of others': one statement for each exchange, that it is suspected
-//! of taking set-ups and answering none, or not.
+//! Suspicions of exchanges: from its own measurements and the reports of others, this instance decides whether an
+//! exchange is suspected of accepting set-ups without answering them.
 //!
-//! A suspicion is never more than that: the module narrows what it sends there to one set-up at a time and passes the
-//! exchange by as a tandem where another serves. So each bound below limits what a liar can cost, and none rests on
-//! nobody's lying.
+//! A suspicion has limited effect: the decision module sends a suspected exchange one set-up at a time and avoids it as
+//! a tandem where another one serves. The rules below limit the damage that a lying instance can do; none of them
+//! relies on every instance being honest.
 //!
-//! - **Own evidence comes first.** An answer that this instance heard after the accusers' silence began ends the
-//!   suspicion at once, whatever is said: nothing that hangs answers.
-//! - **A quorum.** Two instances at the least must accuse, and their weights must reach [`QUORUM`] and exceed those who
-//!   vouch. One instance alone may have a faulty link, or lie.
-//! - **Influence is capped.** No accuser counts for more than 1, however many set-ups it claims to have lost.
-//! - **Records.** An accuser is weighed by what it said before against what this instance saw later. A wrong
-//!   accusation counts four times a right one, and no record of right ones is worth more than [`MAX_CONFIRMED`] of them, so
-//!   that a long truth buys few lies. Records decay by half in [`HALF_LIFE`], so that a mended link is believed again.
-//! - **A share.** No more than a quarter of the exchanges, and one at the least, are suspected on others' word at a
-//!   time: more than the tenth or so that were ever seen to hang at once, and far less than what a site can do without.
-//! - **An end.** Evidence expires after seconds, and a suspicion with it.
+//! - **Own measurements first.** An answer received after the accusers' silence began clears the suspicion at once,
+//!   whatever is reported: a hung exchange does not answer.
+//! - **Quorum.** At least two instances must accuse; their total weight must reach [`QUORUM`] and exceed the weight of
+//!   those that vouch for the exchange. A single instance may have a faulty link, or lie.
+//! - **Capped influence.** No accuser has a weight above 1, however many lost set-ups it claims.
+//! - **Reputation.** Accusers are weighted by comparing their earlier accusations with what this instance measured
+//!   afterwards. A false accusation counts four times a confirmed one, and at most [`MAX_CONFIRMED`] confirmed ones are
+//!   credited, so that a long honest history buys few lies. Reputations decay with [`HALF_LIFE`], so that an instance
+//!   whose link was repaired regains trust.
+//! - **Limited share.** At most a quarter of the exchanges, and at least one, are suspected on reports of others at a
+//!   time: more than the tenth or so that were ever seen to hang at once, and far fewer than a site can do without.
+//! - **Expiry.** Evidence expires after seconds, and the suspicion with it.
 
 use crate::evidence::{Meters, Report, Reports};
 use crate::{Exchange, MemberId, Micros, MILLI, SECOND};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The weight that accusers must reach together: two who lost several set-ups each, or three who lost one and have no
-/// record yet.
+/// Total weight that the accusers must reach: two that lost several set-ups each, or three without a reputation that
+/// lost one each.
 pub const QUORUM: f64 = 1.0;
-/// A suspicion goes on while there is this share of the quorum: it must not come and go with each report.
+/// Share of the quorum that keeps an existing suspicion. The hysteresis prevents flapping with each report.
 const KEEP_SHARE: f64 = 0.5;
-/// Distinct accusers at the least, this instance among them.
+/// Minimum number of distinct accusers, including this instance.
 const MIN_ACCUSERS: usize = 2;
-/// Share of exchanges that may be suspected on others' word.
+/// Share of the exchanges that may be suspected on reports of others.
 pub const MAX_SUSPECTED_SHARE: f64 = 0.25;
-/// Right accusations that a record may hold.
+/// Maximum credit of confirmed accusations in a reputation.
 pub const MAX_CONFIRMED: f64 = 20.0;
-/// What a wrong accusation counts, in right ones.
+/// Weight of a false accusation, in confirmed ones.
 const FALSE_WEIGHT: f64 = 4.0;
-/// A record is worth half after this (µs).
+/// Half-life of a reputation (µs).
 pub const HALF_LIFE: Micros = 600 * SECOND;
-/// An accusation that this instance could not check within this time is no part of a record (µs).
+/// Time within which an accusation must be verified to count for the reputation (µs).
 const VERIFICATION_TIMEOUT: Micros = 3 * SECOND;
-/// Tests are remembered for so long (µs), so that one silence is not held against its accuser twice.
+/// Time for which a verification is remembered (µs), so that the same silence is not counted twice for its accuser.
 const VERIFICATION_LIFETIME: Micros = 60 * SECOND;
-/// Tests remembered.
+/// Maximum number of remembered verifications.
 const MAX_VERIFICATIONS: usize = 4096;
-/// Times of other instances are known to about this (µs): what messages take, and the unit of ages.
+/// Uncertainty of other instances' times (µs): the transfer time of messages and the unit of ages.
 const TIME_UNCERTAINTY: Micros = 60 * MILLI;
-/// After an own answer an exchange is not suspected anew for this long, unless this instance itself misses answers (µs).
+/// Time after an own answer in which no new suspicion starts, unless this instance misses answers itself (µs).
 const ANSWER_GRACE: Micros = 300 * MILLI;
-/// Records kept.
+/// Maximum number of reputations.
 const MAX_REPUTATIONS: usize = 2048;
 
-/// What an accuser's word was worth.
+/// Reputation of an accuser.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Reputation {
     confirmed: f64,
@@ -72,59 +73,59 @@
         }
     }
 
-    /// From 0 to 1; two thirds without a record.
+    /// Trust in the accuser, from 0 to 1; two thirds without history.
     pub fn trust(&self) -> f64 {
         (self.confirmed + 2.0) / (self.confirmed + FALSE_WEIGHT * self.refuted + 3.0)
     }
 }
 
-/// A suspicion.
+/// Suspicion of an exchange.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Suspicion {
-    /// Since when.
+    /// Start of the suspicion.
     pub since: Micros,
-    /// The accusers' weight.
+    /// Total weight of the accusers, including this instance.
     pub weight: f64,
-    /// The weight of those who vouch.
+    /// Total trust in the instances that vouch for the exchange.
     pub opposing_weight: f64,
-    /// Who accuses, this instance left out.
+    /// Accusers other than this instance.
     pub accusers: Vec<MemberId>,
-    /// Whether this instance itself misses answers.
+    /// Whether this instance misses answers itself.
     pub observed_locally: bool,
 }
 
-/// Why a suspicion ended.
+/// Reason why a suspicion ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndReason {
-    /// This instance heard an answer.
+    /// This instance received an answer from the exchange.
     Answered,
-    /// Too little speaks for it any more.
+    /// The remaining evidence is insufficient.
     InsufficientEvidence,
-    /// A graver one took its place in the share.
+    /// A suspicion with more weight took its place within the share.
     Displaced,
 }
 
-/// What changed.
+/// Change of a suspicion or of a reputation.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// An exchange is suspected.
+    /// An exchange became suspected.
     Suspected(Exchange, Suspicion),
-    /// It is no more.
+    /// An exchange is no longer suspected.
     Cleared(Exchange, EndReason),
-    /// What an accuser's word is worth now.
+    /// An accusation was verified: the accuser, the exchange, whether it was confirmed, and the new trust.
     TrustUpdated(MemberId, Exchange, bool, f64),
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Verification {
-    /// The accuser's silence began then.
+    /// Start of the silence that was reported.
     silence_start: Micros,
-    /// The accusation came then.
+    /// Arrival of the accusation.
     received: Micros,
     done: bool,
 }
 
-/// All statements.
+/// The suspicions of exchanges and the reputations of accusers.
 #[derive(Debug, Default)]
 pub struct ExchangeSuspicions {
     suspicions: BTreeMap<Exchange, Suspicion>,
@@ -132,56 +133,63 @@
     verifications: BTreeMap<(MemberId, Exchange), Verification>,
 }
 
-/// When the silence that a report tells of began.
-fn silence_start(r: &Report) -> Micros {
-    r.measured - Micros::from(r.evidence.silence_ms) * MILLI
+/// Start of the silence described by a report, by the own clock.
+fn silence_start(report: &Report) -> Micros {
+    report.measured - Micros::from(report.evidence.silence_ms) * MILLI
 }
 
 impl ExchangeSuspicions {
-    /// The suspicions that are held.
+    /// Iterates over the current suspicions.
     pub fn suspicions(&self) -> impl Iterator<Item = (Exchange, &Suspicion)> {
         self.suspicions.iter().map(|(e, s)| (*e, s))
     }
 
-    /// The exchanges that are suspected.
+    /// The suspected exchanges.
     pub fn suspected(&self) -> BTreeSet<Exchange> {
         self.suspicions.keys().copied().collect()
     }
 
-    /// What an accuser's word is worth.
+    /// Trust in the accusations of a member.
     pub fn trust(&self, id: MemberId) -> f64 {
         self.reputations.get(&id).copied().unwrap_or_default().trust()
     }
 
-    /// This instance heard an answer of an exchange: a suspicion ends at once.
+    /// Clears the suspicion of an exchange that answered this instance.
     pub fn clear(&mut self, exchange: Exchange) -> Option<Change> {
         self.suspicions.remove(&exchange).map(|_| Change::Cleared(exchange, EndReason::Answered))
     }
 
-    /// Draws its conclusions anew. `exchanges`: how many there are.
-    pub fn evaluate(&mut self, now: Micros, meters: &Meters, reports: &Reports, exchanges: usize) -> Vec<Change> {
+    /// Re-evaluates all suspicions. `exchanges` is the number of exchanges.
+    pub fn evaluate(
+        &mut self,
+        now: Micros,
+        meters: &Meters,
+        reports: &Reports,
+        exchanges: usize,
+    ) -> Vec<Change> {
         let mut changes = Vec::new();
         self.verify_accusations(now, meters, reports, &mut changes);
         let mut candidates: Vec<(Exchange, Suspicion)> = Vec::new();
-        let named: BTreeSet<Exchange> =
+        let reported: BTreeSet<Exchange> =
             reports.exchanges().into_iter().chain(self.suspicions.keys().copied()).collect();
-        for exchange in named {
+        for exchange in reported {
             if let Some(s) = self.weigh(now, exchange, meters, reports) {
                 candidates.push((exchange, s));
             }
         }
-        // The gravest come first; what is held already goes before what is new at equal weight.
+        // By descending weight; existing suspicions get a bonus of 0.1, so that equal ones do not displace them.
         candidates.sort_by(|a, b| {
-            let held = |c: &(Exchange, Suspicion)| u8::from(self.suspicions.contains_key(&c.0));
-            (b.1.weight + f64::from(held(b)) * 0.1).total_cmp(&(a.1.weight + f64::from(held(a)) * 0.1))
+            let bonus = |c: &(Exchange, Suspicion)| u8::from(self.suspicions.contains_key(&c.0));
+            (b.1.weight + f64::from(bonus(b)) * 0.1).total_cmp(&(a.1.weight + f64::from(bonus(a)) * 0.1))
         });
         let limit = ((exchanges as f64 * MAX_SUSPECTED_SHARE) as usize).max(1);
         let kept: BTreeMap<Exchange, Suspicion> = candidates.iter().take(limit).cloned().collect();
-        let held: Vec<Exchange> = self.suspicions.keys().copied().collect();
-        for exchange in held.into_iter().filter(|e| !kept.contains_key(e)) {
+        let existing: Vec<Exchange> = self.suspicions.keys().copied().collect();
+        for exchange in existing.into_iter().filter(|e| !kept.contains_key(e)) {
             let displaced = candidates.iter().any(|c| c.0 == exchange);
             self.suspicions.remove(&exchange);
-            let answered = meters.get(exchange).and_then(|m| m.last_response).is_some_and(|h| now - h < ANSWER_GRACE);
+            let answered =
+                meters.get(exchange).and_then(|m| m.last_response).is_some_and(|h| now - h < ANSWER_GRACE);
             let end = if displaced {
                 EndReason::Displaced
             } else if answered {
@@ -200,7 +208,7 @@
         changes
     }
 
-    /// What speaks for and against an exchange, and whether that is enough.
+    /// Weighs the evidence on one exchange; returns a suspicion if it suffices.
     fn weigh(
         &self,
         now: Micros,
@@ -208,61 +216,82 @@
         meters: &Meters,
         reports: &Reports,
     ) -> Option<Suspicion> {
-        let held = self.suspicions.get(&exchange);
+        let existing = self.suspicions.get(&exchange);
         let meter = meters.get(exchange);
         let own = meter.map_or(0.0, |m| m.measure(now).accusation_strength());
         let (mut weight, mut opposing_weight, mut accusers, mut starts) = (own, 0.0, Vec::new(), Vec::new());
-        for (id, r) in reports.fresh(now, exchange) {
-            let strength = r.evidence.accusation_strength();
+        for (id, report) in reports.fresh(now, exchange) {
+            let strength = report.evidence.accusation_strength();
             if strength > 0.0 {
                 weight += self.trust(id) * strength.min(1.0);
                 accusers.push(id);
-                starts.push(silence_start(r));
-            } else if r.evidence.vouches() && now - r.measured < SECOND {
-                // One who heard an answer a while ago tells nothing of now.
+                starts.push(silence_start(report));
+            } else if report.evidence.vouches() && now - report.measured < SECOND {
+                // An answer received longer ago says nothing about the present state.
                 opposing_weight += self.trust(id);
             }
         }
         starts.sort_unstable();
         if let Some(&start) = starts.get(starts.len() / 2) {
             let last_response = meter.and_then(|m| m.last_response);
-            let after = last_response.is_some_and(|h| h > start + TIME_UNCERTAINTY);
-            let recent = last_response.is_some_and(|h| now - h < ANSWER_GRACE) && own == 0.0 && held.is_none();
-            if after || recent {
+            let answered_since = last_response.is_some_and(|h| h > start + TIME_UNCERTAINTY);
+            let recently_answered =
+                last_response.is_some_and(|h| now - h < ANSWER_GRACE) && own == 0.0 && existing.is_none();
+            if answered_since || recently_answered {
                 return None;
             }
         }
-        let required = if held.is_some() { QUORUM * KEEP_SHARE } else { QUORUM };
+        let required = if existing.is_some() { QUORUM * KEEP_SHARE } else { QUORUM };
         let enough_accusers = accusers.len() + usize::from(own > 0.0) >= MIN_ACCUSERS;
-        // What this instance alone sees is the module's own business: it has its own guard against silence.
-        (enough_accusers && !accusers.is_empty() && weight >= required && weight > opposing_weight).then(|| Suspicion {
-            since: held.map_or(now, |h| h.since),
-            weight,
-            opposing_weight,
-            accusers,
-            observed_locally: own > 0.0,
-        })
+        // Without other accusers no suspicion is needed: the decision module detects its own missing answers.
+        (enough_accusers && !accusers.is_empty() && weight >= required && weight > opposing_weight).then(
+            || Suspicion {
+                since: existing.map_or(now, |s| s.since),
+                weight,
+                opposing_weight,
+                accusers,
+                observed_locally: own > 0.0,
+            },
+        )
     }
 
-    /// Puts accusations to the test of what this instance sees itself.
-    fn verify_accusations(&mut self, now: Micros, meters: &Meters, reports: &Reports, changes: &mut Vec<Change>) {
+    /// Verifies accusations against the measurements of this instance.
+    fn verify_accusations(
+        &mut self,
+        now: Micros,
+        meters: &Meters,
+        reports: &Reports,
+        changes: &mut Vec<Change>,
+    ) {
         for exchange in reports.exchanges() {
-            for (id, r) in reports.fresh(now, exchange).filter(|r| r.1.evidence.accusation_strength() > 0.0) {
-                // The same silence is put to the test once, however often it is told.
-                let is_new = self.verifications.get(&(id, exchange)).is_none_or(|t| silence_start(r) > t.received - TIME_UNCERTAINTY);
+            for (id, report) in
+                reports.fresh(now, exchange).filter(|r| r.1.evidence.accusation_strength() > 0.0)
+            {
+                // Each silence is verified once, however often it is reported.
+                let is_new = self
+                    .verifications
+                    .get(&(id, exchange))
+                    .is_none_or(|t| silence_start(report) > t.received - TIME_UNCERTAINTY);
                 if is_new && self.verifications.len() < MAX_VERIFICATIONS {
-                    self.verifications.insert((id, exchange), Verification { silence_start: silence_start(r), received: now, done: false });
+                    self.verifications.insert(
+                        (id, exchange),
+                        Verification { silence_start: silence_start(report), received: now, done: false },
+                    );
                 }
             }
         }
         let mut verdicts = Vec::new();
-        for (&(id, exchange), t) in self.verifications.iter_mut().filter(|t| !t.1.done && now - t.1.received < VERIFICATION_TIMEOUT) {
+        for (&(id, exchange), t) in
+            self.verifications.iter_mut().filter(|t| !t.1.done && now - t.1.received < VERIFICATION_TIMEOUT)
+        {
             let meter = meters.get(exchange);
-            let answered = meter.and_then(|m| m.last_established).is_some_and(|g| g > t.silence_start + TIME_UNCERTAINTY);
+            let answered = meter
+                .and_then(|m| m.last_established)
+                .is_some_and(|g| g > t.silence_start + TIME_UNCERTAINTY);
             let unanswered = meter.is_some_and(|m| m.measure(now).accusation_strength() > 0.0);
             if answered || unanswered {
                 t.done = true;
-                // What this instance misses itself speaks for the accuser, though an answer came since.
+                // Own missing answers confirm the accusation, even if an answer has arrived since.
                 verdicts.push((id, exchange, unanswered));
             }
         }
@@ -287,7 +316,7 @@
 
     const X: Exchange = Exchange(4);
 
-    struct Bench {
+    struct Fixture {
         suspicions: ExchangeSuspicions,
         meters: Meters,
         reports: Reports,
@@ -295,13 +324,14 @@
         version: u32,
     }
 
-    impl Bench {
-        fn new() -> Bench {
-            let (suspicions, meters, reports) = (ExchangeSuspicions::default(), Meters::default(), Reports::default());
-            Bench { suspicions, meters, reports, now: 100 * SECOND, version: 0 }
+    impl Fixture {
+        fn new() -> Fixture {
+            let (suspicions, meters, reports) =
+                (ExchangeSuspicions::default(), Meters::default(), Reports::default());
+            Fixture { suspicions, meters, reports, now: 100 * SECOND, version: 0 }
         }
 
-        fn say(&mut self, from: u64, exchange: Exchange, e: Evidence) {
+        fn report(&mut self, from: u64, exchange: Exchange, e: Evidence) {
             self.version += 1;
             let evidence = Evidence { version: self.version, ..e };
             let report = Report { incarnation: Incarnation(1), evidence, measured: self.now };
@@ -316,14 +346,18 @@
                 typical_ms: 30,
                 ..Evidence::default()
             };
-            self.say(from, exchange, e);
+            self.report(from, exchange, e);
         }
 
         fn vouch(&mut self, from: u64, exchange: Exchange) {
-            self.say(from, exchange, Evidence { sent: 9, answered: 9, typical_ms: 30, ..Evidence::default() });
+            self.report(
+                from,
+                exchange,
+                Evidence { sent: 9, answered: 9, typical_ms: 30, ..Evidence::default() },
+            );
         }
 
-        fn look(&mut self) -> bool {
+        fn evaluate(&mut self) -> bool {
             self.suspicions.evaluate(self.now, &self.meters, &self.reports, 8);
             self.suspicions.suspected().contains(&X)
         }
@@ -336,47 +370,47 @@
     }
 
     #[test]
-    fn one_accuser_is_never_enough_three_without_a_record_are() {
-        let mut b = Bench::new();
+    fn one_accuser_is_not_enough_and_three_without_reputation_are() {
+        let mut b = Fixture::new();
         b.accuse(1, X, 500);
-        assert!(!b.look());
+        assert!(!b.evaluate());
         b.accuse(2, X, 1);
         b.accuse(3, X, 1);
-        assert!(b.look());
+        assert!(b.evaluate());
     }
 
     #[test]
-    fn an_own_answer_after_the_silence_began_ends_it_and_keeps_it_away() {
-        let mut b = Bench::new();
+    fn an_own_answer_after_the_silence_began_clears_the_suspicion() {
+        let mut b = Fixture::new();
         (1..=5).for_each(|n| b.accuse(n, X, 5));
-        assert!(b.look());
+        assert!(b.evaluate());
         b.own_answer(X);
         assert_eq!(b.suspicions.clear(X), Some(Change::Cleared(X, EndReason::Answered)));
-        assert!(!b.look());
+        assert!(!b.evaluate());
         b.now += SECOND;
-        assert!(!b.look(), "the accusers' silence began before it answered");
-        // A silence that began since is another matter.
+        assert!(!b.evaluate(), "the reported silence began before the answer");
+        // A silence that began after the answer counts again.
         b.now += SECOND;
         (1..=5).for_each(|n| b.accuse(n, X, 5));
-        assert!(b.look());
+        assert!(b.evaluate());
     }
 
     #[test]
-    fn it_ends_by_itself_and_those_who_vouch_outweigh_fewer_accusers() {
-        let mut b = Bench::new();
+    fn a_suspicion_expires_and_vouching_members_outweigh_fewer_accusers() {
+        let mut b = Fixture::new();
         (1..=3).for_each(|n| b.accuse(n, X, 3));
-        assert!(b.look());
+        assert!(b.evaluate());
         b.now += crate::evidence::EVIDENCE_LIFETIME;
-        assert!(!b.look());
-        let mut b = Bench::new();
+        assert!(!b.evaluate());
+        let mut b = Fixture::new();
         (1..=2).for_each(|n| b.accuse(n, X, 90));
         (3..=5).for_each(|n| b.vouch(n, X));
-        assert!(!b.look(), "a third that colludes against the rest");
+        assert!(!b.evaluate(), "a colluding minority");
     }
 
     #[test]
-    fn a_liars_word_is_soon_worth_little_however_long_it_told_the_truth() {
-        let mut b = Bench::new();
+    fn false_accusations_soon_reduce_trust_after_a_long_honest_history() {
+        let mut b = Fixture::new();
         for _ in 0..100 {
             b.suspicions.reputations.entry(MemberId(1)).or_default().record(b.now, true);
         }
@@ -387,49 +421,49 @@
             b.accuse(1, X, 50);
             b.now += 100 * MILLI;
             b.own_answer(X);
-            b.look();
+            b.evaluate();
             b.now += SECOND;
         }
         assert!(before > 0.9 && lies <= 6, "{before} {lies}");
-        // Right accusations mend a record, and time does.
+        // The reputation recovers with time.
         let low = b.suspicions.trust(MemberId(1));
         b.suspicions.reputations.get_mut(&MemberId(1)).unwrap().decay(b.now + 10 * HALF_LIFE);
         assert!(b.suspicions.trust(MemberId(1)) > low);
     }
 
     #[test]
-    fn no_more_than_a_share_is_suspected_whoever_accuses_all() {
-        let mut b = Bench::new();
+    fn at_most_a_share_of_the_exchanges_is_suspected() {
+        let mut b = Fixture::new();
         for n in 0..8 {
             (1..=6).for_each(|from| b.accuse(from, Exchange(n), 9));
         }
-        b.look();
+        b.evaluate();
         assert_eq!(b.suspicions.suspected().len(), 2);
         let held = b.suspicions.suspected();
         b.now += 100 * MILLI;
-        b.look();
-        assert_eq!(b.suspicions.suspected(), held, "and it is not others in each turn");
+        b.evaluate();
+        assert_eq!(b.suspicions.suspected(), held, "the selection is stable between evaluations");
     }
 
     #[test]
-    fn praise_does_not_cover_what_this_instance_misses_itself() {
-        let mut b = Bench::new();
+    fn vouching_does_not_outweigh_own_missing_answers() {
+        let mut b = Fixture::new();
         let m = b.meters.get_or_create(b.now, X).unwrap();
         (0..5).for_each(|call| m.set_up_sent(b.now, call));
         b.now += 600 * MILLI;
         b.vouch(1, X);
         b.accuse(2, X, 5);
-        assert!(b.look());
+        assert!(b.evaluate());
     }
 
     #[test]
-    fn a_link_that_fails_one_sender_only_is_not_held_against_the_exchange() {
-        let mut b = Bench::new();
+    fn a_broken_link_of_one_accuser_causes_no_suspicion() {
+        let mut b = Fixture::new();
         for _ in 0..20 {
             b.accuse(1, X, 3);
             (2..=5).for_each(|n| b.vouch(n, X));
             b.now += 500 * MILLI;
-            assert!(!b.look());
+            assert!(!b.evaluate());
         }
     }
 }
--- a/crates/gossip/src/node.rs
+++ b/crates/gossip/src/node.rs
@@ -1,122 +1,122 @@
-//! One instance: members, evidence, belief and the messages between them. Datagrams, time and what happens to set-ups go
-//! in; datagrams, statements about exchanges and news come out.
+//! One gossip instance: its membership list, measurements, suspicions of exchanges and protocol messages. The caller
+//! passes in datagrams, the time and the outcomes of set-ups, and takes out datagrams, suspicions and events.
 
-use crate::exchange_suspicion::{self, ExchangeSuspicions};
-use crate::rate_limit::{TokenBucket, RateLimit, SourceLimiter};
-use crate::evidence::{Meters, Report, Reports};
 use crate::auth::KeyRing;
 use crate::dissemination::{max_transmissions, DisseminationQueue};
-use crate::swim::{self, Members, State, PING_TIMEOUT, INDIRECT_PINGS, PROTOCOL_PERIOD, OVERLOAD_LEVEL};
+use crate::evidence::{Meters, Report, Reports};
+use crate::exchange_suspicion::{self, ExchangeSuspicions};
+use crate::rate_limit::{RateLimit, SourceLimiter, TokenBucket};
 use crate::replay::ReplayWindows;
+use crate::swim::{self, Members, State, INDIRECT_PINGS, OVERLOAD_LEVEL, PING_TIMEOUT, PROTOCOL_PERIOD};
 use crate::wire::{self, Claim, Datagram, Incarnation, Item, Message, Update, DIGEST_BUCKETS, PAYLOAD_BYTES};
 use crate::{Exchange, MemberId, Micros, MILLI, SECOND};
 use ipnet::IpNet;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// While set-ups are out, or others accuse, conclusions are drawn this often (µs).
+/// Interval between evaluations of suspicions while set-ups are outstanding or peers accuse an exchange (µs).
 pub const EVALUATION_INTERVAL: Micros = 50 * MILLI;
-/// Digests are compared every so many periods.
+/// Protocol periods between two digest exchanges.
 const SYNC_PERIODS: u32 = 10;
-/// A dead member, or a seed, is indirect_sent every so many periods.
+/// Protocol periods between two attempts to reach a dead member or a missing seed.
 const RECONNECT_PERIODS: u32 = 5;
-/// What is urgent goes to so many members at once; the rest hear of it with other messages.
+/// Members that an urgent report is sent to directly; the others receive it piggybacked on other messages.
 const URGENT_FANOUT: usize = 12;
-/// A contradiction of what is state of the own instance goes to so many at once.
+/// Members that a refutation of a suspicion of this instance is sent to directly.
 const REFUTATION_FANOUT: usize = 6;
-/// While the own processor is pressed, periods are so many times longer.
+/// Factor by which protocol periods are lengthened while the own processor is overloaded.
 const OVERLOAD_PERIOD_FACTOR: Micros = 4;
-/// Incarnations that lie further ahead than this are nobody's (s): clocks differ, but not by a day.
+/// Incarnations further ahead of the own clock than this are rejected (s): clocks differ, but by less than a day.
 const MAX_CLOCK_SKEW_S: i64 = 86_400;
-/// Questions that wait for an answer at most.
+/// Maximum number of outstanding probes.
 const MAX_PROBES: usize = 256;
-/// Member items in one answer to a digest; what is missing comes with the next one.
+/// Maximum number of member updates in one reply to a digest; the rest follow with the next digest.
 const MAX_SYNC_ITEMS: usize = 64;
 
-/// What an instance is told.
+/// Configuration of a node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
-    /// Its name; no two instances have the same.
+    /// Name of the instance, unique in the group.
     pub name: String,
-    /// Where others reach it.
+    /// Address at which other instances reach this one.
     pub address: SocketAddr,
-    /// Instances that are indirect_sent first.
+    /// Instances contacted first.
     pub seeds: Vec<SocketAddr>,
-    /// Networks that datagrams are taken from.
+    /// Networks from which datagrams are accepted.
     pub allowed: Vec<IpNet>,
-    /// The own exchange.
+    /// Exchange that this instance serves.
     pub own_exchange: Option<Exchange>,
-    /// RateLimit of what is sent.
+    /// Limit of outgoing traffic.
     pub send_limit: RateLimit,
-    /// RateLimit of what is taken in, before it is authenticated.
+    /// Limit of incoming traffic, applied before authentication.
     pub receive_limit: RateLimit,
-    /// The same for each source.
+    /// Limit of incoming traffic from each source address.
     pub source_limit: RateLimit,
 }
 
-/// What is counted.
+/// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Counts {
     /// Datagrams sent.
     pub sent: u64,
-    /// Their bytes.
+    /// Bytes sent.
     pub sent_bytes: u64,
-    /// Datagrams not sent, to keep the ceiling.
+    /// Datagrams not sent because of the rate limit.
     pub held_back: u64,
-    /// Datagrams taken.
+    /// Datagrams accepted.
     pub taken: u64,
-    /// Datagrams from other networks.
+    /// Datagrams from networks that are not allowed.
     pub foreign: u64,
-    /// Datagrams beyond a ceiling.
+    /// Datagrams dropped by a receive limit.
     pub flooded: u64,
-    /// Datagrams that were no datagrams, or of an unknown key.
+    /// Datagrams that could not be decoded.
     pub unusable: u64,
-    /// Datagrams whose seal was wrong.
+    /// Datagrams with an unknown key or a wrong authentication tag.
     pub forged: u64,
-    /// Datagrams that came again.
+    /// Datagrams rejected by the replay window, or with an incarnation too far in the future.
     pub repeated: u64,
-    /// Datagrams of a name that another address has.
+    /// Datagrams and items that contradict a known address or the known owner of an exchange.
     pub conflicts: u64,
-    /// Reports that were too old.
+    /// Reports with the maximum age, 255 units or more.
     pub stale: u64,
-    /// Members found dead.
+    /// Members that became dead in the membership list.
     pub deaths: u64,
-    /// Times that this instance contradicted its own suspicion.
+    /// Suspicions of this instance that it refuted.
     pub contradicted: u64,
 }
 
 /// Event for operators and the log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A member is now this.
+    /// The state of a member changed.
     Member(Update),
-    /// Another instance has this one's name.
+    /// Another instance uses the name of this one.
     NameTaken(SocketAddr),
-    /// Two addresses claim one name.
+    /// A second address claims the name of a member.
     Conflict(MemberId, SocketAddr),
-    /// A change of belief.
+    /// A suspicion of an exchange, or the trust in a member, changed.
     ExchangeSuspicion(exchange_suspicion::Change),
 }
 
-/// What is to be done.
+/// Action that the caller has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Send a datagram.
     Send(SocketAddr, Vec<u8>),
-    /// These exchanges are suspected from now on, and no others.
+    /// The complete set of exchanges that are suspected now.
     Suspected(BTreeSet<Exchange>),
-    /// The member that runs in this exchange has groups with these.
+    /// Exchanges that a member's own exchange has trunk groups with.
     Links {
-        /// Who says so.
+        /// Member that reported them.
         member: MemberId,
-        /// Its exchange.
+        /// Exchange that the member serves.
         own: Exchange,
-        /// The exchange of the first bit.
+        /// Exchange of the first bit.
         from: Exchange,
-        /// The bits.
+        /// One bit for each exchange.
         bits: u64,
     },
-    /// Tell.
+    /// Report an event.
     Event(Event),
 }
 
@@ -124,28 +124,28 @@
 struct Probe {
     target: MemberId,
     address: SocketAddr,
-    /// Others are indirect_sent then.
+    /// Time at which indirect pings are sent.
     indirect_at: Micros,
-    /// It counts as suspect then.
+    /// Time at which the probe fails.
     expires_at: Micros,
     indirect_sent: bool,
     nacks: usize,
     indirect_pings: usize,
-    /// For whom this is indirect_sent, and the number that it indirect_sent under.
+    /// Address of the member that requested this ping, and its nonce.
     requester: Option<(SocketAddr, u16)>,
 }
 
-/// An instance.
+/// A gossip instance.
 #[derive(Debug)]
 pub struct Node {
     config: Config,
     own_id: MemberId,
     key_ring: KeyRing,
-    /// What it knows of the members.
+    /// Membership list.
     pub members: Members,
     replay_windows: ReplayWindows,
     queue: DisseminationQueue,
-    /// What it measures.
+    /// Measurements of the exchanges.
     pub meters: Meters,
     reports: Reports,
     exchange_suspicions: ExchangeSuspicions,
@@ -158,7 +158,7 @@
     next_period: Micros,
     periods: u32,
     next_evaluation: Micros,
-    /// The Unix clock's seconds at the program's time 0, as told at the start.
+    /// Unix time in seconds at time 0 of the program's clock, as known at the start.
     unix_offset: i64,
     load: u8,
     leaving: bool,
@@ -170,7 +170,7 @@
 }
 
 impl Node {
-    /// An instance that begins its life. `unix`: the Unix clock's seconds now.
+    /// Creates a node. `unix` is the current Unix time in seconds.
     pub fn new(now: Micros, unix: i64, config: Config, key_ring: KeyRing, seed: u64) -> Node {
         let own_id = MemberId::of(&config.name);
         let members = Members::new(own_id, config.address, Incarnation::at(unix), seed);
@@ -202,75 +202,78 @@
             outputs: Vec::new(),
             config,
         };
-        // Not all at once when all restart at once.
+        // Random offset, so that instances that start together do not send together.
         node.next_period += Micros::from(node.members.random_below(PROTOCOL_PERIOD as u32 / 2));
         node
     }
 
-    // ---- What may be indirect_sent ----
+    // ---- Accessors ----
 
-    /// Its id.
+    /// Id of this instance.
     pub fn id(&self) -> MemberId {
         self.own_id
     }
 
-    /// What it believes.
+    /// Suspicions of exchanges and the trust in members.
     pub fn exchange_suspicions(&self) -> &ExchangeSuspicions {
         &self.exchange_suspicions
     }
 
-    /// Counts since the start.
+    /// Counters since the start.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Reports held, and things that wait to be passed on.
+    /// Number of stored reports, and number of items queued for dissemination.
     pub fn buffered_counts(&self) -> (usize, usize) {
         (self.reports.len(), self.queue.len())
     }
 
-    /// When [`Node::handle_timeouts`] must be called next.
+    /// Time at which [`Node::handle_timeouts`] must be called next.
     pub fn next_timeout(&self) -> Micros {
-        let probe =
-            self.probes.values().map(|p| if p.indirect_sent { p.expires_at } else { p.indirect_at.min(p.expires_at) }).min();
+        let probe = self
+            .probes
+            .values()
+            .map(|p| if p.indirect_sent { p.expires_at } else { p.indirect_at.min(p.expires_at) })
+            .min();
         self.next_period.min(self.next_evaluation).min(probe.unwrap_or(Micros::MAX))
     }
 
-    /// What is to be done, in order.
+    /// Returns the pending outputs in order.
     pub fn take_outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.outputs)
     }
 
-    // ---- What it is told ----
+    // ---- Inputs ----
 
-    /// A key_ring of keys that was read anew.
+    /// Replaces the keys.
     pub fn set_key_ring(&mut self, key_ring: KeyRing) {
         self.key_ring = key_ring;
     }
 
-    /// Seeds, networks and ceilings that were read anew.
+    /// Replaces seeds, networks and rate limits.
     pub fn reload(&mut self, config: Config) {
         self.send_bucket.set(config.send_limit);
         self.receive_bucket.set(config.receive_limit);
         if self.config.source_limit != config.source_limit {
             self.source_limiter = SourceLimiter::new(config.source_limit);
         }
-        // The name and the address are those of this life.
+        // The name and the address are fixed until restart.
         let (name, address) = (self.config.name.clone(), self.config.address);
         self.config = Config { name, address, ..config };
     }
 
-    /// How pressed the own processor is, from 0 to 255.
+    /// Sets the load of the own processor, from 0 to 255.
     pub fn set_load(&mut self, load: u8) {
         self.load = load;
     }
 
-    /// How many exchanges there are.
+    /// Sets the number of exchanges.
     pub fn set_exchanges(&mut self, n: usize) {
         self.exchanges = n;
     }
 
-    /// The exchanges that the own one has groups with.
+    /// Sets the exchanges that the own exchange has trunk groups with.
     pub fn set_links(&mut self, linked: &BTreeSet<Exchange>) {
         let Some(own) = self.config.own_exchange else { return };
         let mut blocks: BTreeMap<u16, u64> = BTreeMap::new();
@@ -286,7 +289,7 @@
         }
     }
 
-    /// An own set-up left.
+    /// Records that a set-up was sent.
     pub fn set_up_sent(&mut self, now: Micros, exchange: Exchange, call: u64) {
         if let Some(m) = self.meters.get_or_create(now, exchange) {
             m.set_up_sent(now, call);
@@ -294,7 +297,7 @@
         }
     }
 
-    /// An own set-up was given up without an answer.
+    /// Records that a set-up timed out.
     pub fn set_up_timed_out(&mut self, now: Micros, exchange: Exchange, call: u64) {
         if let Some(m) = self.meters.get_or_create(now, exchange) {
             m.set_up_timed_out(now, call);
@@ -302,14 +305,14 @@
         }
     }
 
-    /// The caller of an own set-up left.
+    /// Records that a set-up was abandoned by its caller.
     pub fn set_up_abandoned(&mut self, now: Micros, exchange: Exchange, call: u64) {
         if let Some(m) = self.meters.get_or_create(now, exchange) {
             m.set_up_abandoned(call);
         }
     }
 
-    /// An own set-up was answered: what is suspected of the exchange is expires_at at once.
+    /// Records that a set-up was answered; this clears a suspicion of the exchange at once.
     pub fn set_up_answered(&mut self, now: Micros, exchange: Exchange, call: u64, setup_time: Micros) {
         if let Some(m) = self.meters.get_or_create(now, exchange) {
             m.set_up_answered(now, call, setup_time);
@@ -317,7 +320,7 @@
         self.clear_suspicion(exchange);
     }
 
-    /// An own set-up was turned away: the exchange works.
+    /// Records that a set-up was refused. A refusal shows that the exchange works.
     pub fn set_up_refused(&mut self, now: Micros, exchange: Exchange, call: u64) {
         if let Some(m) = self.meters.get_or_create(now, exchange) {
             m.set_up_refused(now, call);
@@ -332,7 +335,7 @@
         }
     }
 
-    /// Says that it leaves; nothing is indirect_sent from then on.
+    /// Announces that this instance leaves; it sends no more pings afterwards.
     pub fn leave(&mut self, now: Micros) {
         self.leaving = true;
         let item = Item::Member(self.members.own_update(Claim::Left));
@@ -341,9 +344,9 @@
         }
     }
 
-    // ---- Time ----
+    // ---- Timers ----
 
-    /// Does what is due.
+    /// Runs all timers that have expired.
     pub fn handle_timeouts(&mut self, now: Micros) {
         self.check_probes(now);
         if now >= self.next_evaluation {
@@ -360,7 +363,8 @@
     }
 
     fn run_period(&mut self, now: Micros) {
-        let jitter = Micros::from(self.members.random_below(PROTOCOL_PERIOD as u32 / 10)) - PROTOCOL_PERIOD / 20;
+        let jitter =
+            Micros::from(self.members.random_below(PROTOCOL_PERIOD as u32 / 10)) - PROTOCOL_PERIOD / 20;
         self.next_period = now + PROTOCOL_PERIOD * self.period_factor() + jitter;
         self.periods = self.periods.wrapping_add(1);
         for change in self.members.expire(now) {
@@ -390,10 +394,10 @@
         }
     }
 
-    /// Looks for whom it lost, or never knew.
+    /// Pings seeds that are not members, and a dead member.
     fn reconnect(&mut self, now: Micros, isolated: bool) {
-        let elsewhere = |s: &&SocketAddr| **s != self.config.address && !self.members.is_at(**s);
-        let missing: Vec<SocketAddr> = self.config.seeds.iter().filter(elsewhere).copied().collect();
+        let is_missing = |s: &&SocketAddr| **s != self.config.address && !self.members.has_active_at(**s);
+        let missing: Vec<SocketAddr> = self.config.seeds.iter().filter(is_missing).copied().collect();
         if !missing.is_empty() {
             let n = if isolated { missing.len().min(INDIRECT_PINGS) } else { 1 };
             for _ in 0..n {
@@ -413,13 +417,13 @@
 
     fn ping(&mut self, now: Micros, address: SocketAddr, target: MemberId) -> u16 {
         let nonce = self.next_nonce();
-        // It hears first of all what is state of itself, so that it can contradict (Lifeguard's buddy system).
+        // Carries the target's own non-alive state, so that it can refute it (the buddy system of Lifeguard).
         let state = self.non_alive_update(target);
         self.send(now, address, Message::Ping { nonce, target }, state.into_iter().collect(), 0.1);
         nonce
     }
 
-    /// What is state of a member that is not simply there.
+    /// The known state of a member as an update, if the member is not alive.
     fn non_alive_update(&self, id: MemberId) -> Option<Item> {
         self.members.get(id).filter(|m| m.state != State::Alive).map(|m| {
             let (address, incarnation, claim) = (m.address, m.incarnation, m.state.claim());
@@ -431,10 +435,19 @@
         let Some(address) = self.members.get(target).map(|m| m.address) else { return };
         let nonce = self.ping(now, address, target);
         if self.probes.len() < MAX_PROBES {
-            let stretch = self.members.health_factor();
-            let (indirect_at, expires_at) = (now + PING_TIMEOUT * stretch, now + PROTOCOL_PERIOD * stretch * 9 / 10);
-            let probe =
-                Probe { target, address, indirect_at, expires_at, indirect_sent: false, nacks: 0, indirect_pings: 0, requester: None };
+            let factor = self.members.health_factor();
+            let (indirect_at, expires_at) =
+                (now + PING_TIMEOUT * factor, now + PROTOCOL_PERIOD * factor * 9 / 10);
+            let probe = Probe {
+                target,
+                address,
+                indirect_at,
+                expires_at,
+                indirect_sent: false,
+                nacks: 0,
+                indirect_pings: 0,
+                requester: None,
+            };
             self.probes.insert(nonce, probe);
         }
     }
@@ -451,21 +464,25 @@
             if now >= p.expires_at {
                 self.probes.remove(&nonce);
                 if p.requester.is_none() {
-                    // Helpers that state nothing either speak for a fault on this side.
+                    // Missing nacks as well point to a fault of this instance (Lifeguard's local health).
                     self.members.adjust_local_health(true);
                     if p.indirect_pings > 0 && p.nacks == 0 {
                         self.members.adjust_local_health(true);
                     }
                     if let Some(change) = self.members.suspect(now, p.target) {
                         self.handle_change(now, change);
-                        // It hears at once what is state of it: under loss the word of others comes too late.
+                        // Notified at once: under packet loss, updates from others arrive too late to refute.
                         let state = self.non_alive_update(p.target);
                         self.send(now, p.address, Message::Items, state.into_iter().collect(), 0.1);
                     }
                 }
                 continue;
             }
-            let helpers = if p.requester.is_none() { self.members.random_alive(INDIRECT_PINGS, p.target) } else { Vec::new() };
+            let helpers = if p.requester.is_none() {
+                self.members.random_alive(INDIRECT_PINGS, p.target)
+            } else {
+                Vec::new()
+            };
             if let Some(p) = self.probes.get_mut(&nonce) {
                 (p.indirect_sent, p.indirect_pings) = (true, helpers.len());
             }
@@ -479,9 +496,9 @@
         }
     }
 
-    // ---- Evidence and belief ----
+    // ---- Evidence and suspicions of exchanges ----
 
-    /// Draws conclusions and tells what is worth telling.
+    /// Re-evaluates the suspicions of exchanges and queues or sends the reports that are due.
     fn evaluate(&mut self, now: Micros) {
         let mut urgent = Vec::new();
         let limit = max_transmissions(self.members.active_count());
@@ -496,18 +513,21 @@
             }
         }
         if !urgent.is_empty() && !self.leaving {
-            // An older word on the same exchange must not go out after this.
+            // Also replaces an older queued report on the same exchange, which must not be sent after this one.
             urgent.iter().for_each(|i| self.queue.add(*i, limit));
             for (_, address) in self.members.random_alive(URGENT_FANOUT, self.own_id) {
                 self.send(now, address, Message::Items, urgent.clone(), 0.0);
             }
         }
-        let active =
-            !self.reports.is_empty() || self.exchange_suspicions.suspicions().next().is_some() || self.meters.need_evaluation();
-        let stretch = if self.load >= OVERLOAD_LEVEL { OVERLOAD_PERIOD_FACTOR } else { 1 };
-        self.next_evaluation = if active { now + EVALUATION_INTERVAL * stretch } else { now + 20 * EVALUATION_INTERVAL };
+        let active = !self.reports.is_empty()
+            || self.exchange_suspicions.suspicions().next().is_some()
+            || self.meters.need_evaluation();
+        let factor = if self.load >= OVERLOAD_LEVEL { OVERLOAD_PERIOD_FACTOR } else { 1 };
+        self.next_evaluation =
+            if active { now + EVALUATION_INTERVAL * factor } else { now + 20 * EVALUATION_INTERVAL };
         let changes = self.exchange_suspicions.evaluate(now, &self.meters, &self.reports, self.exchanges);
-        let changes_set = |c: &exchange_suspicion::Change| !matches!(c, exchange_suspicion::Change::TrustUpdated(..));
+        let changes_set =
+            |c: &exchange_suspicion::Change| !matches!(c, exchange_suspicion::Change::TrustUpdated(..));
         if changes.iter().any(changes_set) {
             self.outputs.push(Output::Suspected(self.exchange_suspicions.suspected()));
         }
@@ -516,13 +536,15 @@
 
     // ---- Messages ----
 
-    /// A datagram came. What can be refused cheaply is refused first, so that a flood costs little.
+    /// Processes a datagram. The cheapest checks come first, to limit the cost of a flood.
     pub fn handle_datagram(&mut self, now: Micros, from: SocketAddr, bytes: &[u8]) {
         if !self.config.allowed.iter().any(|n| n.contains(&from.ip())) {
             self.counts.foreign += 1;
             return;
         }
-        if !self.source_limiter.admit(now, from.ip(), bytes.len()) || !self.receive_bucket.take(now, bytes.len(), 0.0) {
+        if !self.source_limiter.admit(now, from.ip(), bytes.len())
+            || !self.receive_bucket.take(now, bytes.len(), 0.0)
+        {
             self.counts.flooded += 1;
             return;
         }
@@ -547,24 +569,28 @@
         }
         let known = self.members.get(d.sender).map(|m| (m.address, m.incarnation, m.state == State::Alive));
         let is_later_run = |i: Incarnation| d.incarnation.0 >> 12 > i.0 >> 12;
-        let conflicts = known.is_some_and(|(a, i, alive)| a != from && (alive || !is_later_run(i)));
-        if conflicts {
+        let is_conflict = known.is_some_and(|(a, i, alive)| a != from && (alive || !is_later_run(i)));
+        if is_conflict {
             self.counts.conflicts += 1;
             self.outputs.push(Output::Event(Event::Conflict(d.sender, from)));
             return;
         }
         let max_incarnation = self.max_incarnation(now);
-        if d.incarnation > max_incarnation || !self.replay_windows.admit(now, d.sender, d.incarnation, d.sequence) {
+        if d.incarnation > max_incarnation
+            || !self.replay_windows.admit(now, d.sender, d.incarnation, d.sequence)
+        {
             self.counts.repeated += 1;
             return;
         }
         self.counts.taken += 1;
-        let leaving = d
+        let sender_leaves = d
             .items
             .iter()
             .any(|i| matches!(i, Item::Member(u) if u.id == d.sender && u.claim == Claim::Left));
-        if !leaving {
-            if let Some(change) = self.members.heard_directly(now, d.sender, from, d.incarnation, max_incarnation) {
+        if !sender_leaves {
+            if let Some(change) =
+                self.members.heard_directly(now, d.sender, from, d.incarnation, max_incarnation)
+            {
                 self.handle_change(now, change);
             }
         }
@@ -574,7 +600,7 @@
         self.handle_message(now, from, d);
     }
 
-    /// The highest incarnation that anybody can have.
+    /// The highest incarnation that is accepted.
     fn max_incarnation(&self, now: Micros) -> Incarnation {
         Incarnation(Incarnation::at(self.unix_offset + now.div_euclid(SECOND) + MAX_CLOCK_SKEW_S).0 | 0xfff)
     }
@@ -582,26 +608,27 @@
     fn handle_message(&mut self, now: Micros, from: SocketAddr, d: Datagram) {
         match d.message {
             Message::Ping { nonce, target } => {
-                // One that is meant for whoever had this address before is not answered.
+                // A ping for the previous user of this address is not answered.
                 if (target == self.own_id || target == MemberId(0)) && !self.leaving {
                     let load = self.load;
-                    // One that is taken for gone hears it, and can contradict.
+                    // Carries the state of a sender that is not alive in the list, so that the sender can refute it.
                     let state = self.non_alive_update(d.sender);
                     self.send(now, from, Message::Ack { nonce, load }, state.into_iter().collect(), 0.0);
                 }
             }
             Message::Ack { nonce, load } => {
                 self.members.set_member_load(d.sender, load);
-                // Itself, or a helper's word that it is there.
-                let is_active = |p: &Probe| {
-                    let says = |i: &Item| matches!(i, Item::Member(u) if u.id == p.target && u.claim == Claim::Alive);
-                    p.target == d.sender || (p.indirect_sent && p.requester.is_none() && d.items.iter().any(says))
+                // Either the target itself, or a helper that confirms the target to be alive.
+                let answers_probe = |p: &Probe| {
+                    let confirms = |i: &Item| matches!(i, Item::Member(u) if u.id == p.target && u.claim == Claim::Alive);
+                    p.target == d.sender
+                        || (p.indirect_sent && p.requester.is_none() && d.items.iter().any(confirms))
                 };
-                let Some(p) = self.probes.get(&nonce).filter(|p| is_active(p)).copied() else { return };
+                let Some(p) = self.probes.get(&nonce).filter(|p| answers_probe(p)).copied() else { return };
                 self.probes.remove(&nonce);
                 match p.requester {
                     Some((requester_address, nonce)) => {
-                        // Passed on in the answerer's stead: a word of this instance that it is there.
+                        // Forwards the ack, with an update by this instance that the target is alive.
                         let item = self.members.get(d.sender).map(|m| {
                             let (address, incarnation) = (m.address, m.incarnation);
                             Item::Member(Update { id: d.sender, address, incarnation, claim: Claim::Alive })
@@ -615,7 +642,7 @@
             Message::PingReq { nonce, target, address } => {
                 let allowed = self.config.allowed.iter().any(|n| n.contains(&address.ip()));
                 if self.probes.len() < MAX_PROBES && allowed && self.load < OVERLOAD_LEVEL {
-                    let own = self.ping(now, address, target);
+                    let own_nonce = self.ping(now, address, target);
                     let (indirect_at, expires_at) = (now + PING_TIMEOUT, now + 2 * PING_TIMEOUT);
                     let requester = Some((from, nonce));
                     let probe = Probe {
@@ -628,7 +655,7 @@
                         indirect_pings: 0,
                         requester,
                     };
-                    self.probes.insert(own, probe);
+                    self.probes.insert(own_nonce, probe);
                 }
             }
             Message::Nack { nonce } => {
@@ -636,12 +663,14 @@
                     p.nacks += 1;
                 }
             }
-            Message::Digest { reply, bucket_hashes } => self.sync_members(now, from, d.sender, reply, &bucket_hashes),
+            Message::Digest { reply, bucket_hashes } => {
+                self.sync_members(now, from, d.sender, reply, &bucket_hashes)
+            }
             Message::Items => {}
         }
     }
 
-    /// Tells a member what it does not know, by the groups whose hashes differ.
+    /// Sends the member updates in the digest buckets whose hashes differ.
     fn sync_members(
         &mut self,
         now: Micros,
@@ -650,15 +679,15 @@
         reply: bool,
         remote: &[u32; DIGEST_BUCKETS],
     ) {
-        let mine = self.members.digest();
-        if mine == *remote || self.load >= OVERLOAD_LEVEL {
+        let local = self.members.digest();
+        if local == *remote || self.load >= OVERLOAD_LEVEL {
             return;
         }
         if self.members.get(peer).is_some_and(|m| m.load >= OVERLOAD_LEVEL) {
             return;
         }
-        let mut updates = self.members.updates_in_buckets(|g| mine[g] != remote[g]);
-        // Not the same ones first each time, since not all may fit.
+        let mut updates = self.members.updates_in_buckets(|g| local[g] != remote[g]);
+        // Starts at a random update, since not all may fit.
         let start = self.members.random_below(updates.len() as u32) as usize;
         updates.rotate_left(start);
         let mut items: Vec<Item> = updates.into_iter().take(MAX_SYNC_ITEMS).map(Item::Member).collect();
@@ -672,7 +701,7 @@
             self.send_exact(now, from, Message::Items, std::mem::replace(&mut items, rest), 0.5);
         }
         if reply {
-            self.send(now, from, Message::Digest { reply: false, bucket_hashes: mine }, Vec::new(), 0.5);
+            self.send(now, from, Message::Digest { reply: false, bucket_hashes: local }, Vec::new(), 0.5);
         }
     }
 
@@ -687,7 +716,9 @@
         match item {
             Item::Member(u) => {
                 let allowed = self.config.allowed.iter().any(|n| n.contains(&u.address.ip()));
-                if let Some(change) = allowed.then(|| self.members.apply(now, u, sender, max_incarnation)).flatten() {
+                if let Some(change) =
+                    allowed.then(|| self.members.apply(now, u, sender, max_incarnation)).flatten()
+                {
                     self.handle_change(now, change);
                 }
             }
@@ -703,10 +734,10 @@
                 }
             }
             Item::Links { own, from, bits } => {
-                // One instance speaks for one exchange, and none for another's.
-                let holder = *self.exchange_reporters.entry(own).or_insert(sender);
-                let second = self.exchange_reporters.iter().any(|(e, id)| *e != own && *id == sender);
-                if holder != sender || second || Some(own) == self.config.own_exchange {
+                // Each instance may report the links of one exchange only, and no exchange has two reporters.
+                let reporter = *self.exchange_reporters.entry(own).or_insert(sender);
+                let has_other = self.exchange_reporters.iter().any(|(e, id)| *e != own && *id == sender);
+                if reporter != sender || has_other || Some(own) == self.config.own_exchange {
                     self.counts.conflicts += 1;
                     return;
                 }
@@ -722,12 +753,12 @@
                 self.counts.contradicted += u64::from(u.id == self.own_id);
                 self.queue.add(Item::Member(u), max_transmissions(self.members.active_count()));
                 if u.id == self.own_id {
-                    // A contradiction that spreads too slowly is no use: some hear it at once.
+                    // Some members receive it directly, since a refutation must arrive before the suspicion times out.
                     for (_, address) in self.members.random_alive(REFUTATION_FANOUT, self.own_id) {
                         self.send(now, address, Message::Items, vec![Item::Member(u)], 0.25);
                     }
                 }
-                // A newcomer is told the own groups.
+                // New members need the links of the own exchange.
                 if u.claim == Claim::Alive {
                     let limit = max_transmissions(self.members.active_count());
                     self.links.clone().into_iter().for_each(|l| self.queue.add(l, limit));
@@ -742,7 +773,7 @@
         }
     }
 
-    /// Sends a message, with as much as fits of what waits to be passed on.
+    /// Sends a message and fills the remaining space with piggybacked items.
     fn send(&mut self, now: Micros, to: SocketAddr, message: Message, mut items: Vec<Item>, reserve: f64) {
         let used: usize = message.len() + items.iter().map(Item::len).sum::<usize>();
         let overloaded = self.members.is_overloaded(to);
@@ -762,16 +793,16 @@
     ) {
         for item in &mut items {
             if let Item::Evidence(exchange, e) = item {
-                // It goes out as it is now, so that it is never old.
+                // Measured at the time of sending, so that the receiver never gets outdated evidence.
                 if let Some(m) = self.meters.get(*exchange) {
                     *e = m.measure(now);
                 }
             }
         }
         self.sequence = self.sequence.checked_add(1).unwrap_or_else(|| {
-            // All numbers are used up: a new life has them anew.
-            let life = Incarnation::at(self.unix_offset + now.div_euclid(SECOND));
-            self.members.incarnation = life.max(self.members.incarnation.next());
+            // Sequence numbers are exhausted; a new incarnation restarts them.
+            let restarted = Incarnation::at(self.unix_offset + now.div_euclid(SECOND));
+            self.members.incarnation = restarted.max(self.members.incarnation.next());
             1
         });
         let d = Datagram {
--- a/crates/gossip/src/rate_limit.rs
+++ b/crates/gossip/src/rate_limit.rs
@@ -1,20 +1,20 @@
-//! Token buckets: hard ceilings of traffic, in datagrams and in bytes.
+//! Token buckets that limit traffic in datagrams and in bytes.
 
 use crate::{Micros, SECOND};
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 
-/// A limit.
+/// Rate limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateLimit {
-    /// Bytes a second.
+    /// Bytes per second.
     pub bytes: u32,
-    /// Datagrams a second.
+    /// Datagrams per second.
     pub datagrams: u32,
 }
 
-/// A bucket that holds what one second may have: no second has more than twice that, and on the long run none has
-/// more than the limit.
+/// Token bucket with a burst of half a second's worth: any one second carries at most one and a half times the limit,
+/// and the long-term rate does not exceed it.
 #[derive(Clone, Copy, Debug)]
 pub struct TokenBucket {
     limit: RateLimit,
@@ -24,7 +24,7 @@
 }
 
 impl TokenBucket {
-    /// A full one. Half a second's worth is the burst that it allows, so that any second stays under one and a half.
+    /// Creates a full bucket.
     pub fn new(now: Micros, limit: RateLimit) -> TokenBucket {
         let mut b = TokenBucket { limit, bytes: 0.0, datagrams: 0.0, updated: now };
         (b.bytes, b.datagrams) = b.burst();
@@ -32,11 +32,11 @@
     }
 
     fn burst(&self) -> (f64, f64) {
-        // One datagram of any length must fit.
+        // The burst must allow at least one datagram of any length.
         ((f64::from(self.limit.bytes) / 2.0).max(256.0), (f64::from(self.limit.datagrams) / 2.0).max(1.0))
     }
 
-    /// Changes the limit; what is in the bucket stays, up to the new most.
+    /// Changes the limit; the tokens are kept up to the new burst size.
     pub fn set(&mut self, limit: RateLimit) {
         self.limit = limit;
         let (bytes, datagrams) = self.burst();
@@ -52,8 +52,8 @@
         self.datagrams = (self.datagrams + span * f64::from(self.limit.datagrams)).min(datagrams);
     }
 
-    /// Takes out a datagram of that many bytes, if there is room. `reserve`: a share of the bucket that must be left,
-    /// for what is more urgent.
+    /// Takes the tokens for a datagram of `bytes` bytes, if available. `reserve` is the share of the burst that must
+    /// remain for more urgent datagrams.
     pub fn take(&mut self, now: Micros, bytes: usize, reserve: f64) -> bool {
         self.refill(now);
         let (burst_bytes, burst_datagrams) = self.burst();
@@ -67,30 +67,30 @@
     }
 }
 
-/// SourceLimiter told apart; the one that was quiet for longest gives up its place.
+/// Maximum number of sources; the one that has been quiet for longest is evicted.
 const MAX_SOURCES: usize = 1024;
 
-/// A limit for each source, before anything of its datagrams is looked at.
+/// Rate limit for each source address, applied before a datagram is parsed.
 #[derive(Debug)]
 pub struct SourceLimiter {
     limit: RateLimit,
-    all: BTreeMap<IpAddr, TokenBucket>,
+    buckets: BTreeMap<IpAddr, TokenBucket>,
 }
 
 impl SourceLimiter {
-    /// Nobody was heard yet.
+    /// Creates the limiter without any known source.
     pub fn new(limit: RateLimit) -> SourceLimiter {
-        SourceLimiter { limit, all: BTreeMap::new() }
+        SourceLimiter { limit, buckets: BTreeMap::new() }
     }
 
-    /// Whether a source may be heard.
+    /// Whether a datagram from this source is within its limit.
     pub fn admit(&mut self, now: Micros, from: IpAddr, bytes: usize) -> bool {
-        if !self.all.contains_key(&from) && self.all.len() >= MAX_SOURCES {
-            let quiet = self.all.iter().min_by_key(|s| s.1.updated).map(|s| *s.0);
-            quiet.map(|s| self.all.remove(&s));
+        if !self.buckets.contains_key(&from) && self.buckets.len() >= MAX_SOURCES {
+            let quietest = self.buckets.iter().min_by_key(|s| s.1.updated).map(|s| *s.0);
+            quietest.map(|s| self.buckets.remove(&s));
         }
         let limit = self.limit;
-        self.all.entry(from).or_insert_with(|| TokenBucket::new(now, limit)).take(now, bytes, 0.0)
+        self.buckets.entry(from).or_insert_with(|| TokenBucket::new(now, limit)).take(now, bytes, 0.0)
     }
 }
 
@@ -99,7 +99,7 @@
     use super::*;
 
     #[test]
-    fn no_second_has_more_than_one_and_a_half_of_the_ceiling_and_a_long_run_no_more_than_it() {
+    fn short_term_and_long_term_rates_stay_within_the_limit() {
         let limit = RateLimit { bytes: 10_000, datagrams: 50 };
         let mut b = TokenBucket::new(0, limit);
         let taken: Vec<Micros> = (0..20_000).map(|ms| ms * 1000).filter(|&t| b.take(t, 200, 0.0)).collect();
@@ -107,14 +107,14 @@
             taken.iter().map(|&t| taken.iter().filter(|&&u| (t..t + SECOND).contains(&u)).count()).max();
         assert!(worst.is_some_and(|n| n <= 76), "{worst:?}");
         assert!(taken.len() <= 20 * 50 + 26 && taken.len() > 900, "{}", taken.len());
-        // Bytes bind where datagrams are long; a clock that goes back gives nothing.
+        // The byte limit applies to long datagrams, and a clock that goes back adds no tokens.
         let mut b = TokenBucket::new(0, RateLimit { bytes: 1000, datagrams: 1000 });
         assert_eq!((0..100).filter(|_| b.take(0, 250, 0.0)).count(), 2);
         assert!(!b.take(-9 * SECOND, 250, 0.0) && !b.take(0, 250, 0.0));
     }
 
     #[test]
-    fn a_share_is_kept_for_what_is_urgent_and_sources_are_bounded() {
+    fn a_reserve_is_kept_for_urgent_datagrams_and_sources_are_bounded() {
         let mut b = TokenBucket::new(0, RateLimit { bytes: 100_000, datagrams: 20 });
         assert_eq!((0..20).filter(|_| b.take(0, 10, 0.5)).count(), 5);
         assert_eq!((0..20).filter(|_| b.take(0, 10, 0.0)).count(), 5);
@@ -122,7 +122,7 @@
         for n in 0..10_000u32 {
             s.admit(n.into(), std::net::Ipv4Addr::from(n).into(), 100);
         }
-        assert_eq!(s.all.len(), MAX_SOURCES);
+        assert_eq!(s.buckets.len(), MAX_SOURCES);
         let one = std::net::Ipv4Addr::LOCALHOST.into();
         assert_eq!((0..1000).filter(|_| s.admit(10_000, one, 100)).count(), 1);
     }
--- a/crates/gossip/src/simulation.rs
+++ b/crates/gossip/src/simulation.rs
@@ -1,60 +1,60 @@
-//! The laboratory: many nodes on a simulated network and a virtual clock. The same seed gives the same run.
+//! Simulation of many nodes on a virtual clock and network. Runs with the same seed are identical.
 
-use crate::rate_limit::RateLimit;
-use crate::node::{Config, Node, Output};
 use crate::auth::KeyRing;
+use crate::node::{Config, Node, Output};
+use crate::rate_limit::RateLimit;
 use crate::swim::State;
 use crate::{Exchange, MemberId, Micros, SECOND};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-/// The Unix clock's seconds when a run begins.
+/// Unix time in seconds at the start of a run.
 pub const START_UNIX: i64 = 1_796_000_000;
 
-/// How the network is.
+/// Properties of the simulated network.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Network {
-    /// Shortest and longest time that a datagram takes; one may overtake another.
+    /// Minimum and maximum delay; datagrams may be reordered.
     pub delay: (Micros, Micros),
     /// Share of datagrams that are lost.
     pub loss: f64,
-    /// Share that come twice.
+    /// Share of datagrams that are duplicated.
     pub duplication: f64,
-    /// By how much each node's Unix clock may be off, to either side (s).
+    /// Maximum offset of each node's Unix clock in either direction (s).
     pub clock_skew: i64,
 }
 
 impl Default for Network {
     fn default() -> Self {
-        // The delays between session controllers that were seen.
+        // The delays were measured between session controllers.
         Network { delay: (2_700, 26_000), loss: 0.0, duplication: 0.0, clock_skew: 2 }
     }
 }
 
-/// What went over the network for one node.
+/// Outgoing traffic of one node.
 #[derive(Clone, Debug, Default)]
 pub struct Traffic {
-    /// Bytes that it sent, by second.
+    /// Bytes sent in each second.
     pub bytes: Vec<u32>,
-    /// Datagrams that it sent, by second.
+    /// Datagrams sent in each second.
     pub datagrams: Vec<u32>,
 }
 
-/// A ring of one key, for simulated nodes.
+/// A key ring with one key, for simulated nodes.
 pub fn key_ring(digit: char) -> KeyRing {
     let text = format!("[[key]]\nid = 1\nsecret = \"{}\"\nseals = true\n", digit.to_string().repeat(64));
-    // The form is fixed, and right.
+    // The generated text is always valid.
     KeyRing::parse(&text).unwrap_or_else(|e| unreachable!("{e}"))
 }
 
-/// The ceilings of simulated nodes.
+/// Rate limit of simulated nodes.
 pub const RATE_LIMIT: RateLimit = RateLimit { bytes: 16_384, datagrams: 100 };
 
-/// Many nodes.
+/// A simulated group of nodes.
 pub struct Simulation {
-    /// The time.
+    /// Virtual time.
     pub now: Micros,
-    /// The network.
+    /// Network properties.
     pub net: Network,
     nodes: Vec<Option<Node>>,
     addresses: Vec<SocketAddr>,
@@ -66,16 +66,16 @@
     rng: fastrand::Rng,
     partition: Option<Vec<u8>>,
     blocked_links: BTreeSet<(usize, usize)>,
-    /// What went out of each node.
+    /// Outgoing traffic by node.
     pub traffic: Vec<Traffic>,
-    /// Everything but datagrams that nodes put out, by node.
+    /// Outputs other than datagrams, with their time and node.
     pub outputs: Vec<(Micros, usize, Output)>,
-    /// Whether that is kept.
+    /// Whether these outputs are recorded.
     pub record_outputs: bool,
 }
 
 impl Simulation {
-    /// So many nodes, all of which know the first three.
+    /// Starts `nodes` nodes, with the first three as seeds.
     pub fn new(nodes: usize, seed: u64, net: Network) -> Simulation {
         let address = |i: usize| {
             let [a, b] = (i as u16).to_be_bytes();
@@ -103,7 +103,7 @@
         simulation
     }
 
-    /// What a node is told.
+    /// Configuration of a node.
     pub fn config(&self, i: usize) -> Config {
         Config {
             name: format!("n{i}"),
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Starts a node, or starts it anew with nothing of its earlier life.
+    /// Starts or restarts a node without any earlier state.
     pub fn start(&mut self, i: usize) {
         let skew = self.rng.i64(-self.net.clock_skew..=self.net.clock_skew);
         let unix = START_UNIX + self.now / SECOND + skew;
@@ -127,45 +127,45 @@
         self.process_outputs(i);
     }
 
-    /// Ends a node without a word.
+    /// Stops a node without a leave message.
     pub fn kill(&mut self, i: usize) {
         self.nodes[i] = None;
         self.timers.remove(&(self.timer_of[i], i));
     }
 
-    /// A node, while it lives.
+    /// A node, if it is running.
     pub fn node(&self, i: usize) -> Option<&Node> {
         self.nodes[i].as_ref()
     }
 
-    /// Does something to a node, and carries out what follows.
-    pub fn with_node<T>(&mut self, i: usize, act: impl FnOnce(&mut Node, Micros) -> T) -> Option<T> {
+    /// Calls a function on a node and processes the outputs.
+    pub fn with_node<T>(&mut self, i: usize, function: impl FnOnce(&mut Node, Micros) -> T) -> Option<T> {
         let now = self.now;
-        let done = self.nodes[i].as_mut().map(|n| act(n, now));
+        let result = self.nodes[i].as_mut().map(|n| function(n, now));
         self.process_outputs(i);
-        done
+        result
     }
 
-    /// The address of a node.
+    /// Address of a node.
     pub fn address(&self, i: usize) -> SocketAddr {
         self.addresses[i]
     }
 
-    /// Cuts the network in parts: nodes of different numbers don't reach each other. `None`: it is whole.
+    /// Partitions the network: nodes with different numbers cannot reach each other. `None` removes the partition.
     pub fn partition(&mut self, partition: Option<Vec<u8>>) {
         self.partition = partition;
     }
 
-    /// What the first sends to the second is lost from now on, or no longer.
-    pub fn block_link(&mut self, from: usize, to: usize, lost: bool) {
-        if lost {
+    /// Starts or stops dropping all datagrams from one node to another.
+    pub fn block_link(&mut self, from: usize, to: usize, blocked: bool) {
+        if blocked {
             self.blocked_links.insert((from, to));
         } else {
             self.blocked_links.remove(&(from, to));
         }
     }
 
-    /// Brings a datagram of anybody's under way.
+    /// Puts a datagram with any source address on the network.
     pub fn inject(&mut self, from: SocketAddr, to: SocketAddr, bytes: Vec<u8>) {
         let delay = self.rng.i64(self.net.delay.0..=self.net.delay.1);
         self.next_number += 1;
@@ -190,13 +190,14 @@
 
     fn send(&mut self, i: usize, to: SocketAddr, bytes: Vec<u8>) {
         let second = (self.now / SECOND) as usize;
-        let t = &mut self.traffic[i];
-        t.bytes.resize(t.bytes.len().max(second + 1), 0);
-        t.datagrams.resize(t.datagrams.len().max(second + 1), 0);
-        t.bytes[second] += bytes.len() as u32;
-        t.datagrams[second] += 1;
+        let traffic = &mut self.traffic[i];
+        traffic.bytes.resize(traffic.bytes.len().max(second + 1), 0);
+        traffic.datagrams.resize(traffic.datagrams.len().max(second + 1), 0);
+        traffic.bytes[second] += bytes.len() as u32;
+        traffic.datagrams[second] += 1;
         let Some(&j) = self.by_address.get(&to) else { return };
-        let blocked = self.partition.as_ref().is_some_and(|p| p[i] != p[j]) || self.blocked_links.contains(&(i, j));
+        let blocked =
+            self.partition.as_ref().is_some_and(|p| p[i] != p[j]) || self.blocked_links.contains(&(i, j));
         if blocked || self.rng.f64() < self.net.loss {
             return;
         }
@@ -206,14 +207,14 @@
         self.inject(self.addresses[i], to, bytes);
     }
 
-    /// When something happens next.
+    /// Time of the next event.
     pub fn next_event_time(&self) -> Option<Micros> {
         let datagram = self.in_flight.keys().next().map(|k| k.0);
         let due = self.timers.first().map(|d| d.0);
         datagram.into_iter().chain(due).min()
     }
 
-    /// Lets time pass.
+    /// Runs the simulation until `end`.
     pub fn run_until(&mut self, end: Micros) {
         while let Some(at) = self.next_event_time().filter(|at| *at <= end) {
             self.now = self.now.max(at);
@@ -238,42 +239,47 @@
         self.now = self.now.max(end);
     }
 
-    /// Lets time pass until something is so, looked at each 50 ms (1 s in large groups). When that was, if it came about by `end`.
-    pub fn run_while(&mut self, end: Micros, mut not_yet: impl FnMut(&Simulation) -> bool) -> Option<Micros> {
+    /// Runs while `condition` holds, checked every 50 ms (1 s in large groups), but not beyond `end`. Returns the time
+    /// at which it no longer held.
+    pub fn run_while(
+        &mut self,
+        end: Micros,
+        mut condition: impl FnMut(&Simulation) -> bool,
+    ) -> Option<Micros> {
         while self.now < end {
-            // In large groups a look costs more than what is gained by the finer time.
+            // In large groups the check is too expensive for the finer step.
             let step = if self.nodes.len() > 200 { SECOND } else { SECOND / 20 };
             self.run_until((self.now + step).min(end));
-            if !not_yet(self) {
+            if !condition(self) {
                 return Some(self.now);
             }
         }
         None
     }
 
-    /// Living nodes.
+    /// The running nodes.
     pub fn running(&self) -> impl Iterator<Item = (usize, &Node)> {
         self.nodes.iter().enumerate().filter_map(|(i, n)| n.as_ref().map(|n| (i, n)))
     }
 
-    /// The share of all pairs of living nodes in which the first takes the second for there.
+    /// Share of ordered pairs of running nodes in which the first considers the second active.
     pub fn known_share(&self) -> f64 {
         let ids: Vec<MemberId> = self.running().map(|n| n.1.id()).collect();
         let pairs = ids.len() * ids.len().saturating_sub(1);
-        let there = |n: &Node| {
+        let is_active = |n: &Node| {
             ids.iter().filter(|id| n.members.get(**id).is_some_and(|m| m.state.is_active())).count()
         };
-        self.running().map(|n| there(n.1)).sum::<usize>() as f64 / pairs.max(1) as f64
+        self.running().map(|n| is_active(n.1)).sum::<usize>() as f64 / pairs.max(1) as f64
     }
 
-    /// Whether all living nodes take each other for there.
+    /// Whether all running nodes consider each other active.
     pub fn converged(&self) -> bool {
         let ids: Vec<MemberId> = self.running().map(|n| n.1.id()).collect();
-        let there = |n: &Node, id: MemberId| n.members.get(id).is_some_and(|m| m.state.is_active());
-        self.running().all(|(_, n)| ids.iter().all(|id| *id == n.id() || there(n, *id)))
+        let is_active = |n: &Node, id: MemberId| n.members.get(id).is_some_and(|m| m.state.is_active());
+        self.running().all(|(_, n)| ids.iter().all(|id| *id == n.id() || is_active(n, *id)))
     }
 
-    /// How many living nodes take this one for dead.
+    /// Number of running nodes that consider this one dead.
     pub fn dead_count(&self, i: usize) -> usize {
         let id = MemberId::of(&format!("n{i}"));
         let dead = |n: &Node| n.members.get(id).is_some_and(|m| matches!(m.state, State::Dead(_)));
--- a/crates/gossip/src/swim.rs
+++ b/crates/gossip/src/swim.rs
@@ -1,52 +1,53 @@
-//! The members and their states: SWIM (Das, Gupta, Motivala, 2002) with the refinements of Lifeguard (Dadgar, Phillips,
-//! Currey, 2018): an instance that is itself slow gives others more time, suspicions shorten as others confirm them,
-//! and a suspected member is told so first of all.
+//! Membership list and member states, after SWIM (Das, Gupta, Motivala, 2002) with the extensions of Lifeguard (Dadgar,
+//! Phillips, Currey, 2018): local health lengthens the timeouts of a slow instance, confirmations shorten the suspicion
+//! timeout, and a suspected member is notified first.
 //!
-//! This module has the states and the choice of whom to ask; [`crate::node`] has the messages.
+//! This module holds the state transitions and chooses ping targets; [`crate::node`] sends the messages.
 
 use crate::wire::{Claim, Incarnation, Update, DIGEST_BUCKETS};
 use crate::{MemberId, Micros, SECOND};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// One member is asked in each period (µs), longer while the own health_score is bad.
+/// Protocol period (µs): one member is pinged in each, and poor local health lengthens it.
 pub const PROTOCOL_PERIOD: Micros = SECOND;
-/// An answer is waited for so long before others are asked to ask (µs). Far expired a round trip on these networks (up to
-/// 54 ms), and leaves the rest of the period to the others.
+/// Time to wait for an ack before indirect pings are sent (µs). Well above the round-trip time of these networks (up to
+/// 54 ms), and leaves the rest of the period for the indirect pings.
 pub const PING_TIMEOUT: Micros = 300_000;
-/// Others that are asked to ask.
+/// Number of members asked to ping indirectly (SWIM's k).
 pub const INDIRECT_PINGS: usize = 3;
-/// The worst own health_score: periods and waits are up to so many times longer, less one.
+/// Highest (worst) local health score; periods and timeouts are multiplied by the score plus 1.
 pub const MAX_HEALTH_SCORE: u32 = 8;
-/// A suspicion lasts so many periods at the least, times the logarithm of the group's size (Lifeguard's alpha).
+/// Minimum suspicion timeout in protocol periods, times the logarithm of the group size (Lifeguard's alpha).
 const SUSPICION_ALPHA: f64 = 4.0;
-/// And so many times that at the most, while nobody confirms it (Lifeguard's beta).
+/// Maximum suspicion timeout without confirmations, as a multiple of the minimum (Lifeguard's beta).
 const SUSPICION_BETA: f64 = 6.0;
-/// Confirmations after which it lasts no longer than the least.
+/// Number of confirmations that reduce the suspicion timeout to its minimum.
 const MAX_CONFIRMATIONS: usize = 3;
-/// One that is dead or has left is remembered for so long (µs): far longer than what is said of it takes to reach all,
-/// so that an old word does not bring it back.
+/// Time for which a dead or departed member is remembered (µs). Far longer than dissemination takes, so that an
+/// outdated update does not add the member again.
 pub const TOMBSTONE_LIFETIME: Micros = 600 * SECOND;
-/// A processor is pressed from here on (of 255): then only what keeps membership goes there.
+/// Load (of 255) from which a processor counts as overloaded: it then receives membership messages only, without
+/// piggybacked items.
 pub const OVERLOAD_LEVEL: u8 = 200;
-/// Members that are known at most. Guards memory against names without end.
+/// Maximum number of members. Bounds memory against an unlimited number of forged or mistaken names.
 pub const MAX_MEMBERS: usize = 2048;
 
-/// What a member is.
+/// State of a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum State {
-    /// It answers.
+    /// It answers pings.
     Alive,
-    /// It did not answer, since then; and who says so.
+    /// It did not answer; with the start of the suspicion and the members that reported it.
     Suspect(Micros, BTreeSet<MemberId>),
-    /// It has not answered for long.
+    /// Its suspicion timed out; with the time of that.
     Dead(Micros),
-    /// It said that it leaves.
+    /// It announced that it leaves; with the time of that.
     Left(Micros),
 }
 
 impl State {
-    /// What is said of it.
+    /// The claim that describes this state in an update.
     pub fn claim(&self) -> Claim {
         match self {
             State::Alive => Claim::Alive,
@@ -56,57 +57,57 @@
         }
     }
 
-    /// Whether it counts as there.
+    /// Whether the member takes part in the protocol.
     pub fn is_active(&self) -> bool {
         matches!(self, State::Alive | State::Suspect(..))
     }
 }
 
-/// A member.
+/// A member of the group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Where it listens.
+    /// Address at which it listens.
     pub address: SocketAddr,
-    /// Its incarnation as last heard.
+    /// Highest known incarnation.
     pub incarnation: Incarnation,
-    /// What it is.
+    /// Current state.
     pub state: State,
-    /// How pressed its processor said it was, from 0 to 255.
+    /// Last reported processor load, from 0 to 255.
     pub load: u8,
 }
 
-/// Something that changed.
+/// Change of the membership list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// A member is now this.
+    /// The state of a member changed.
     Member(Update),
-    /// Another instance has this one's name, at that address.
+    /// Another instance at this address uses the name of this one.
     NameTaken(SocketAddr),
-    /// A member's name came from another address without a later life.
+    /// An update gives another address for a member without a later start of it.
     Conflict(MemberId, SocketAddr),
 }
 
-/// All members but the own instance.
+/// Membership list, without the own instance.
 #[derive(Debug)]
 pub struct Members {
     own_id: MemberId,
     address: SocketAddr,
-    /// The own incarnation.
+    /// Own incarnation.
     pub incarnation: Incarnation,
     members: BTreeMap<MemberId, Member>,
-    /// Where those are that said that they are pressed.
+    /// Addresses of the members that reported overload.
     overloaded: BTreeSet<SocketAddr>,
-    /// Whom to ask next, and so on: each once before any again.
+    /// Remaining ping targets of the current round; each active member is pinged once per round.
     round: Vec<MemberId>,
-    /// How bad the own health_score is, from 0 to `MAX_HEALTH_SCORE`.
+    /// Local health score, from 0 (good) to `MAX_HEALTH_SCORE`.
     health_score: u32,
     rng: fastrand::Rng,
-    /// Members that found no place.
+    /// Updates for new members that were dropped because the list was full.
     pub dropped: u64,
 }
 
 impl Members {
-    /// Only the own instance is there.
+    /// Creates an empty membership list.
     pub fn new(own_id: MemberId, address: SocketAddr, incarnation: Incarnation, seed: u64) -> Members {
         let rng = fastrand::Rng::with_seed(seed);
         Members {
@@ -122,48 +123,58 @@
         }
     }
 
-    /// The own instance as it is passed on.
+    /// An update about the own instance.
     pub fn own_update(&self, claim: Claim) -> Update {
         Update { id: self.own_id, address: self.address, incarnation: self.incarnation, claim }
     }
 
-    /// A member.
+    /// Looks up a member.
     pub fn get(&self, id: MemberId) -> Option<&Member> {
         self.members.get(&id)
     }
 
-    /// All members.
+    /// Iterates over all members.
     pub fn iter(&self) -> impl Iterator<Item = (MemberId, &Member)> {
         self.members.iter().map(|(id, m)| (*id, m))
     }
 
-    /// Members that are there, the own instance among them.
+    /// Number of active members, including the own instance.
     pub fn active_count(&self) -> usize {
         1 + self.members.values().filter(|m| m.state.is_active()).count()
     }
 
-    /// By how much the own health_score stretches waits.
+    /// Factor by which the local health score lengthens periods and timeouts.
     pub fn health_factor(&self) -> i64 {
         i64::from(self.health_score) + 1
     }
 
-    /// The own health_score got worse, or better.
+    /// Raises or lowers the local health score by one.
     pub fn adjust_local_health(&mut self, worse: bool) {
-        self.health_score = if worse { (self.health_score + 1).min(MAX_HEALTH_SCORE) } else { self.health_score.saturating_sub(1) };
+        self.health_score = if worse {
+            (self.health_score + 1).min(MAX_HEALTH_SCORE)
+        } else {
+            self.health_score.saturating_sub(1)
+        };
     }
 
-    /// How long a suspicion lasts, by the group's size and those who confirm it.
+    /// Suspicion timeout for the current group size and the number of members that suspect.
     pub fn suspicion_timeout(&self, accusers: usize) -> Micros {
         suspicion_timeout(self.active_count(), accusers)
     }
 
-    /// Whether somebody that is there listens at an address.
-    pub fn is_at(&self, address: SocketAddr) -> bool {
+    /// Whether an active member listens at this address.
+    pub fn has_active_at(&self, address: SocketAddr) -> bool {
         self.members.values().any(|m| m.address == address && m.state.is_active())
     }
 
-    /// Takes what is said of a member. `from`: who says it; `max_incarnation`: incarnations beyond this are nobody's.
-    pub fn apply(&mut self, now: Micros, update: Update, from: MemberId, max_incarnation: Incarnation) -> Option<Change> {
+    /// Applies an update sent by `from`. Incarnations above `max_incarnation` are rejected.
+    pub fn apply(
+        &mut self,
+        now: Micros,
+        update: Update,
+        from: MemberId,
+        max_incarnation: Incarnation,
+    ) -> Option<Change> {
         if update.incarnation > max_incarnation {
             return None;
         }
@@ -174,7 +185,8 @@
             return self.apply_new_member(now, update, from);
         };
         if update.address != known.address {
-            // A later life may be elsewhere, once the earlier one no longer answers: nobody takes a living one's name.
+            // A restarted member may have moved, but only once its old address stopped answering: a live member's name
+            // cannot be taken over.
             let later = update.incarnation.0 >> 12 > known.incarnation.0 >> 12;
             let moved = later && update.claim == Claim::Alive && known.state != State::Alive;
             if !moved {
@@ -187,15 +199,15 @@
         let state = match (update.claim, &mut known.state) {
             (Claim::Alive, _) if newer => State::Alive,
             (Claim::Suspect, State::Suspect(_, accusers)) if same => {
-                // One more who says so: that is news to others while it shortens anything.
-                let fresh = accusers.len() < MAX_CONFIRMATIONS + 1 && accusers.insert(from);
-                return fresh.then_some(Change::Member(update));
+                // A further confirmation is passed on as long as it shortens the timeout.
+                let confirms = accusers.len() < MAX_CONFIRMATIONS + 1 && accusers.insert(from);
+                return confirms.then_some(Change::Member(update));
             }
             (Claim::Suspect, State::Alive) if newer || same => State::Suspect(now, BTreeSet::from([from])),
             (Claim::Suspect, State::Suspect(..)) if newer => State::Suspect(now, BTreeSet::from([from])),
             (Claim::Dead, State::Alive | State::Suspect(..)) if newer || same => State::Dead(now),
             (Claim::Left, State::Alive | State::Suspect(..)) if newer || same => State::Left(now),
-            // It left by itself: that is more than that it is dead.
+            // A departure overrides a death, since the member announced it itself.
             (Claim::Left, State::Dead(at)) if newer || same => State::Left(*at),
             _ => return None,
         };
@@ -208,19 +220,22 @@
     }
 
     fn apply_own_update(&mut self, update: Update) -> Option<Change> {
-        if update.address != self.address && update.claim == Claim::Alive && update.incarnation >= self.incarnation {
+        if update.address != self.address
+            && update.claim == Claim::Alive
+            && update.incarnation >= self.incarnation
+        {
             return Some(Change::NameTaken(update.address));
         }
-        let contradicts = match update.claim {
-            // An earlier life of the own with a higher number, as when the clock has inactive back.
+        let needs_refutation = match update.claim {
+            // An earlier run of this instance had a higher incarnation, as after the clock was set back.
             Claim::Alive => update.incarnation > self.incarnation,
             Claim::Suspect | Claim::Dead | Claim::Left => update.incarnation >= self.incarnation,
         };
-        if !contradicts {
+        if !needs_refutation {
             return None;
         }
         self.incarnation = update.incarnation.max(self.incarnation).next();
-        // To be suspected is a sign that the own messages come late.
+        // Being suspected indicates that the own messages arrive late.
         if update.claim == Claim::Suspect {
             self.adjust_local_health(true);
         }
@@ -239,20 +254,20 @@
         let state = match update.claim {
             Claim::Alive => State::Alive,
             Claim::Suspect => State::Suspect(now, BTreeSet::from([from])),
-            // Kept, so that an old word does not bring it in.
+            // Remembered, so that an outdated alive update does not add the member.
             Claim::Dead => State::Dead(now),
             Claim::Left => State::Left(now),
         };
-        let there = state.is_active();
+        let active = state.is_active();
         let member = Member { address: update.address, incarnation: update.incarnation, state, load: 0 };
         self.members.insert(update.id, member);
-        if there {
+        if active {
             self.insert_into_round(update.id);
         }
-        there.then_some(Change::Member(update))
+        active.then_some(Change::Member(update))
     }
 
-    /// It was heard itself, in this incarnation: whatever others say, it is there.
+    /// Records a datagram received from the member itself, which counts as an alive update.
     pub fn heard_directly(
         &mut self,
         now: Micros,
@@ -265,7 +280,7 @@
         self.apply(now, update, id, max_incarnation)
     }
 
-    /// How pressed a member says that it is.
+    /// Records the processor load that a member reported.
     pub fn set_member_load(&mut self, id: MemberId, load: u8) {
         if let Some(m) = self.members.get_mut(&id) {
             m.load = load;
@@ -277,23 +292,23 @@
         }
     }
 
-    /// Whether a member at this address said that it is pressed.
+    /// Whether a member at this address reported overload.
     pub fn is_overloaded(&self, address: SocketAddr) -> bool {
         self.overloaded.contains(&address)
     }
 
-    /// It did not answer this instance.
+    /// Suspects a member that did not answer a probe of this instance.
     pub fn suspect(&mut self, now: Micros, id: MemberId) -> Option<Change> {
         let m = self.members.get(&id)?;
         let update = Update { id, address: m.address, incarnation: m.incarnation, claim: Claim::Suspect };
         self.apply(now, update, self.own_id, Incarnation::MAX)
     }
 
-    /// Suspicions whose time is up become deaths; tombstones whose time is up go.
+    /// Declares members dead whose suspicion timed out, and forgets expired tombstones.
     pub fn expire(&mut self, now: Micros) -> Vec<Change> {
-        let there = self.active_count();
+        let active = self.active_count();
         let expired = |m: &&Member| match &m.state {
-            State::Suspect(since, accusers) => now - since >= suspicion_timeout(there, accusers.len()),
+            State::Suspect(since, accusers) => now - since >= suspicion_timeout(active, accusers.len()),
             _ => false,
         };
         let dead: Vec<MemberId> = self.members.iter().filter(|m| expired(&m.1)).map(|m| *m.0).collect();
@@ -305,16 +320,17 @@
                 changes.push(Change::Member(Update { id, address, incarnation, claim: Claim::Dead }));
             }
         }
-        self.members
-            .retain(|_, m| !matches!(m.state, State::Dead(at) | State::Left(at) if now - at >= TOMBSTONE_LIFETIME));
+        self.members.retain(
+            |_, m| !matches!(m.state, State::Dead(at) | State::Left(at) if now - at >= TOMBSTONE_LIFETIME),
+        );
         if !self.overloaded.is_empty() {
-            let there: BTreeSet<SocketAddr> = self.members.values().map(|m| m.address).collect();
-            self.overloaded.retain(|a| there.contains(a));
+            let addresses: BTreeSet<SocketAddr> = self.members.values().map(|m| m.address).collect();
+            self.overloaded.retain(|a| addresses.contains(a));
         }
         changes
     }
 
-    /// A new one gets a place by lot, so that not all ask it at the same time.
+    /// Inserts a member at a random position of the round, so that not all instances ping it at the same time.
     fn insert_into_round(&mut self, id: MemberId) {
         if !self.round.contains(&id) {
             let at = self.rng.usize(..=self.round.len());
@@ -322,7 +338,7 @@
         }
     }
 
-    /// Whom to ask now: each that is there once, in an order drawn anew for each round (SWIM, section 4.3).
+    /// Next ping target: each active member once per round, in a new random order each round (SWIM, section 4.3).
     pub fn next_ping_target(&mut self) -> Option<MemberId> {
         for _ in 0..2 {
             while let Some(id) = self.round.pop() {
@@ -336,41 +352,41 @@
         None
     }
 
-    /// Some that are there, by lot, but for one.
+    /// Up to `count` random alive members, except one.
     pub fn random_alive(&mut self, count: usize, except: MemberId) -> Vec<(MemberId, SocketAddr)> {
-        let there = self.members.iter().filter(|m| m.1.state == State::Alive && *m.0 != except);
-        let mut all: Vec<(MemberId, SocketAddr)> = there.map(|(id, m)| (*id, m.address)).collect();
-        let n = count.min(all.len());
-        for i in 0..n {
+        let alive = self.members.iter().filter(|m| m.1.state == State::Alive && *m.0 != except);
+        let mut all: Vec<(MemberId, SocketAddr)> = alive.map(|(id, m)| (*id, m.address)).collect();
+        let picked = count.min(all.len());
+        for i in 0..picked {
             let j = self.rng.usize(i..all.len());
             all.swap(i, j);
         }
-        all.truncate(n);
+        all.truncate(picked);
         all
     }
 
-    /// One that is dead, by lot: after a split the halves find each other by asking the dead.
+    /// A random dead member: after a network partition the parts find each other by pinging dead members.
     pub fn random_dead(&mut self) -> Option<(MemberId, SocketAddr)> {
         let dead: Vec<_> = self.members.iter().filter(|m| matches!(m.1.state, State::Dead(_))).collect();
         let n = dead.len();
         (n > 0).then(|| dead[self.rng.usize(..n)]).map(|(id, m)| (*id, m.address))
     }
 
-    /// A number by lot.
+    /// A random number below a bound.
     pub fn random_below(&mut self, bound: u32) -> u32 {
         self.rng.u32(..bound.max(1))
     }
 
-    /// A hash of each group of members and their states, the own instance among them.
+    /// Hash of each digest bucket of members and their states, including the own instance.
     pub fn digest(&self) -> [u32; DIGEST_BUCKETS] {
         let mut hashers: Vec<blake3::Hasher> = (0..DIGEST_BUCKETS).map(|_| blake3::Hasher::new()).collect();
-        let own_id = [(self.own_id, self.incarnation, Claim::Alive)];
+        let own = [(self.own_id, self.incarnation, Claim::Alive)];
         let others = self.members.iter().map(|(id, m)| {
-            // A suspicion comes and goes; only what lasts is compared.
+            // Suspicions are short-lived and are not compared.
             let claim = if m.state.is_active() { Claim::Alive } else { m.state.claim() };
             (*id, m.incarnation, claim)
         });
-        let mut all: Vec<_> = own_id.into_iter().chain(others).collect();
+        let mut all: Vec<_> = own.into_iter().chain(others).collect();
         all.sort_unstable();
         for (id, incarnation, claim) in all {
             let h = &mut hashers[bucket_of(id)];
@@ -386,34 +402,34 @@
         std::array::from_fn(|i| truncate(&hashers[i]))
     }
 
-    /// What is known of the members of some groups, the own instance among them.
+    /// Updates about the members in the selected digest buckets, including the own instance.
     pub fn updates_in_buckets(&self, wanted: impl Fn(usize) -> bool) -> Vec<Update> {
-        let own_id = [self.own_update(Claim::Alive)];
+        let own = [self.own_update(Claim::Alive)];
         let others = self.members.iter().map(|(id, m)| Update {
             id: *id,
             address: m.address,
             incarnation: m.incarnation,
             claim: m.state.claim(),
         });
-        own_id.into_iter().chain(others).filter(|update| wanted(bucket_of(update.id))).collect()
+        own.into_iter().chain(others).filter(|update| wanted(bucket_of(update.id))).collect()
     }
 }
 
-/// The group of a member, for digests.
+/// Digest bucket of a member.
 pub fn bucket_of(id: MemberId) -> usize {
     (id.0 % DIGEST_BUCKETS as u64) as usize
 }
 
-/// How long a suspicion lasts in a group of so many, by those who confirm it.
-fn suspicion_timeout(there: usize, accusers: usize) -> Micros {
-    let size = (there as f64).log10().max(1.0);
-    let least = SUSPICION_ALPHA * size * PROTOCOL_PERIOD as f64;
-    // With nobody to confirm it, as between two, the longest wait would be for nothing.
-    let others = there.saturating_sub(2).min(MAX_CONFIRMATIONS);
-    if others == 0 {
-        return least as Micros;
+/// Suspicion timeout by the number of active members and of members that suspect.
+fn suspicion_timeout(active: usize, accusers: usize) -> Micros {
+    let size = (active as f64).log10().max(1.0);
+    let min_timeout = SUSPICION_ALPHA * size * PROTOCOL_PERIOD as f64;
+    // Without a third member nobody can confirm, and waiting for confirmations would be useless.
+    let possible_confirmations = active.saturating_sub(2).min(MAX_CONFIRMATIONS);
+    if possible_confirmations == 0 {
+        return min_timeout as Micros;
     }
-    let most = SUSPICION_BETA * least;
-    let share = (accusers.max(1) as f64).ln() / (others as f64 + 1.0).ln();
-    (most - (most - least) * share).max(least) as Micros
+    let max_timeout = SUSPICION_BETA * min_timeout;
+    let share = (accusers.max(1) as f64).ln() / (possible_confirmations as f64 + 1.0).ln();
+    (max_timeout - (max_timeout - min_timeout) * share).max(min_timeout) as Micros
 }
--- a/crates/gossip/src/wire.rs
+++ b/crates/gossip/src/wire.rs
@@ -1,175 +1,173 @@
-//! The form of a datagram, version 1. Numbers are big-endian. `docs/design/gossip.md` has it byte by byte.
+//! Datagram format, version 1. Numbers are big-endian. `docs/design/gossip.md` specifies it byte by byte.
 //!
 //! ```text
 //! 0      version (1)
 //! 1      key id
-//! 2..10  sender
+//! 2..10  sender id
 //! 10..16 sender's incarnation
 //! 16..20 sequence number within that incarnation
-//! 20..   message: kind, then its fields
-//!        items: kind, then its fields, until the seal
-//! -12..  seal: the first 96 bits of HMAC-SHA256 over all before it
+//! 20..   message: type, then its fields
+//!        items: type, then its fields, up to the authentication tag
+//! -12..  authentication tag: the first 96 bits of HMAC-SHA256 over everything before it
 //! ```
 //!
-//! A reader takes nothing for granted: a kind that is not known, a field cut short or a byte too many makes the
-//! datagram unusable as a whole.
+//! The decoder is strict: an unknown type, a truncated field or an extra byte makes the whole datagram invalid.
 
 use crate::evidence::Evidence;
 use crate::{Exchange, MemberId};
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
 
-/// The version that is spoken.
+/// Protocol version.
 pub const VERSION: u8 = 1;
-/// The longest datagram (bytes); the platform's limit for messages between peers.
+/// Maximum datagram length (bytes); the platform's limit for messages between peers.
 pub const MAX_DATAGRAM_BYTES: usize = 256;
-/// Bytes of the seal: 96 bits, the least that RFC 2104 and SP 800-107 advise for HMAC.
+/// Length of the authentication tag (bytes): 96 bits, the minimum that RFC 2104 and SP 800-107 recommend for HMAC.
 pub const TAG_BYTES: usize = 12;
-/// Bytes before the message.
+/// Length of the header (bytes).
 pub const HEADER_BYTES: usize = 20;
-/// Bytes for the message and items.
+/// Space for the message and items (bytes).
 pub const PAYLOAD_BYTES: usize = MAX_DATAGRAM_BYTES - HEADER_BYTES - TAG_BYTES;
-/// Groups of members by which digests are told.
+/// Number of hash buckets in a digest.
 pub const DIGEST_BUCKETS: usize = 16;
 
-/// When an instance began its present life, and how often it has contradicted others since: 36 bits of seconds and
-/// 12 bits of count, so that a later life always has the higher number.
+/// Start time of an instance's current run, and the number of its refutations since: 36 bits of seconds and 12 bits of
+/// count, so that a later run always has a higher incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Incarnation(pub u64);
 
 impl Incarnation {
-    /// The highest that the form has room for.
+    /// The highest value that the format can carry.
     pub const MAX: Incarnation = Incarnation((1 << 48) - 1);
 
-    /// The first of a life that begins at this second of the Unix clock.
+    /// The first incarnation of a run that starts at this Unix time in seconds.
     pub fn at(unix_seconds: i64) -> Incarnation {
         Incarnation((unix_seconds.clamp(0, (1 << 36) - 1) as u64) << 12)
     }
 
-    /// The next one; the highest stays.
+    /// The next incarnation; the maximum stays.
     pub fn next(self) -> Incarnation {
         Incarnation((self.0 + 1).min(Incarnation::MAX.0))
     }
 }
 
-/// What a member is said to be.
+/// Claimed state of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Claim {
-    /// It answers.
+    /// It answers pings.
     Alive,
-    /// It did not answer.
+    /// It did not answer a probe.
     Suspect,
-    /// It has not answered for long.
+    /// Its suspicion timed out.
     Dead,
-    /// It said that it leaves.
+    /// It announced that it leaves.
     Left,
 }
 
-/// What is said of a member.
+/// Update about a member, as disseminated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Update {
-    /// The member.
+    /// Id of the member.
     pub id: MemberId,
-    /// Where it listens.
+    /// Address at which it listens.
     pub address: SocketAddr,
-    /// Of which incarnation this is said.
+    /// Incarnation that the claim refers to.
     pub incarnation: Incarnation,
-    /// What.
+    /// Claimed state.
     pub claim: Claim,
 }
 
-/// A message.
+/// Protocol message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Message {
-    /// Are you there? `target`: whom it is meant for, so that another at its address does not answer for it.
+    /// Asks for an ack. The target is named, so that another instance at its address does not answer for it.
     Ping {
-        /// Comes back with the answer.
+        /// Returned in the ack.
         nonce: u16,
-        /// Who is meant; 0: whoever is there.
+        /// Id of the target; 0 if unknown, as for a seed.
         target: MemberId,
     },
-    /// I am; how pressed the sender's processor is, from 0 to 255.
+    /// Answers a ping.
     Ack {
-        /// The question's.
+        /// Nonce of the ping or the indirect ping request.
         nonce: u16,
-        /// How pressed.
+        /// Processor load of the answering member, from 0 to 255.
         load: u8,
     },
-    /// Ask this member for me.
+    /// Requests an indirect ping.
     PingReq {
-        /// Comes back with the answer.
+        /// Returned in the ack or nack.
         nonce: u16,
-        /// Whom to ask.
+        /// Id of the target.
         target: MemberId,
-        /// Where it is.
+        /// Address of the target.
         address: SocketAddr,
     },
-    /// I asked, and it has not answered yet: the sender at least is there.
+    /// Tells the requester that the target has not answered yet, and that the helper itself is alive.
     Nack {
-        /// The question's.
+        /// Nonce of the indirect ping request.
         nonce: u16,
     },
-    /// What the sender knows of the members, by groups.
+    /// Summary of the membership list, for anti-entropy.
     Digest {
-        /// Whether the other's is wanted in return.
+        /// Whether the receiver should reply with its own digest.
         reply: bool,
-        /// The hash of each group, cut short.
+        /// Truncated hash of each bucket.
         bucket_hashes: [u32; DIGEST_BUCKETS],
     },
-    /// Nothing but items.
+    /// Carries items only.
     Items,
 }
 
-/// Something that travels along.
+/// Item that is piggybacked on a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Item {
-    /// Of a member.
+    /// Update about a member.
     Member(Update),
-    /// What the sender itself measured of an exchange.
+    /// Measurements of an exchange by the sender itself.
     Evidence(Exchange, Evidence),
-    /// The exchanges that the sender's own exchange has groups with: the sender's exchange, and a bit for each of the
-    /// 64 exchanges from a first one on.
+    /// Exchanges that the sender's own exchange has trunk groups with, as a bitmap of 64 exchanges.
     Links {
-        /// The sender's exchange.
+        /// Exchange that the sender serves.
         own: Exchange,
         /// The exchange of the first bit.
         from: Exchange,
-        /// The bits, the first one highest.
+        /// Bitmap; the first exchange is the highest bit.
         bits: u64,
     },
 }
 
-/// A datagram without its seal.
+/// Datagram without its authentication tag.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Datagram {
-    /// Which key it is sealed with.
+    /// Id of the key that authenticates it.
     pub key_id: u8,
-    /// Who sends it.
+    /// Id of the sender.
     pub sender: MemberId,
-    /// In which incarnation.
+    /// Incarnation of the sender.
     pub incarnation: Incarnation,
-    /// Its number.
+    /// Sequence number.
     pub sequence: u32,
     /// The message.
     pub message: Message,
-    /// What travels along.
+    /// Piggybacked items.
     pub items: Vec<Item>,
 }
 
-/// Why a datagram is of no use.
+/// Reason why a datagram cannot be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// Too short or too long.
+    /// The length is out of range.
     #[error("{0} bytes, expected {least} to {MAX_DATAGRAM_BYTES}", least = HEADER_BYTES + 1 + TAG_BYTES)]
     Length(usize),
-    /// Another version.
+    /// The version is not supported.
     #[error("unsupported version {0}, expected {VERSION}")]
     Version(u8),
-    /// Something that is not known, or cut short.
+    /// A value is unknown or truncated, at this offset.
     #[error("invalid or truncated value at byte {0}")]
     Value(usize),
 }
 
-// ---- Writing ----
+// ---- Encoding ----
 
 fn address_len(a: &SocketAddr) -> usize {
     if a.is_ipv4() {
@@ -180,7 +178,7 @@
 }
 
 impl Item {
-    /// Bytes that it takes.
+    /// Encoded length in bytes.
     pub fn len(&self) -> usize {
         match self {
             Item::Member(u) => 1 + 8 + 6 + address_len(&u.address),
@@ -189,14 +187,14 @@
         }
     }
 
-    /// Never.
+    /// Always false: every item has a type byte.
     pub fn is_empty(&self) -> bool {
         false
     }
 }
 
 impl Message {
-    /// Bytes that it takes.
+    /// Encoded length in bytes.
     pub fn len(&self) -> usize {
         match self {
             Message::Ping { .. } => 1 + 2 + 8,
@@ -208,7 +206,7 @@
         }
     }
 
-    /// Never.
+    /// Always false: every message has a type byte.
     pub fn is_empty(&self) -> bool {
         false
     }
@@ -233,7 +231,7 @@
 }
 
 impl Datagram {
-    /// Its bytes without the seal. Items that do not fit are left out: whoever makes one counts beforehand.
+    /// Encodes the datagram without its tag. Items that do not fit are left out; callers limit them beforehand.
     pub fn encode(&self) -> Vec<u8> {
         let mut out = vec![VERSION, self.key_id];
         put(&mut out, self.sender.0, 8);
@@ -295,7 +293,7 @@
     }
 }
 
-// ---- Reading ----
+// ---- Decoding ----
 
 struct Reader<'a> {
     bytes: &'a [u8],
@@ -330,7 +328,7 @@
             _ => return Err(DecodeError::Value(at)),
         };
         let port = self.number(2)? as u16;
-        // Nobody listens there, or everybody: neither is a member's.
+        // Not usable as the address of a member.
         if port == 0 || ip.is_unspecified() || ip.is_multicast() {
             return Err(DecodeError::Value(at));
         }
@@ -338,10 +336,10 @@
     }
 }
 
-/// The key that a datagram names, before anything else of it is believed.
+/// Reads the key id of a datagram before it is authenticated.
 ///
 /// # Errors
-/// If it is no datagram of this form.
+/// If the length or the version is wrong.
 pub fn key_id(bytes: &[u8]) -> Result<u8, DecodeError> {
     if !(HEADER_BYTES + 1 + TAG_BYTES..=MAX_DATAGRAM_BYTES).contains(&bytes.len()) {
         return Err(DecodeError::Length(bytes.len()));
@@ -352,10 +350,10 @@
     Ok(bytes[1])
 }
 
-/// Reads a datagram whose seal was checked.
+/// Decodes an authenticated datagram.
 ///
 /// # Errors
-/// Names the byte that is not understood.
+/// Gives the offset of the first invalid byte.
 pub fn decode(bytes: &[u8]) -> Result<Datagram, DecodeError> {
     let key_id = key_id(bytes)?;
     let mut r = Reader { bytes: &bytes[..bytes.len() - TAG_BYTES], offset: 2 };
--- a/crates/gossip/tests/members.rs
+++ b/crates/gossip/tests/members.rs
@@ -1,28 +1,35 @@
-//! Members on a simulated network: deaths, restarts, splits, one-way links, liars, forgeries and floods. Seeds are
-//! fixed, and the clock is virtual.
+//! Membership and authentication on a simulated network: crashes, restarts, partitions, one-way links, forged and
+//! replayed datagrams, and floods. Seeds are fixed, and the clock is virtual.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use walnuthatch_gossip::simulation::{key_ring, Simulation, Network, RATE_LIMIT, START_UNIX};
-use walnuthatch_gossip::node::{Event, Node, Output};
 use walnuthatch_gossip::auth::KeyRing;
+use walnuthatch_gossip::node::{Event, Node, Output};
+use walnuthatch_gossip::simulation::{key_ring, Network, Simulation, RATE_LIMIT, START_UNIX};
 use walnuthatch_gossip::swim::State;
 use walnuthatch_gossip::wire::*;
 use walnuthatch_gossip::{Exchange, MemberId, Micros, SECOND};
 
-fn up(nodes: usize, seed: u64, net: Network) -> Simulation {
+fn converged(nodes: usize, seed: u64, net: Network) -> Simulation {
     let mut simulation = Simulation::new(nodes, seed, net);
-    let known = simulation.run_while(120 * SECOND, |l| l.known_share() < 1.0);
-    assert!(known.is_some(), "{} of all pairs know each other", simulation.known_share());
+    let converged_at = simulation.run_while(120 * SECOND, |s| s.known_share() < 1.0);
+    assert!(converged_at.is_some(), "{} of all pairs know each other", simulation.known_share());
     simulation
 }
 
-fn forged(key_ring: &KeyRing, sender: &str, incarnation: Incarnation, sequence: u32, items: Vec<Item>) -> Vec<u8> {
+fn forged(
+    key_ring: &KeyRing,
+    sender: &str,
+    incarnation: Incarnation,
+    sequence: u32,
+    items: Vec<Item>,
+) -> Vec<u8> {
     let sender = MemberId::of(sender);
-    key_ring.sign(Datagram { key_id: 1, sender, incarnation, sequence, message: Message::Items, items }.encode())
+    key_ring
+        .sign(Datagram { key_id: 1, sender, incarnation, sequence, message: Message::Items, items }.encode())
 }
 
-fn life() -> Incarnation {
+fn first_incarnation() -> Incarnation {
     Incarnation::at(START_UNIX)
 }
 
@@ -34,7 +41,8 @@
 #[test]
 fn the_same_seed_gives_the_same_run() {
     let run = |seed| {
-        let mut simulation = Simulation::new(20, seed, Network { loss: 0.1, duplication: 0.05, ..Network::default() });
+        let mut simulation =
+            Simulation::new(20, seed, Network { loss: 0.1, duplication: 0.05, ..Network::default() });
         simulation.run_until(20 * SECOND);
         simulation.traffic.iter().map(|t| t.bytes.clone()).collect::<Vec<_>>()
     };
@@ -43,13 +51,13 @@
 }
 
 #[test]
-fn a_death_is_known_to_all_and_nobody_living_is_taken_for_dead() {
+fn a_crash_is_detected_by_all_without_false_deaths() {
     for loss in [0.0, 0.05, 0.2] {
-        let mut simulation = up(12, 5, Network { loss, ..Network::default() });
-        let died = simulation.now;
+        let mut simulation = converged(12, 5, Network { loss, ..Network::default() });
+        let crashed = simulation.now;
         simulation.kill(7);
-        let known = simulation.run_while(died + 120 * SECOND, |l| l.dead_count(7) < 11);
-        assert!(known.is_some(), "at {loss}: {}", simulation.dead_count(7));
+        let converged_at = simulation.run_while(crashed + 120 * SECOND, |s| s.dead_count(7) < 11);
+        assert!(converged_at.is_some(), "at {loss}: {}", simulation.dead_count(7));
         if loss == 0.0 {
             assert!((0..12).filter(|i| *i != 7).all(|i| simulation.dead_count(i) == 0));
         }
@@ -57,26 +65,26 @@
 }
 
 #[test]
-fn one_that_restarts_is_back_and_its_old_life_is_gone() {
-    let mut simulation = up(8, 6, Network::default());
+fn a_restarted_member_rejoins_with_a_new_incarnation() {
+    let mut simulation = converged(8, 6, Network::default());
     simulation.kill(2);
     simulation.run_until(simulation.now + 60 * SECOND);
     simulation.start(2);
-    assert!(simulation.run_while(simulation.now + 60 * SECOND, |l| l.known_share() < 1.0).is_some());
-    // Killed and back at once, before anybody noticed.
+    assert!(simulation.run_while(simulation.now + 60 * SECOND, |s| s.known_share() < 1.0).is_some());
+    // Restart before any member noticed the crash.
     simulation.kill(3);
     simulation.start(3);
-    assert!(simulation.run_while(simulation.now + 60 * SECOND, |l| l.known_share() < 1.0).is_some());
+    assert!(simulation.run_while(simulation.now + 60 * SECOND, |s| s.known_share() < 1.0).is_some());
 }
 
 #[test]
-fn a_clock_that_went_back_before_the_restart_does_no_harm() {
-    let mut simulation = up(6, 7, Network { clock_skew: 0, ..Network::default() });
+fn a_clock_set_back_before_a_restart_does_not_prevent_rejoining() {
+    let mut simulation = converged(6, 7, Network { clock_skew: 0, ..Network::default() });
     simulation.kill(2);
     simulation.run_until(simulation.now + 40 * SECOND);
     simulation.net.clock_skew = 3600;
     for _ in 0..4 {
-        // By up to an hour to either side.
+        // A clock error of up to an hour in either direction.
         simulation.kill(2);
         simulation.start(2);
         simulation.run_until(simulation.now + 5 * SECOND);
@@ -84,37 +92,45 @@
     simulation.kill(2);
     simulation.net.clock_skew = 0;
     simulation.start(2);
-    // A life with a lower number is not heard until it has learnt of the higher one, by the digest or a question.
-    let back = simulation.run_while(simulation.now + 700 * SECOND, |l| l.known_share() < 1.0);
-    assert!(back.is_some(), "{}", simulation.known_share());
+    // A run with a lower incarnation is rejected until the node has learnt the higher one, from a digest or a ping.
+    let rejoined = simulation.run_while(simulation.now + 700 * SECOND, |s| s.known_share() < 1.0);
+    assert!(rejoined.is_some(), "{}", simulation.known_share());
 }
 
 #[test]
-fn half_die_at_once_all_restart_at_once_and_a_split_heals() {
-    let mut simulation = up(16, 8, Network::default());
+fn the_group_recovers_from_mass_crashes_restarts_and_a_partition() {
+    let mut simulation = converged(16, 8, Network::default());
     (8..16).for_each(|i| simulation.kill(i));
     let end = simulation.now + 120 * SECOND;
-    assert!(simulation.run_while(end, |l| (8..16).any(|i| l.dead_count(i) < 8)).is_some());
+    assert!(simulation.run_while(end, |s| (8..16).any(|i| s.dead_count(i) < 8)).is_some());
     assert!((0..8).all(|i| simulation.dead_count(i) == 0));
     (0..16).for_each(|i| simulation.kill(i));
     (0..16).for_each(|i| simulation.start(i));
-    assert!(simulation.run_while(simulation.now + 60 * SECOND, |l| l.known_share() < 1.0).is_some(), "{}", simulation.known_share());
+    assert!(
+        simulation.run_while(simulation.now + 60 * SECOND, |s| s.known_share() < 1.0).is_some(),
+        "{}",
+        simulation.known_share()
+    );
     simulation.partition(Some((0..16).map(|i| u8::from(i >= 8)).collect()));
     simulation.run_until(simulation.now + 60 * SECOND);
     assert!(!is_active(&simulation, 0, 15) && !is_active(&simulation, 15, 0));
     simulation.partition(None);
-    assert!(simulation.run_while(simulation.now + 120 * SECOND, |l| l.known_share() < 1.0).is_some(), "{}", simulation.known_share());
+    assert!(
+        simulation.run_while(simulation.now + 120 * SECOND, |s| s.known_share() < 1.0).is_some(),
+        "{}",
+        simulation.known_share()
+    );
 }
 
 #[test]
-fn one_that_hears_and_is_not_heard_is_dead_to_the_others_and_comes_back() {
-    let mut simulation = up(8, 9, Network::default());
+fn a_member_with_blocked_output_is_declared_dead_and_rejoins() {
+    let mut simulation = converged(8, 9, Network::default());
     (0..8).filter(|i| *i != 3).for_each(|i| simulation.block_link(3, i, true));
-    assert!(simulation.run_while(simulation.now + 90 * SECOND, |l| l.dead_count(3) < 7).is_some());
+    assert!(simulation.run_while(simulation.now + 90 * SECOND, |s| s.dead_count(3) < 7).is_some());
     (0..8).for_each(|i| simulation.block_link(3, i, false));
-    assert!(simulation.run_while(simulation.now + 90 * SECOND, |l| l.known_share() < 1.0).is_some());
-    // One link alone: others ask on its behalf, and nobody dies.
-    let mut simulation = up(8, 10, Network::default());
+    assert!(simulation.run_while(simulation.now + 90 * SECOND, |s| s.known_share() < 1.0).is_some());
+    // With only one broken link, indirect pings succeed and nobody is declared dead.
+    let mut simulation = converged(8, 10, Network::default());
     simulation.block_link(1, 2, true);
     simulation.block_link(2, 1, true);
     simulation.run_until(simulation.now + 90 * SECOND);
@@ -122,8 +138,8 @@
 }
 
 #[test]
-fn one_that_leaves_is_gone_at_once_and_not_called_dead() {
-    let mut simulation = up(6, 11, Network::default());
+fn a_leaving_member_is_removed_at_once_and_not_declared_dead() {
+    let mut simulation = converged(6, 11, Network::default());
     simulation.with_node(4, Node::leave);
     simulation.run_until(simulation.now + SECOND);
     simulation.kill(4);
@@ -133,29 +149,41 @@
 }
 
 #[test]
-fn forged_replayed_foreign_and_spoilt_datagrams_are_refused_each_for_its_reason() {
-    let mut simulation = up(4, 12, Network { clock_skew: 0, ..Network::default() });
+fn forged_replayed_foreign_and_corrupted_datagrams_are_counted_by_reason() {
+    let mut simulation = converged(4, 12, Network { clock_skew: 0, ..Network::default() });
     let from = simulation.address(1);
-    let lie = |inc| {
+    let false_claim = |inc| {
         let address = node_address(2);
         Item::Member(Update { id: MemberId::of("n2"), address, incarnation: inc, claim: Claim::Dead })
     };
-    let counts = |l: &Simulation| l.node(0).unwrap().counts();
-    // Another key; the right key but a bit flipped; a life before this one; a name from another's address.
+    let counts = |s: &Simulation| s.node(0).unwrap().counts();
+    // An unknown key, a flipped bit, an earlier run, and a known name from another address.
     let mut take = |from, bytes: Vec<u8>| {
         simulation.with_node(0, |n, now| n.handle_datagram(now, from, &bytes));
     };
-    take(from, forged(&key_ring('b'), "n1", life(), 9_000, vec![lie(life())]));
-    let good = forged(&key_ring('a'), "n1", life(), 9_001, vec![]);
-    let mut spoilt = good.clone();
-    spoilt[30] ^= 1;
-    take(from, spoilt);
-    take(from, forged(&key_ring('a'), "n1", Incarnation::at(START_UNIX - 999), 9_002, vec![lie(life())]));
+    take(
+        from,
+        forged(&key_ring('b'), "n1", first_incarnation(), 9_000, vec![false_claim(first_incarnation())]),
+    );
+    let good = forged(&key_ring('a'), "n1", first_incarnation(), 9_001, vec![]);
+    let mut corrupted = good.clone();
+    corrupted[30] ^= 1;
+    take(from, corrupted);
+    take(
+        from,
+        forged(
+            &key_ring('a'),
+            "n1",
+            Incarnation::at(START_UNIX - 999),
+            9_002,
+            vec![false_claim(first_incarnation())],
+        ),
+    );
     take(node_address(3), forged(&key_ring('a'), "n1", Incarnation::at(START_UNIX + 2), 90_003, vec![]));
     take("192.0.2.1:9".parse().unwrap(), good.clone());
     take(from, vec![1; 300]);
     take(from, vec![0; 40]);
-    take(from, forged(&key_ring('a'), "n1", Incarnation::MAX, 1, vec![lie(Incarnation::MAX)]));
+    take(from, forged(&key_ring('a'), "n1", Incarnation::MAX, 1, vec![false_claim(Incarnation::MAX)]));
     let c = counts(&simulation);
     assert_eq!((c.forged, c.foreign, c.unusable), (2, 1, 2), "{c:?}");
     assert!(c.repeated >= 2 && c.conflicts >= 1, "{c:?}");
@@ -167,53 +195,62 @@
 }
 
 #[test]
-fn a_flood_costs_no_more_than_the_ceiling_and_the_others_are_heard() {
-    let mut simulation = up(6, 13, Network::default());
-    let (to, liar) = (simulation.address(0), simulation.address(5));
+fn a_flood_is_limited_and_other_members_stay_active() {
+    let mut simulation = converged(6, 13, Network::default());
+    let (to, flooder) = (simulation.address(0), simulation.address(5));
     simulation.kill(5);
-    let begun = simulation.now;
+    let start = simulation.now;
     let before = simulation.node(0).unwrap().counts();
     for n in 0..20_000u32 {
         let bytes = forged(&key_ring('a'), "n5", Incarnation::at(START_UNIX + 5), 100_000 + n, Vec::new());
-        simulation.inject(liar, to, bytes);
+        simulation.inject(flooder, to, bytes);
         if n % 100 == 99 {
             simulation.run_until(simulation.now + SECOND / 100);
         }
     }
     let after = simulation.node(0).unwrap().counts();
-    let seconds = ((simulation.now - begun) / SECOND) as u64 + 1;
+    let seconds = ((simulation.now - start) / SECOND) as u64 + 1;
     assert!(after.flooded - before.flooded > 15_000, "{after:?}");
     assert!(after.taken - before.taken < seconds * (u64::from(RATE_LIMIT.datagrams) + 400));
-    assert!((1..5).all(|i| is_active(&simulation, 0, i)), "the others are heard all the while");
+    assert!((1..5).all(|i| is_active(&simulation, 0, i)), "the other members stay active");
 }
 
 #[test]
-fn two_with_one_name_are_told_and_the_first_one_stays() {
-    let mut simulation = up(4, 14, Network { clock_skew: 0, ..Network::default() });
+fn a_duplicate_name_is_reported_and_the_first_member_keeps_it() {
+    let mut simulation = converged(4, 14, Network { clock_skew: 0, ..Network::default() });
     simulation.record_outputs = true;
-    // Another instance calls itself n1, from the address of n3, with a number of its own life.
-    let bytes = forged(&key_ring('a'), "n1", life(), 77_777, Vec::new());
+    // A second instance uses the name n1 at the address of n3, with an incarnation of its own.
+    let bytes = forged(&key_ring('a'), "n1", first_incarnation(), 77_777, Vec::new());
     let (from, to) = (simulation.address(3), simulation.address(0));
     simulation.inject(from, to, bytes.clone());
     let n1 = simulation.address(1);
     simulation.inject(from, n1, bytes);
     simulation.run_until(simulation.now + SECOND);
-    let told = |i, want: fn(&Event) -> bool| {
+    let reported = |i, want: fn(&Event) -> bool| {
         simulation.outputs.iter().any(|(_, j, o)| *j == i && matches!(o, Output::Event(n) if want(n)))
     };
-    assert!(told(0, |n| matches!(n, Event::Conflict(..))) && told(1, |n| matches!(n, Event::NameTaken(_))));
     assert!(
-        is_active(&simulation, 0, 1) && simulation.node(0).unwrap().members.get(MemberId::of("n1")).unwrap().address == n1
+        reported(0, |n| matches!(n, Event::Conflict(..)))
+            && reported(1, |n| matches!(n, Event::NameTaken(_)))
+    );
+    assert!(
+        is_active(&simulation, 0, 1)
+            && simulation.node(0).unwrap().members.get(MemberId::of("n1")).unwrap().address == n1
     );
 }
 
 #[test]
-fn an_incarnation_from_the_far_future_is_nobodys() {
-    let mut simulation = up(4, 15, Network::default());
+fn an_incarnation_too_far_in_the_future_is_rejected() {
+    let mut simulation = converged(4, 15, Network::default());
     for claim in [Claim::Suspect, Claim::Dead, Claim::Alive] {
-        let far =
-            Update { id: MemberId::of("n2"), address: simulation.address(2), incarnation: Incarnation::MAX, claim };
-        let bytes = forged(&key_ring('a'), "n1", life(), 50_000 + claim as u32, vec![Item::Member(far)]);
+        let far = Update {
+            id: MemberId::of("n2"),
+            address: simulation.address(2),
+            incarnation: Incarnation::MAX,
+            claim,
+        };
+        let bytes =
+            forged(&key_ring('a'), "n1", first_incarnation(), 50_000 + claim as u32, vec![Item::Member(far)]);
         (0..4).for_each(|i| simulation.inject(node_address(1), node_address(i), bytes.clone()));
     }
     simulation.run_until(simulation.now + 30 * SECOND);
@@ -222,8 +259,8 @@
 }
 
 #[test]
-fn no_second_of_any_node_is_over_the_ceiling() {
-    let mut simulation = up(30, 16, Network { loss: 0.2, ..Network::default() });
+fn no_node_exceeds_its_rate_limit_in_any_second() {
+    let mut simulation = converged(30, 16, Network { loss: 0.2, ..Network::default() });
     (0..10).for_each(|i| simulation.kill(i));
     simulation.run_until(simulation.now + 30 * SECOND);
     (0..10).for_each(|i| simulation.start(i));
@@ -235,11 +272,11 @@
 }
 
 #[test]
-fn keys_are_rotated_three_times_under_traffic_and_no_peer_is_lost() {
+fn key_rotation_under_traffic_loses_no_member() {
     let key = |id: u8, digit: char, seals: bool| {
         format!("[[key]]\nid = {id}\nsecret = \"{}\"\nseals = {seals}\n", digit.to_string().repeat(64))
     };
-    let mut simulation = up(8, 17, Network { loss: 0.02, ..Network::default() });
+    let mut simulation = converged(8, 17, Network { loss: 0.02, ..Network::default() });
     let mut current = (1u8, 'a');
     for next in [(2u8, 'b'), (3, 'c'), (4, 'd')] {
         let steps = [
@@ -249,7 +286,7 @@
         ];
         for step in steps {
             for i in 0..8 {
-                // Not all at the same moment.
+                // At a different time on each node.
                 simulation.with_node(i, |n, _| n.set_key_ring(KeyRing::parse(&step).unwrap()));
                 simulation.run_until(simulation.now + SECOND / 2);
             }
@@ -259,46 +296,51 @@
     simulation.run_until(simulation.now + 20 * SECOND);
     assert!((0..8).all(|i| simulation.dead_count(i) == 0) && simulation.known_share() == 1.0);
     assert_eq!(simulation.running().map(|n| n.1.counts().forged).sum::<u64>(), 0);
-    // Whoever has the first key still is heard no more.
+    // A removed key is rejected.
     let bytes = forged(&key_ring('a'), "n1", Incarnation::at(START_UNIX + 60), 900_000, Vec::new());
     simulation.with_node(0, |n, now| n.handle_datagram(now, node_address(1), &bytes));
     assert_eq!(simulation.node(0).unwrap().counts().forged, 1);
 }
 
 #[test]
-fn nobody_speaks_for_anothers_exchange() {
-    let mut simulation = up(4, 18, Network::default());
+fn links_of_another_members_exchange_are_rejected() {
+    let mut simulation = converged(4, 18, Network::default());
     simulation.record_outputs = true;
     let links = |own: u16| Item::Links { own: Exchange(own), from: Exchange(0), bits: 1 << 63 };
     for i in 0..4 {
         simulation.with_node(i, |n, _| n.set_links(&[Exchange(0), Exchange(3)].into()));
     }
     simulation.run_until(simulation.now + 10 * SECOND);
-    let heard = |simulation: &Simulation, own: u16| {
+    let accepted = |simulation: &Simulation, own: u16| {
         let of = |o: &Output| {
             matches!(o, Output::Links { own: e, member, .. }
             if *e == Exchange(own) && *member != MemberId::of(&format!("n{own}")))
         };
         simulation.outputs.iter().any(|s| of(&s.2))
     };
-    assert!(!heard(&simulation, 2));
-    let bytes = forged(&key_ring('a'), "n1", life(), 60_000, vec![links(2)]);
+    assert!(!accepted(&simulation, 2));
+    let bytes = forged(&key_ring('a'), "n1", first_incarnation(), 60_000, vec![links(2)]);
     simulation.inject(node_address(1), node_address(0), bytes);
     simulation.run_until(simulation.now + SECOND);
-    assert!(!heard(&simulation, 2));
+    assert!(!accepted(&simulation, 2));
 }
 
 #[test]
-fn memory_is_bounded_whatever_names_are_heard() {
-    let mut simulation = up(3, 19, Network::default());
+fn memory_is_bounded_with_any_number_of_names() {
+    let mut simulation = converged(3, 19, Network::default());
     let mut sequence = 10_000;
     for round in 0..400u64 {
         let item = |n: u64| {
             let id = MemberId(round * 10 + n + 1);
-            Item::Member(Update { id, address: node_address(200), incarnation: life(), claim: Claim::Alive })
+            Item::Member(Update {
+                id,
+                address: node_address(200),
+                incarnation: first_incarnation(),
+                claim: Claim::Alive,
+            })
         };
         sequence += 1;
-        let bytes = forged(&key_ring('a'), "n1", life(), sequence, (0..9).map(item).collect());
+        let bytes = forged(&key_ring('a'), "n1", first_incarnation(), sequence, (0..9).map(item).collect());
         simulation.with_node(0, |n, now| n.handle_datagram(now, node_address(1), &bytes));
         simulation.now += SECOND / 20;
     }
@@ -308,8 +350,8 @@
 }
 
 #[test]
-fn states_follow_the_rules_of_precedence() {
-    // Each claim against each state and incarnation, as the papers have it.
+fn states_follow_the_precedence_rules_of_swim() {
+    // Each claim against each state and incarnation, as specified by SWIM.
     use walnuthatch_gossip::swim::Members;
     let me = MemberId(1);
     for (first, second, expect) in [
@@ -327,16 +369,16 @@
         ((Claim::Left, 5), (Claim::Alive, 6), Claim::Alive),
     ] {
         let mut m = Members::new(me, node_address(1), Incarnation(1), 0);
-        let say = |m: &mut Members, at: Micros, (claim, i): (Claim, u64)| {
+        let apply = |m: &mut Members, at: Micros, (claim, i): (Claim, u64)| {
             let u = Update { id: MemberId(2), address: node_address(2), incarnation: Incarnation(i), claim };
             m.apply(at, u, MemberId(3), Incarnation::MAX);
         };
-        say(&mut m, 0, first);
-        say(&mut m, 1, second);
+        apply(&mut m, 0, first);
+        apply(&mut m, 1, second);
         let got = m.get(MemberId(2)).unwrap();
         assert_eq!(got.state.claim(), expect, "{first:?} then {second:?}");
     }
-    // It contradicts what is said of itself, and is never below what is said.
+    // A claim about the own instance is refuted with a higher incarnation.
     let mut m = Members::new(me, node_address(1), Incarnation(9), 0);
     let u = Update { id: me, address: node_address(1), incarnation: Incarnation(20), claim: Claim::Dead };
     assert!(m.apply(0, u, MemberId(3), Incarnation::MAX).is_some());
@@ -346,19 +388,19 @@
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(31), ..ProptestConfig::default() })]
-    /// Random words on three members, time, and restarts of what is said, against the rules as the papers have them.
+    /// Compares random updates of three members, with time passing, against the rules of SWIM.
     #[test]
-    fn members_follow_the_model(words in prop::collection::vec((2u64..5, 0u8..4, 1u64..6, 0i64..40), 1..80)) {
+    fn members_follow_the_model(updates in prop::collection::vec((2u64..5, 0u8..4, 1u64..6, 0i64..40), 1..80)) {
         use std::collections::BTreeMap;
         use walnuthatch_gossip::swim::Members;
         let claims = [Claim::Alive, Claim::Suspect, Claim::Dead, Claim::Left];
         let mut members = Members::new(MemberId(1), node_address(1), Incarnation(1), 0);
         let mut model: BTreeMap<u64, (Claim, u64, Micros)> = BTreeMap::new();
         let mut now = 0;
-        for (id, claim, i, pass) in words {
-            now += pass * SECOND / 4;
+        for (id, claim, i, elapsed) in updates {
+            now += elapsed * SECOND / 4;
             let claim = claims[usize::from(claim)];
-            // Suspicions run out; nobody confirms them here but the one accuser.
+            // Suspicions time out; they have a single accuser here and are never confirmed.
             for m in model.values_mut() {
                 if m.0 == Claim::Suspect && now - m.2 >= members.suspicion_timeout(1) {
                     *m = (Claim::Dead, m.1, now);
--- a/crates/gossip/tests/wire.rs
+++ b/crates/gossip/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The form of datagrams on random contents and on any bytes, and the laws of merging reports.
+//! Property tests of the datagram format on random contents and arbitrary bytes, and of merging reports.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -49,7 +49,8 @@
             address
         }),
         any::<u16>().prop_map(|nonce| Message::Nack { nonce }),
-        (any::<bool>(), any::<[u32; DIGEST_BUCKETS]>()).prop_map(|(reply, bucket_hashes)| Message::Digest { reply, bucket_hashes }),
+        (any::<bool>(), any::<[u32; DIGEST_BUCKETS]>())
+            .prop_map(|(reply, bucket_hashes)| Message::Digest { reply, bucket_hashes }),
         Just(Message::Items),
     ]
 }
@@ -81,7 +82,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(21), ..ProptestConfig::default() })]
 
     #[test]
-    fn what_is_written_is_read_back(sender in any::<u64>(), sequence in any::<u32>(), message in message(),
+    fn encoding_round_trips(sender in any::<u64>(), sequence in any::<u32>(), message in message(),
                                     items in prop::collection::vec(item(), 0..12)) {
         let d = Datagram { key_id: 3, sender: MemberId(sender), incarnation: Incarnation(7 << 12), sequence, message, items };
         let mut bytes = d.encode();
@@ -90,14 +91,14 @@
         prop_assert_eq!(key_id(&bytes), Ok(3));
         let got = decode(&bytes).unwrap();
         prop_assert_eq!((got.sender, got.sequence, got.message), (d.sender, d.sequence, d.message));
-        // What has no room is left out from the end; nothing else is changed.
+        // Items that do not fit are left out from the end; the rest is unchanged.
         prop_assert_eq!(&got.items[..], &d.items[..got.items.len()]);
         let used: usize = HEADER_BYTES + d.message.len() + d.items.iter().map(Item::len).sum::<usize>();
         prop_assert_eq!(got.items.len() == d.items.len(), used <= MAX_DATAGRAM_BYTES - TAG_BYTES);
     }
 
     #[test]
-    fn any_bytes_are_read_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn arbitrary_bytes_are_decoded_or_rejected(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         let read = decode(&bytes);
         if !(HEADER_BYTES + 1 + TAG_BYTES..=MAX_DATAGRAM_BYTES).contains(&bytes.len()) {
             prop_assert_eq!(read, Err(DecodeError::Length(bytes.len())));
@@ -105,7 +106,7 @@
     }
 
     #[test]
-    fn a_datagram_cut_short_or_spoilt_never_panics(message in message(), items in prop::collection::vec(item(), 1..6),
+    fn truncated_or_corrupted_datagrams_never_panic(message in message(), items in prop::collection::vec(item(), 1..6),
                                                    cut in 0usize..256, at in 0usize..256, bit in 0u8..8) {
         let d = Datagram { key_id: 1, sender: MemberId(1), incarnation: Incarnation(1), sequence: 1, message, items };
         let mut bytes = d.encode();
@@ -119,14 +120,14 @@
     #[test]
     fn merging_is_commutative_associative_and_idempotent(a in reports(), b in reports(), c in reports()) {
         let (a, b, c) = (store(&a), store(&b), store(&c));
-        // When it was measured is each instance's own estimate, and is the same for one report that comes twice.
+        // The time of measurement is a local estimate, which is the same for a report that arrives twice.
         prop_assert_eq!(strip(&joined(&a, &b)), strip(&joined(&b, &a)));
         prop_assert_eq!(strip(&joined(&joined(&a, &b), &c)), strip(&joined(&a, &joined(&b, &c))));
         prop_assert_eq!(joined(&a, &a), a);
     }
 }
 
-/// What counts of a store: for each exchange and reporter what was said.
+/// The part of a store that merging determines: for each exchange and reporter the measurements.
 fn strip(r: &Reports) -> Vec<(u16, u64, Incarnation, Evidence)> {
     let on = |e: u16| {
         r.fresh(8, Exchange(e)).map(move |(id, r)| (e, id.0, r.incarnation, r.evidence)).collect::<Vec<_>>()
--- a/examples/gossip_tables.rs
+++ b/examples/gossip_tables.rs
@@ -8,9 +8,9 @@
 use walnuthatch::routing::deadlines::Deadlines;
 use walnuthatch::routing::interface::*;
 use walnuthatch::routing::ledger::{Answer, FrontId, Ledger, LedgerDue, Offer, Output};
-use walnuthatch_gossip::rate_limit::RateLimit;
-use walnuthatch_gossip::simulation::{Simulation, Network, RATE_LIMIT};
 use walnuthatch_gossip::node::Output as NodeOutput;
+use walnuthatch_gossip::rate_limit::RateLimit;
+use walnuthatch_gossip::simulation::{Network, Simulation, RATE_LIMIT};
 use walnuthatch_gossip::{Exchange, SECOND};
 
 #[derive(Parser)]
