--- a/crates/gossip/src/node.rs
+++ b/crates/gossip/src/node.rs
@@ -110,9 +110,9 @@
         /// Member that reported them.
         member: MemberId,
         /// Exchange that the member serves.
-        own: Exchange,
+        exchange: Exchange,
         /// Exchange of the first bit.
-        from: Exchange,
+        first: Exchange,
         /// One bit for each exchange.
         bits: u64,
     },
@@ -280,8 +280,10 @@
         for e in linked {
             *blocks.entry(e.0 / 64 * 64).or_default() |= 1 << (63 - e.0 % 64);
         }
-        let links: Vec<Item> =
-            blocks.into_iter().map(|(from, bits)| Item::Links { own, from: Exchange(from), bits }).collect();
+        let links: Vec<Item> = blocks
+            .into_iter()
+            .map(|(first, bits)| Item::Links { exchange: own, first: Exchange(first), bits })
+            .collect();
         if links != self.links {
             let limit = max_transmissions(self.members.active_count());
             links.iter().for_each(|l| self.queue.add(*l, limit));
@@ -733,15 +735,15 @@
                     self.next_evaluation = self.next_evaluation.min(now);
                 }
             }
-            Item::Links { own, from, bits } => {
+            Item::Links { exchange, first, bits } => {
                 // Each instance may report the links of one exchange only, and no exchange has two reporters.
-                let reporter = *self.exchange_reporters.entry(own).or_insert(sender);
-                let has_other = self.exchange_reporters.iter().any(|(e, id)| *e != own && *id == sender);
-                if reporter != sender || has_other || Some(own) == self.config.own_exchange {
+                let reporter = *self.exchange_reporters.entry(exchange).or_insert(sender);
+                let has_other = self.exchange_reporters.iter().any(|(e, id)| *e != exchange && *id == sender);
+                if reporter != sender || has_other || Some(exchange) == self.config.own_exchange {
                     self.counts.conflicts += 1;
                     return;
                 }
-                self.outputs.push(Output::Links { member: sender, own, from, bits });
+                self.outputs.push(Output::Links { member: sender, exchange, first, bits });
             }
         }
     }
--- a/crates/gossip/src/wire.rs
+++ b/crates/gossip/src/wire.rs
@@ -128,9 +128,9 @@
     /// Exchanges that the sender's own exchange has trunk groups with, as a bitmap of 64 exchanges.
     Links {
         /// Exchange that the sender serves.
-        own: Exchange,
+        exchange: Exchange,
         /// The exchange of the first bit.
-        from: Exchange,
+        first: Exchange,
         /// Bitmap; the first exchange is the highest bit.
         bits: u64,
     },
@@ -281,10 +281,10 @@
                     put(&mut out, exchange.0.into(), 2);
                     out.extend(e.encode());
                 }
-                Item::Links { own, from, bits } => {
+                Item::Links { exchange, first, bits } => {
                     out.push(0x30);
-                    put(&mut out, own.0.into(), 2);
-                    put(&mut out, from.0.into(), 2);
+                    put(&mut out, exchange.0.into(), 2);
+                    put(&mut out, first.0.into(), 2);
                     put(&mut out, *bits, 8);
                 }
             }
@@ -397,8 +397,8 @@
             }
             0x20 => Item::Evidence(Exchange(r.number(2)? as u16), Evidence::decode(r.take()?)),
             0x30 => Item::Links {
-                own: Exchange(r.number(2)? as u16),
-                from: Exchange(r.number(2)? as u16),
+                exchange: Exchange(r.number(2)? as u16),
+                first: Exchange(r.number(2)? as u16),
                 bits: r.number(8)?,
             },
             _ => return Err(DecodeError::Value(at)),
--- a/crates/gossip/tests/members.rs
+++ b/crates/gossip/tests/members.rs
@@ -306,14 +306,14 @@
 fn links_of_another_members_exchange_are_rejected() {
     let mut simulation = converged(4, 18, Network::default());
     simulation.record_outputs = true;
-    let links = |own: u16| Item::Links { own: Exchange(own), from: Exchange(0), bits: 1 << 63 };
+    let links = |own: u16| Item::Links { exchange: Exchange(own), first: Exchange(0), bits: 1 << 63 };
     for i in 0..4 {
         simulation.with_node(i, |n, _| n.set_links(&[Exchange(0), Exchange(3)].into()));
     }
     simulation.run_until(simulation.now + 10 * SECOND);
     let accepted = |simulation: &Simulation, own: u16| {
         let of = |o: &Output| {
-            matches!(o, Output::Links { own: e, member, .. }
+            matches!(o, Output::Links { exchange: e, member, .. }
             if *e == Exchange(own) && *member != MemberId::of(&format!("n{own}")))
         };
         simulation.outputs.iter().any(|s| of(&s.2))
--- a/crates/gossip/tests/wire.rs
+++ b/crates/gossip/tests/wire.rs
@@ -31,9 +31,9 @@
     prop_oneof![
         update().prop_map(Item::Member),
         (any::<u16>(), evidence()).prop_map(|(e, v)| Item::Evidence(Exchange(e), v)),
-        (any::<u16>(), any::<u16>(), any::<u64>()).prop_map(|(own, from, bits)| Item::Links {
-            own: Exchange(own),
-            from: Exchange(from),
+        (any::<u16>(), any::<u16>(), any::<u64>()).prop_map(|(exchange, first, bits)| Item::Links {
+            exchange: Exchange(exchange),
+            first: Exchange(first),
             bits
         }),
     ]
--- a/src/program/gossip.rs
+++ b/src/program/gossip.rs
@@ -160,7 +160,9 @@
                     let all = all.into_iter().map(|e| ExchangeNo(e.0)).collect();
                     self.todo.push(Output::Suspect(all));
                 }
-                node::Output::Links { member, own, from, bits } => self.link(member, own, from, bits),
+                node::Output::Links { member, exchange, first, bits } => {
+                    self.link(member, exchange, first, bits);
+                }
                 node::Output::Event(news) => {
                     let (kind, text) = told(&news);
                     self.todo.push(Output::Tell(kind, text));
