--- a/examples/gossip_tables.rs
+++ b/examples/gossip_tables.rs
@@ -1,7 +1,7 @@
-//! The tables of `docs/measurements/gossip.md`: membership on a simulated network, and routing round a processor that
-//! hangs, with and without gossip. All of it is on a virtual clock, and the same seeds give the same tables.
+//! Generates the tables of `docs/measurements/gossip.md`: membership on a simulated network, and routing around a hung
+//! exchange with and without gossip. The clock is virtual, and the same seeds give the same tables.
 //!
-//! `cargo run --release --example gossip_tables` (about a minute; `--most 100` leaves the largest group out)
+//! `cargo run --release --example gossip_tables` (about a minute; `--most 100` omits the largest group)
 
 use clap::Parser;
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,10 +15,10 @@
 
 #[derive(Parser)]
 struct Args {
-    /// The largest group
-    #[arg(long, default_value_t = 1000)]
-    most: usize,
-    /// Seeds
+    /// Largest group size
+    #[arg(long = "most", default_value_t = 1000)]
+    max_members: usize,
+    /// Number of seeds
     #[arg(long, default_value_t = 10)]
     seeds: u64,
 }
@@ -26,7 +26,7 @@
 fn main() {
     let args = Args::parse();
     routing(args.seeds);
-    let sizes: Vec<usize> = [6, 30, 100, 1000].into_iter().filter(|n| *n <= args.most).collect();
+    let sizes: Vec<usize> = [6, 30, 100, 1000].into_iter().filter(|n| *n <= args.max_members).collect();
     membership(&sizes, args.seeds);
 }
 
@@ -45,50 +45,52 @@
 
 // ---- Membership ----
 
-fn settled(n: usize, seed: u64, net: Network) -> Simulation {
+fn converged(n: usize, seed: u64, net: Network) -> Simulation {
     let mut simulation = Simulation::new(n, seed, net);
-    simulation.run_while(300 * SECOND, |l| !l.converged());
+    simulation.run_while(300 * SECOND, |s| !s.converged());
     simulation
 }
 
-/// What one seed showed.
+/// Measurements of one seed.
 #[derive(Default)]
-struct Seen {
-    death: f64,
-    heal: f64,
-    falsely: [u64; 3],
+struct Measurements {
+    detection: f64,
+    healing: f64,
+    false_deaths: [u64; 3],
     bytes: Vec<f64>,
     datagrams: Vec<f64>,
 }
 
-fn one_seed(n: usize, seed: u64) -> Seen {
-    let mut seen = Seen::default();
-    for (at, loss) in [0.0, 0.05, 0.2].into_iter().enumerate() {
-        let mut simulation = settled(n, seed, Network { loss, ..Network::default() });
+fn one_seed(n: usize, seed: u64) -> Measurements {
+    let mut measured = Measurements::default();
+    for (index, loss) in [0.0, 0.05, 0.2].into_iter().enumerate() {
+        let mut simulation = converged(n, seed, Network { loss, ..Network::default() });
         let before: u64 = simulation.running().map(|x| x.1.counts().deaths).sum();
         let second = (simulation.now / SECOND) as usize;
         simulation.run_until(simulation.now + 60 * SECOND);
-        seen.falsely[at] = simulation.running().map(|x| x.1.counts().deaths).sum::<u64>() - before;
+        measured.false_deaths[index] =
+            simulation.running().map(|x| x.1.counts().deaths).sum::<u64>() - before;
         if loss > 0.0 {
             continue;
         }
         for t in &simulation.traffic {
-            seen.bytes.extend(t.bytes.iter().skip(second).map(|b| f64::from(*b)));
-            seen.datagrams.extend(t.datagrams.iter().skip(second).map(|d| f64::from(*d)));
+            measured.bytes.extend(t.bytes.iter().skip(second).map(|b| f64::from(*b)));
+            measured.datagrams.extend(t.datagrams.iter().skip(second).map(|d| f64::from(*d)));
         }
         let span = |from: Micros, to: Option<Micros>| to.map_or(f64::INFINITY, |t| (t - from) as f64 / 1e6);
-        let died = simulation.now;
+        let crashed = simulation.now;
         simulation.kill(n - 1);
-        seen.death = span(died, simulation.run_while(died + 300 * SECOND, |l| l.dead_count(n - 1) < n - 1));
+        measured.detection =
+            span(crashed, simulation.run_while(crashed + 300 * SECOND, |s| s.dead_count(n - 1) < n - 1));
         simulation.start(n - 1);
-        simulation.run_while(simulation.now + 120 * SECOND, |l| !l.converged());
+        simulation.run_while(simulation.now + 120 * SECOND, |s| !s.converged());
         simulation.partition(Some((0..n).map(|i| u8::from(2 * i >= n)).collect()));
         simulation.run_until(simulation.now + 60 * SECOND);
         simulation.partition(None);
         let healed = simulation.now;
-        seen.heal = span(healed, simulation.run_while(healed + 600 * SECOND, |l| !l.converged()));
+        measured.healing = span(healed, simulation.run_while(healed + 600 * SECOND, |s| !s.converged()));
     }
-    seen
+    measured
 }
 
 fn membership(sizes: &[usize], seeds: u64) {
@@ -98,30 +100,30 @@
     );
     println!("|---|---|---|---|---|---|---|---|---|---|---|---|");
     for &n in sizes {
-        // Each seed is a run of its own, whatever runs beside it.
-        let all: Vec<Seen> = std::thread::scope(|s| {
+        // Runs with different seeds are independent of each other.
+        let all: Vec<Measurements> = std::thread::scope(|s| {
             let runs: Vec<_> = (0..seeds).map(|seed| s.spawn(move || one_seed(n, seed))).collect();
             runs.into_iter().filter_map(|r| r.join().ok()).collect()
         });
-        let mut deaths: Vec<f64> = all.iter().map(|s| s.death).collect();
-        let mut heals: Vec<f64> = all.iter().map(|s| s.heal).collect();
-        let falsely: Vec<u64> = (0..3).map(|i| all.iter().map(|s| s.falsely[i]).sum()).collect();
+        let mut detections: Vec<f64> = all.iter().map(|s| s.detection).collect();
+        let mut healings: Vec<f64> = all.iter().map(|s| s.healing).collect();
+        let false_deaths: Vec<u64> = (0..3).map(|i| all.iter().map(|s| s.false_deaths[i]).sum()).collect();
         let bytes: Vec<f64> = all.iter().flat_map(|s| s.bytes.iter().copied()).collect();
         let datagrams: Vec<f64> = all.iter().flat_map(|s| s.datagrams.iter().copied()).collect();
         let mean = |v: &[f64]| v.iter().sum::<f64>() / v.len().max(1) as f64;
         println!(
             "| {n} | {:.1} | {:.1} | {} | {} | {} | {:.0} | {:.0} | {:.1} | {:.0} | {:.1} | {:.1} |",
-            median(&mut deaths),
-            worst(&deaths),
-            falsely[0],
-            falsely[1],
-            falsely[2],
+            median(&mut detections),
+            worst(&detections),
+            false_deaths[0],
+            false_deaths[1],
+            false_deaths[2],
             mean(&bytes),
             worst(&bytes),
             mean(&datagrams),
             worst(&datagrams),
-            median(&mut heals),
-            worst(&heals)
+            median(&mut healings),
+            worst(&healings)
         );
     }
     let RateLimit { bytes, datagrams } = RATE_LIMIT;
@@ -133,43 +135,43 @@
 // ---- Routing ----
 
 const SITES: usize = 6;
-const HUNG: usize = 5;
-/// Calls a second that each controller is offered.
-const RATE: f64 = 50.0;
-const HANGS: (Micros, Micros) = (30 * SECOND, 45 * SECOND);
-const END: Micros = 60 * SECOND;
+const HUNG_SITE: usize = 5;
+/// Calls per second offered to each controller.
+const CALLS_PER_SECOND: f64 = 50.0;
+const HANG_INTERVAL: (Micros, Micros) = (30 * SECOND, 45 * SECOND);
+const RUN_TIME: Micros = 60 * SECOND;
 const STEP: Micros = 2_000;
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Kind {
-    Without,
-    With,
-    OneLiar,
-    Third,
-    Praise,
-    Gone,
+enum Scenario {
+    NoGossip,
+    AllHonest,
+    OneFalseAccuser,
+    ThreeFalseAccusers,
+    OneFalseVoucher,
+    OneCrash,
 }
 
-/// What came of a run.
+/// Result of one run.
 #[derive(Clone, Copy, Default)]
-struct Result {
+struct RunResult {
     /// Set-ups sent to the exchange while it hung.
-    lost: f64,
-    /// Those of them before the controller avoided it.
-    early: f64,
-    /// Mean time until a controller no longer sends it more than a trickle (ms).
-    avoids: f64,
-    /// Share of calls for other exchanges that stood within the aim, over the whole run.
-    others: f64,
-    /// The same of all calls.
-    all: f64,
+    sent_while_hung: f64,
+    /// Those sent before the controller avoided the exchange.
+    sent_before_avoided: f64,
+    /// Mean time until a controller sends no more than a trickle to the exchange (ms).
+    avoidance_ms: f64,
+    /// Share of calls to other exchanges that were established within the latency objective, over the whole run.
+    others_within_objective: f64,
+    /// Share of all calls that were established within the latency objective.
+    all_within_objective: f64,
 }
 
 struct Site {
     ledger: Ledger,
     deadlines: Deadlines<LedgerDue>,
-    /// Set-ups whose answers are under way, and calls that stand.
-    out: BTreeMap<CallId, (AttemptNo, OfficeId, usize)>,
+    /// Outstanding set-ups and established calls.
+    calls: BTreeMap<CallId, (AttemptNo, OfficeId, usize)>,
     sent_to_hung: Vec<Micros>,
 }
 
@@ -215,43 +217,45 @@
         let report = LoadReport { free: Some(60.0), size: Some(60.0), ..LoadReport::default() };
         ledger.group(0, office(j), report);
     }
-    Site { ledger, deadlines: Deadlines::default(), out: BTreeMap::new(), sent_to_hung: Vec::new() }
+    Site { ledger, deadlines: Deadlines::default(), calls: BTreeMap::new(), sent_to_hung: Vec::new() }
 }
 
-enum Due {
+enum Scheduled {
     Answer(usize, CallId, AttemptNo),
-    End(usize, CallId, AttemptNo),
+    Release(usize, CallId, AttemptNo),
 }
 
 struct Model {
     now: Micros,
     simulation: Option<Simulation>,
     sites: Vec<Site>,
-    dues: BTreeMap<(Micros, u64), Due>,
-    next: u64,
+    scheduled: BTreeMap<(Micros, u64), Scheduled>,
+    next_number: u64,
     rng: fastrand::Rng,
-    /// Circuits in use, by both ends.
-    busy: BTreeMap<(usize, usize), u32>,
+    /// Circuits in use between two sites.
+    circuits_in_use: BTreeMap<(usize, usize), u32>,
+    /// Calls offered to the hung site, and to the others.
     offered: [u32; 2],
-    good: [u32; 2],
+    /// Those of them that were established within the latency objective.
+    within_objective: [u32; 2],
 }
 
 impl Model {
-    fn later(&mut self, at: Micros, due: Due) {
-        self.next += 1;
-        self.dues.insert((at, self.next), due);
+    fn schedule(&mut self, at: Micros, event: Scheduled) {
+        self.next_number += 1;
+        self.scheduled.insert((at, self.next_number), event);
     }
 
     fn pair(a: usize, b: usize) -> (usize, usize) {
         (a.min(b), a.max(b))
     }
 
-    fn hangs(&self, i: usize) -> bool {
-        i == HUNG && (HANGS.0..HANGS.1).contains(&self.now)
+    fn is_hung(&self, i: usize) -> bool {
+        i == HUNG_SITE && (HANG_INTERVAL.0..HANG_INTERVAL.1).contains(&self.now)
     }
 
-    /// Carries out what a ledger asks for.
-    fn follow(&mut self, i: usize) {
+    /// Carries out the outputs of a ledger.
+    fn process_outputs(&mut self, i: usize) {
         loop {
             let outputs = self.sites[i].ledger.take_outputs();
             if outputs.is_empty() {
@@ -263,9 +267,9 @@
         }
     }
 
-    fn tell(&mut self, i: usize, f: impl FnOnce(&mut walnuthatch_gossip::node::Node, Micros)) {
+    fn with_node(&mut self, i: usize, call: impl FnOnce(&mut walnuthatch_gossip::node::Node, Micros)) {
         if let Some(simulation) = &mut self.simulation {
-            simulation.with_node(i, f);
+            simulation.with_node(i, call);
         }
     }
 
@@ -275,39 +279,39 @@
             Output::SetUp { call, attempt, office, .. } => {
                 let j = usize::from(office.addr[3]);
                 let to = self.sites[i].ledger.offer_of(call).map_or(j, |o| usize::from(o.ask.destination.0));
-                *self.busy.entry(Model::pair(i, j)).or_default() += 1;
-                self.sites[i].out.insert(call, (attempt, office, j));
-                if self.hangs(j) || self.hangs(to) {
+                *self.circuits_in_use.entry(Model::pair(i, j)).or_default() += 1;
+                self.sites[i].calls.insert(call, (attempt, office, j));
+                if self.is_hung(j) || self.is_hung(to) {
                     self.sites[i].sent_to_hung.push(now);
                 }
                 if to == j {
-                    self.tell(i, |n, now| n.set_up_sent(now, Exchange(j as u16), u64::from(call.0)));
+                    self.with_node(i, |n, now| n.set_up_sent(now, Exchange(j as u16), u64::from(call.0)));
                 }
-                let legs = if to == j { 1.0 } else { 2.0 };
-                let delay = (15_000.0 + -20_000.0 * (1.0 - self.rng.f64()).ln()) * legs;
-                if !self.hangs(j) && !self.hangs(to) {
-                    self.later(now + delay as Micros, Due::Answer(i, call, attempt));
+                let hops = if to == j { 1.0 } else { 2.0 };
+                let delay = (15_000.0 + -20_000.0 * (1.0 - self.rng.f64()).ln()) * hops;
+                if !self.is_hung(j) && !self.is_hung(to) {
+                    self.schedule(now + delay as Micros, Scheduled::Answer(i, call, attempt));
                 }
             }
-            Output::Clear { call, office, .. } if self.sites[i].out.remove(&call).is_some() => {
-                self.free(i, usize::from(office.addr[3]));
+            Output::Clear { call, office, .. } if self.sites[i].calls.remove(&call).is_some() => {
+                self.release_circuit(i, usize::from(office.addr[3]));
             }
             Output::AttemptEnded { call, leg: Some(leg), ending, .. } => {
                 let e = Exchange(leg.0);
                 let call = u64::from(call.0);
-                self.tell(i, |n, now| match ending {
+                self.with_node(i, |n, now| match ending {
                     Ending::TimedOut | Ending::CalledOff => n.set_up_timed_out(now, e, call),
                     Ending::Full | Ending::Fault => n.set_up_refused(now, e, call),
                     _ => n.set_up_abandoned(now, e, call),
                 });
             }
             Output::Answer { call, answer, taken, destination, last, .. } => {
-                let other = usize::from(usize::from(destination.0) != HUNG);
+                let other = usize::from(usize::from(destination.0) != HUNG_SITE);
                 if let Answer::Stands(_) = answer {
-                    self.good[other] += u32::from(now - taken <= 1_200_000);
+                    self.within_objective[other] += u32::from(now - taken <= 1_200_000);
                     if let Some(last) = last {
                         let (e, took) = (Exchange(last.leg.map_or(0, |l| l.0)), last.took);
-                        self.tell(i, |n, now| n.set_up_answered(now, e, u64::from(call.0), took));
+                        self.with_node(i, |n, now| n.set_up_answered(now, e, u64::from(call.0), took));
                     }
                 }
             }
@@ -316,20 +320,20 @@
         }
     }
 
-    fn free(&mut self, i: usize, j: usize) {
-        let busy = self.busy.entry(Model::pair(i, j)).or_default();
-        *busy = busy.saturating_sub(1);
-        let free = f64::from(60u32.saturating_sub(*busy));
+    fn release_circuit(&mut self, i: usize, j: usize) {
+        let in_use = self.circuits_in_use.entry(Model::pair(i, j)).or_default();
+        *in_use = in_use.saturating_sub(1);
+        let free = f64::from(60u32.saturating_sub(*in_use));
         for (a, b) in [(i, j), (j, i)] {
             let report = LoadReport { free: Some(free), size: Some(60.0), ..LoadReport::default() };
             self.sites[a].ledger.group(self.now, office(b), report);
         }
     }
 
-    fn offer(&mut self, i: usize) {
+    fn offer_call(&mut self, i: usize) {
         let mut to = self.rng.usize(0..SITES - 1);
         to += usize::from(to >= i);
-        self.offered[usize::from(to != HUNG)] += 1;
+        self.offered[usize::from(to != HUNG_SITE)] += 1;
         let ask = NewCall {
             call: CallId(0),
             destination: ExchangeNo(to as u16),
@@ -344,37 +348,38 @@
             not_before: 0,
         };
         self.sites[i].ledger.offer(self.now, Offer { front: FrontId(0), ask, description: None });
-        self.follow(i);
+        self.process_outputs(i);
     }
 
-    fn step(&mut self) {
+    fn advance(&mut self) {
         let now = self.now;
         if let Some(simulation) = &mut self.simulation {
             simulation.run_until(now);
-            for (_, i, said) in std::mem::take(&mut simulation.outputs) {
-                if let (NodeOutput::Suspected(all), true) = (said, i < SITES) {
+            for (_, i, output) in std::mem::take(&mut simulation.outputs) {
+                if let (NodeOutput::Suspected(all), true) = (output, i < SITES) {
                     let all: BTreeSet<ExchangeNo> = all.into_iter().map(|e| ExchangeNo(e.0)).collect();
                     self.sites[i].ledger.suspect(now, all);
-                    self.follow(i);
+                    self.process_outputs(i);
                 }
             }
         }
-        while let Some(due) = self.dues.first_entry().filter(|e| e.key().0 <= now).map(|e| e.remove()) {
-            match due {
-                Due::Answer(i, call, attempt) => {
-                    let known = self.sites[i].out.get(&call).is_some_and(|o| o.0 == attempt);
+        while let Some(event) = self.scheduled.first_entry().filter(|e| e.key().0 <= now).map(|e| e.remove())
+        {
+            match event {
+                Scheduled::Answer(i, call, attempt) => {
+                    let known = self.sites[i].calls.get(&call).is_some_and(|o| o.0 == attempt);
                     if known && self.sites[i].ledger.answered(now, call, attempt, None) {
                         let hold = (-2e6 * (1.0 - self.rng.f64()).ln()) as Micros;
-                        self.later(now + hold, Due::End(i, call, attempt));
-                        self.follow(i);
+                        self.schedule(now + hold, Scheduled::Release(i, call, attempt));
+                        self.process_outputs(i);
                     }
                 }
-                Due::End(i, call, attempt) => {
-                    if let Some((_, _, j)) = self.sites[i].out.remove(&call) {
+                Scheduled::Release(i, call, attempt) => {
+                    if let Some((_, _, j)) = self.sites[i].calls.remove(&call) {
                         let how = (Ending::Completed, Cause::None);
                         self.sites[i].ledger.ended(now, call, attempt, how, LoadReport::default());
-                        self.free(i, j);
-                        self.follow(i);
+                        self.release_circuit(i, j);
+                        self.process_outputs(i);
                     }
                 }
             }
@@ -382,21 +387,21 @@
         for i in 0..SITES {
             while let Some(due) = self.sites[i].deadlines.take_due(now) {
                 self.sites[i].ledger.due(now, due);
-                self.follow(i);
+                self.process_outputs(i);
             }
         }
     }
 }
 
-fn run(kind: Kind, seed: u64) -> Result {
-    let extra = match kind {
-        Kind::OneLiar | Kind::Praise => 1,
-        // Three of nine.
-        Kind::Third => 3,
+fn run(scenario: Scenario, seed: u64) -> RunResult {
+    let extra_members = match scenario {
+        Scenario::OneFalseAccuser | Scenario::OneFalseVoucher => 1,
+        // Three of nine members.
+        Scenario::ThreeFalseAccusers => 3,
         _ => 0,
     };
-    let simulation = (kind != Kind::Without).then(|| {
-        let mut simulation = Simulation::new(SITES + extra, seed, Network::default());
+    let simulation = (scenario != Scenario::NoGossip).then(|| {
+        let mut simulation = Simulation::new(SITES + extra_members, seed, Network::default());
         simulation.record_outputs = true;
         simulation
     });
@@ -404,38 +409,38 @@
         now: 0,
         simulation,
         sites: (0..SITES).map(site).collect(),
-        dues: BTreeMap::new(),
-        next: 0,
+        scheduled: BTreeMap::new(),
+        next_number: 0,
         rng: fastrand::Rng::with_seed(seed ^ 0x5eed),
-        busy: BTreeMap::new(),
+        circuits_in_use: BTreeMap::new(),
         offered: [0; 2],
-        good: [0; 2],
+        within_objective: [0; 2],
     };
-    let (mut arrivals, mut fake) = ([0i64; SITES], 1u64 << 40);
-    let mut calls = fastrand::Rng::with_seed(seed);
-    while m.now < END {
+    let (mut arrivals, mut false_call) = ([0i64; SITES], 1u64 << 40);
+    let mut arrival_rng = fastrand::Rng::with_seed(seed);
+    while m.now < RUN_TIME {
         m.now += STEP;
-        m.step();
-        // Its own processor's callers have nobody to answer them while it hangs.
-        let hangs = m.hangs(HUNG);
-        for i in (0..SITES).filter(|i| *i != HUNG || !hangs) {
+        m.advance();
+        // While a processor hangs, it offers no calls of its own.
+        let hung = m.is_hung(HUNG_SITE);
+        for i in (0..SITES).filter(|i| *i != HUNG_SITE || !hung) {
             while arrivals[i] <= m.now {
-                arrivals[i] += (-1e6 / RATE * (1.0 - calls.f64()).ln()) as Micros;
-                m.offer(i);
+                arrivals[i] += (-1e6 / CALLS_PER_SECOND * (1.0 - arrival_rng.f64()).ln()) as Micros;
+                m.offer_call(i);
             }
         }
-        if kind == Kind::Gone && m.now == HANGS.0 - 5 * SECOND {
-            m.simulation.as_mut().unwrap_or_else(|| unreachable!("it gossips")).kill(3);
+        if scenario == Scenario::OneCrash && m.now == HANG_INTERVAL.0 - 5 * SECOND {
+            m.simulation.as_mut().unwrap_or_else(|| unreachable!("this scenario has gossip")).kill(3);
         }
         if m.now % 100_000 == 0 {
-            for liar in SITES..SITES + extra {
-                // It claims to lose a set-up at every exchange ten times a second, or to be answered by the dead one.
+            for member in SITES..SITES + extra_members {
+                // Reports an unanswered set-up at every exchange ten times a second, or an answer when vouching.
                 for e in 0..SITES {
-                    fake += 1;
-                    let (e, call) = (Exchange(e as u16), fake);
-                    m.tell(liar, |n, now| {
+                    false_call += 1;
+                    let (e, call) = (Exchange(e as u16), false_call);
+                    m.with_node(member, |n, now| {
                         n.set_up_sent(now, e, call);
-                        if kind == Kind::Praise {
+                        if scenario == Scenario::OneFalseVoucher {
                             n.set_up_answered(now, e, call, 20_000);
                         }
                     });
@@ -443,51 +448,56 @@
             }
         }
     }
-    let lost: usize = m.sites.iter().map(|s| s.sent_to_hung.len()).sum();
-    // Ten set-ups a second go there; it is avoided once none has for 400 ms.
+    let sent: usize = m.sites.iter().map(|s| s.sent_to_hung.len()).sum();
+    // About ten set-ups a second go to the exchange; it counts as avoided once none was sent for 400 ms.
     let last = |i: usize| {
         let sent = &m.sites[i].sent_to_hung;
         let gap = sent.windows(2).find(|w| w[1] - w[0] >= 400_000).map(|w| w[0]);
-        gap.or(sent.last().copied()).unwrap_or(HANGS.0)
+        gap.or(sent.last().copied()).unwrap_or(HANG_INTERVAL.0)
     };
-    let others = (0..SITES).filter(|i| *i != HUNG);
-    let avoids = others.clone().map(|i| (last(i) - HANGS.0) as f64 / 1000.0);
+    let others = (0..SITES).filter(|i| *i != HUNG_SITE);
+    let avoids = others.clone().map(|i| (last(i) - HANG_INTERVAL.0) as f64 / 1000.0);
     let early = others.map(|i| m.sites[i].sent_to_hung.iter().filter(|t| **t <= last(i)).count());
-    Result {
-        lost: lost as f64,
-        early: early.sum::<usize>() as f64,
-        avoids: avoids.sum::<f64>() / (SITES - 1) as f64,
-        others: f64::from(m.good[1]) / f64::from(m.offered[1]),
-        all: f64::from(m.good[0] + m.good[1]) / f64::from(m.offered[0] + m.offered[1]),
+    RunResult {
+        sent_while_hung: sent as f64,
+        sent_before_avoided: early.sum::<usize>() as f64,
+        avoidance_ms: avoids.sum::<f64>() / (SITES - 1) as f64,
+        others_within_objective: f64::from(m.within_objective[1]) / f64::from(m.offered[1]),
+        all_within_objective: f64::from(m.within_objective[0] + m.within_objective[1])
+            / f64::from(m.offered[0] + m.offered[1]),
     }
 }
 
 fn routing(seeds: u64) {
     println!("| gossip | set-ups into the hung exchange in 15 s | before it is avoided | until it is avoided, ms | calls for the others in the aim | all calls in the aim | difference to none, mean (spread) in points |");
     println!("|---|---|---|---|---|---|---|");
-    let without: Vec<Result> = (0..seeds).map(|s| run(Kind::Without, s)).collect();
+    let without: Vec<RunResult> = (0..seeds).map(|s| run(Scenario::NoGossip, s)).collect();
     let mean = |v: &[f64]| v.iter().sum::<f64>() / v.len().max(1) as f64;
-    let kinds = [
-        ("none", Kind::Without),
-        ("all honest", Kind::With),
-        ("one peer accuses every exchange", Kind::OneLiar),
-        ("three of nine accuse every exchange", Kind::Third),
-        ("one peer praises the hung exchange", Kind::Praise),
-        ("one peer is gone", Kind::Gone),
+    let scenarios = [
+        ("none", Scenario::NoGossip),
+        ("all honest", Scenario::AllHonest),
+        ("one peer accuses every exchange", Scenario::OneFalseAccuser),
+        ("three of nine accuse every exchange", Scenario::ThreeFalseAccusers),
+        ("one peer praises the hung exchange", Scenario::OneFalseVoucher),
+        ("one peer is gone", Scenario::OneCrash),
     ];
-    for (name, kind) in kinds {
-        let all: Vec<Result> = (0..seeds).map(|s| run(kind, s)).collect();
-        let of = |f: fn(&Result) -> f64| mean(&all.iter().map(f).collect::<Vec<_>>());
-        let diff: Vec<f64> = all.iter().zip(&without).map(|(a, b)| (a.all - b.all) * 100.0).collect();
+    for (name, scenario) in scenarios {
+        let all: Vec<RunResult> = (0..seeds).map(|s| run(scenario, s)).collect();
+        let of = |f: fn(&RunResult) -> f64| mean(&all.iter().map(f).collect::<Vec<_>>());
+        let diff: Vec<f64> = all
+            .iter()
+            .zip(&without)
+            .map(|(a, b)| (a.all_within_objective - b.all_within_objective) * 100.0)
+            .collect();
         let m = mean(&diff);
         let spread = (diff.iter().map(|d| (d - m).powi(2)).sum::<f64>() / diff.len().max(1) as f64).sqrt();
         println!(
             "| {name} | {:.0} | {:.0} | {:.0} | {:.2}% | {:.2}% | {m:+.2} ({spread:.2}) |",
-            of(|r| r.lost),
-            of(|r| r.early),
-            of(|r| r.avoids),
-            of(|r| r.others) * 100.0,
-            of(|r| r.all) * 100.0
+            of(|r| r.sent_while_hung),
+            of(|r| r.sent_before_avoided),
+            of(|r| r.avoidance_ms),
+            of(|r| r.others_within_objective) * 100.0,
+            of(|r| r.all_within_objective) * 100.0
         );
     }
 }
