--- a/crates/gossip/src/auth.rs
+++ b/crates/gossip/src/auth.rs
@@ -111,7 +111,7 @@
     }
 
     fn mac(&self, key: u8) -> Option<Hmac<Sha256>> {
-        // Cannot fail, since HMAC accepts keys of any length.
+        // Only an unknown key id yields `None`, since HMAC accepts keys of any length.
         Hmac::new_from_slice(self.keys.get(&key)?).ok()
     }
 
--- a/crates/gossip/src/evidence.rs
+++ b/crates/gossip/src/evidence.rs
@@ -365,8 +365,8 @@
         m.set_up_sent(now + 100 * MILLI, 101);
         let e = m.measure(now + 200 * MILLI);
         assert!((e.accusation_strength() - 0.75).abs() < 1e-9 && e.unanswered == 2, "{e:?}");
-        let (told, urgent) = m.report(now + 200 * MILLI).unwrap();
-        assert!(urgent && told == e && m.report(now + 210 * MILLI).is_none());
+        let (reported, urgent) = m.report(now + 200 * MILLI).unwrap();
+        assert!(urgent && reported == e && m.report(now + 210 * MILLI).is_none());
         // A refusal is a response, and the end of the accusation is reported at once.
         m.set_up_refused(now + 220 * MILLI, 100);
         assert!(m
--- a/crates/gossip/src/swim.rs
+++ b/crates/gossip/src/swim.rs
@@ -30,7 +30,7 @@
 /// Load (of 255) from which a processor counts as overloaded: it then receives membership messages only, without
 /// piggybacked items.
 pub const OVERLOAD_LEVEL: u8 = 200;
-/// Maximum number of members. Bounds memory against an unlimited number of forged or mistaken names.
+/// Maximum number of members. Bounds memory, whatever number of names is received.
 pub const MAX_MEMBERS: usize = 2048;
 
 /// State of a member.
