--- a/crates/gossip/src/auth.rs
+++ b/crates/gossip/src/auth.rs
@@ -39,7 +39,7 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct RingFile {
+struct KeyRingFile {
     key: Vec<KeyFile>,
 }
 
@@ -83,7 +83,7 @@
     /// # Errors
     /// Describes the fault without quoting the file.
     pub fn parse(text: &str) -> Result<KeyRing, KeyError> {
-        let file: RingFile = toml::from_str(text).map_err(|_| KeyError::Structure)?;
+        let file: KeyRingFile = toml::from_str(text).map_err(|_| KeyError::Structure)?;
         if !(1..=MAX_KEYS).contains(&file.key.len()) {
             return Err(KeyError::KeyCount(file.key.len()));
         }
--- a/crates/gossip/src/node.rs
+++ b/crates/gossip/src/node.rs
@@ -165,7 +165,7 @@
     links: Vec<Item>,
     exchange_reporters: BTreeMap<Exchange, MemberId>,
     counts: Counts,
-    exchanges: usize,
+    exchange_count: usize,
     outputs: Vec<Output>,
 }
 
@@ -198,7 +198,7 @@
             links: Vec::new(),
             exchange_reporters: BTreeMap::new(),
             counts: Counts::default(),
-            exchanges: 0,
+            exchange_count: 0,
             outputs: Vec::new(),
             config,
         };
@@ -269,8 +269,8 @@
     }
 
     /// Sets the number of exchanges.
-    pub fn set_exchanges(&mut self, n: usize) {
-        self.exchanges = n;
+    pub fn set_exchanges(&mut self, count: usize) {
+        self.exchange_count = count;
     }
 
     /// Sets the exchanges that the own exchange has trunk groups with.
@@ -527,7 +527,8 @@
         let factor = if self.load >= OVERLOAD_LEVEL { OVERLOAD_PERIOD_FACTOR } else { 1 };
         self.next_evaluation =
             if active { now + EVALUATION_INTERVAL * factor } else { now + 20 * EVALUATION_INTERVAL };
-        let changes = self.exchange_suspicions.evaluate(now, &self.meters, &self.reports, self.exchanges);
+        let changes =
+            self.exchange_suspicions.evaluate(now, &self.meters, &self.reports, self.exchange_count);
         let changes_set =
             |c: &exchange_suspicion::Change| !matches!(c, exchange_suspicion::Change::TrustUpdated(..));
         if changes.iter().any(changes_set) {
@@ -558,48 +559,49 @@
             self.counts.forged += 1;
             return;
         }
-        let Ok(d) = wire::decode(bytes) else {
+        let Ok(datagram) = wire::decode(bytes) else {
             self.counts.unusable += 1;
             return;
         };
-        if d.sender == self.own_id {
+        if datagram.sender == self.own_id {
             if from != self.config.address {
                 self.counts.conflicts += 1;
                 self.outputs.push(Output::Event(Event::NameTaken(from)));
             }
             return;
         }
-        let known = self.members.get(d.sender).map(|m| (m.address, m.incarnation, m.state == State::Alive));
-        let is_later_run = |i: Incarnation| d.incarnation.0 >> 12 > i.0 >> 12;
+        let known =
+            self.members.get(datagram.sender).map(|m| (m.address, m.incarnation, m.state == State::Alive));
+        let is_later_run = |i: Incarnation| datagram.incarnation.0 >> 12 > i.0 >> 12;
         let is_conflict = known.is_some_and(|(a, i, alive)| a != from && (alive || !is_later_run(i)));
         if is_conflict {
             self.counts.conflicts += 1;
-            self.outputs.push(Output::Event(Event::Conflict(d.sender, from)));
+            self.outputs.push(Output::Event(Event::Conflict(datagram.sender, from)));
             return;
         }
         let max_incarnation = self.max_incarnation(now);
-        if d.incarnation > max_incarnation
-            || !self.replay_windows.admit(now, d.sender, d.incarnation, d.sequence)
+        if datagram.incarnation > max_incarnation
+            || !self.replay_windows.admit(now, datagram.sender, datagram.incarnation, datagram.sequence)
         {
             self.counts.repeated += 1;
             return;
         }
         self.counts.taken += 1;
-        let sender_leaves = d
+        let sender_leaves = datagram
             .items
             .iter()
-            .any(|i| matches!(i, Item::Member(u) if u.id == d.sender && u.claim == Claim::Left));
+            .any(|i| matches!(i, Item::Member(u) if u.id == datagram.sender && u.claim == Claim::Left));
         if !sender_leaves {
             if let Some(change) =
-                self.members.heard_directly(now, d.sender, from, d.incarnation, max_incarnation)
+                self.members.heard_directly(now, datagram.sender, from, datagram.incarnation, max_incarnation)
             {
                 self.handle_change(now, change);
             }
         }
-        for item in &d.items {
-            self.handle_item(now, d.sender, d.incarnation, *item, max_incarnation);
+        for item in &datagram.items {
+            self.handle_item(now, datagram.sender, datagram.incarnation, *item, max_incarnation);
         }
-        self.handle_message(now, from, d);
+        self.handle_message(now, from, datagram);
     }
 
     /// The highest incarnation that is accepted.
@@ -607,33 +609,38 @@
         Incarnation(Incarnation::at(self.unix_offset + now.div_euclid(SECOND) + MAX_CLOCK_SKEW_S).0 | 0xfff)
     }
 
-    fn handle_message(&mut self, now: Micros, from: SocketAddr, d: Datagram) {
-        match d.message {
+    fn handle_message(&mut self, now: Micros, from: SocketAddr, datagram: Datagram) {
+        match datagram.message {
             Message::Ping { nonce, target } => {
                 // A ping for the previous user of this address is not answered.
                 if (target == self.own_id || target == MemberId(0)) && !self.leaving {
                     let load = self.load;
                     // Carries the state of a sender that is not alive in the list, so that the sender can refute it.
-                    let state = self.non_alive_update(d.sender);
+                    let state = self.non_alive_update(datagram.sender);
                     self.send(now, from, Message::Ack { nonce, load }, state.into_iter().collect(), 0.0);
                 }
             }
             Message::Ack { nonce, load } => {
-                self.members.set_member_load(d.sender, load);
+                self.members.set_member_load(datagram.sender, load);
                 // Either the target itself, or a helper that confirms the target to be alive.
                 let answers_probe = |p: &Probe| {
                     let confirms = |i: &Item| matches!(i, Item::Member(u) if u.id == p.target && u.claim == Claim::Alive);
-                    p.target == d.sender
-                        || (p.indirect_sent && p.requester.is_none() && d.items.iter().any(confirms))
+                    p.target == datagram.sender
+                        || (p.indirect_sent && p.requester.is_none() && datagram.items.iter().any(confirms))
                 };
                 let Some(p) = self.probes.get(&nonce).filter(|p| answers_probe(p)).copied() else { return };
                 self.probes.remove(&nonce);
                 match p.requester {
                     Some((requester_address, nonce)) => {
                         // Forwards the ack, with an update by this instance that the target is alive.
-                        let item = self.members.get(d.sender).map(|m| {
+                        let item = self.members.get(datagram.sender).map(|m| {
                             let (address, incarnation) = (m.address, m.incarnation);
-                            Item::Member(Update { id: d.sender, address, incarnation, claim: Claim::Alive })
+                            Item::Member(Update {
+                                id: datagram.sender,
+                                address,
+                                incarnation,
+                                claim: Claim::Alive,
+                            })
                         });
                         let message = Message::Ack { nonce, load };
                         self.send(now, requester_address, message, item.into_iter().collect(), 0.0);
@@ -666,7 +673,7 @@
                 }
             }
             Message::Digest { reply, bucket_hashes } => {
-                self.sync_members(now, from, d.sender, reply, &bucket_hashes)
+                self.sync_members(now, from, datagram.sender, reply, &bucket_hashes)
             }
             Message::Items => {}
         }
@@ -807,7 +814,7 @@
             self.members.incarnation = restarted.max(self.members.incarnation.next());
             1
         });
-        let d = Datagram {
+        let datagram = Datagram {
             key_id: self.key_ring.signing_key_id(),
             sender: self.own_id,
             incarnation: self.members.incarnation,
@@ -815,7 +822,7 @@
             message,
             items,
         };
-        let bytes = self.key_ring.sign(d.encode());
+        let bytes = self.key_ring.sign(datagram.encode());
         if !self.send_bucket.take(now, bytes.len(), reserve) {
             self.counts.held_back += 1;
             return;
