--- a/crates/gossip/tests/wire.rs
+++ b/crates/gossip/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The form of datagrams on random contents and on any bytes, and the laws of merging reports.
+//! Property tests of the datagram format on random contents and arbitrary bytes, and of merging reports.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -31,9 +31,9 @@
     prop_oneof![
         update().prop_map(Item::Member),
         (any::<u16>(), evidence()).prop_map(|(e, v)| Item::Evidence(Exchange(e), v)),
-        (any::<u16>(), any::<u16>(), any::<u64>()).prop_map(|(own, from, bits)| Item::Links {
-            own: Exchange(own),
-            from: Exchange(from),
+        (any::<u16>(), any::<u16>(), any::<u64>()).prop_map(|(exchange, first, bits)| Item::Links {
+            exchange: Exchange(exchange),
+            first: Exchange(first),
             bits
         }),
     ]
@@ -42,14 +42,15 @@
 fn message() -> impl Strategy<Value = Message> {
     prop_oneof![
         (any::<u16>(), any::<u64>()).prop_map(|(nonce, t)| Message::Ping { nonce, target: MemberId(t) }),
-        (any::<u16>(), any::<u8>()).prop_map(|(nonce, pressed)| Message::Ack { nonce, pressed }),
+        (any::<u16>(), any::<u8>()).prop_map(|(nonce, load)| Message::Ack { nonce, load }),
         (any::<u16>(), any::<u64>(), address()).prop_map(|(nonce, t, address)| Message::PingReq {
             nonce,
             target: MemberId(t),
             address
         }),
         any::<u16>().prop_map(|nonce| Message::Nack { nonce }),
-        (any::<bool>(), any::<[u32; GROUPS]>()).prop_map(|(reply, groups)| Message::Digest { reply, groups }),
+        (any::<bool>(), any::<[u32; DIGEST_BUCKETS]>())
+            .prop_map(|(reply, bucket_hashes)| Message::Digest { reply, bucket_hashes }),
         Just(Message::Items),
     ]
 }
@@ -73,7 +74,7 @@
 
 fn joined(a: &Reports, b: &Reports) -> Reports {
     let mut both = a.clone();
-    both.join(b);
+    both.merge_all(b);
     both
 }
 
@@ -81,35 +82,35 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(21), ..ProptestConfig::default() })]
 
     #[test]
-    fn what_is_written_is_read_back(sender in any::<u64>(), sequence in any::<u32>(), message in message(),
+    fn encoding_round_trips(sender in any::<u64>(), sequence in any::<u32>(), message in message(),
                                     items in prop::collection::vec(item(), 0..12)) {
-        let d = Datagram { key: 3, sender: MemberId(sender), incarnation: Incarnation(7 << 12), sequence, message, items };
+        let d = Datagram { key_id: 3, sender: MemberId(sender), incarnation: Incarnation(7 << 12), sequence, message, items };
         let mut bytes = d.encode();
-        bytes.extend([0; SEAL]);
-        prop_assert!(bytes.len() <= LONGEST);
-        prop_assert_eq!(key_of(&bytes), Ok(3));
+        bytes.extend([0; TAG_BYTES]);
+        prop_assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
+        prop_assert_eq!(key_id(&bytes), Ok(3));
         let got = decode(&bytes).unwrap();
         prop_assert_eq!((got.sender, got.sequence, got.message), (d.sender, d.sequence, d.message));
-        // What has no room is left out from the end; nothing else is changed.
+        // Items that do not fit are left out from the end; the rest is unchanged.
         prop_assert_eq!(&got.items[..], &d.items[..got.items.len()]);
-        let used: usize = HEADER + d.message.len() + d.items.iter().map(Item::len).sum::<usize>();
-        prop_assert_eq!(got.items.len() == d.items.len(), used <= LONGEST - SEAL);
+        let used: usize = HEADER_BYTES + d.message.len() + d.items.iter().map(Item::len).sum::<usize>();
+        prop_assert_eq!(got.items.len() == d.items.len(), used <= MAX_DATAGRAM_BYTES - TAG_BYTES);
     }
 
     #[test]
-    fn any_bytes_are_read_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn arbitrary_bytes_are_decoded_or_rejected(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         let read = decode(&bytes);
-        if !(HEADER + 1 + SEAL..=LONGEST).contains(&bytes.len()) {
-            prop_assert_eq!(read, Err(Unusable::Length(bytes.len())));
+        if !(HEADER_BYTES + 1 + TAG_BYTES..=MAX_DATAGRAM_BYTES).contains(&bytes.len()) {
+            prop_assert_eq!(read, Err(DecodeError::Length(bytes.len())));
         }
     }
 
     #[test]
-    fn a_datagram_cut_short_or_spoilt_never_panics(message in message(), items in prop::collection::vec(item(), 1..6),
+    fn truncated_or_corrupted_datagrams_never_panic(message in message(), items in prop::collection::vec(item(), 1..6),
                                                    cut in 0usize..256, at in 0usize..256, bit in 0u8..8) {
-        let d = Datagram { key: 1, sender: MemberId(1), incarnation: Incarnation(1), sequence: 1, message, items };
+        let d = Datagram { key_id: 1, sender: MemberId(1), incarnation: Incarnation(1), sequence: 1, message, items };
         let mut bytes = d.encode();
-        bytes.extend([0; SEAL]);
+        bytes.extend([0; TAG_BYTES]);
         let _ = decode(&bytes[..cut.min(bytes.len())]);
         let at = at % bytes.len();
         bytes[at] ^= 1 << bit;
@@ -119,17 +120,17 @@
     #[test]
     fn merging_is_commutative_associative_and_idempotent(a in reports(), b in reports(), c in reports()) {
         let (a, b, c) = (store(&a), store(&b), store(&c));
-        // When it was measured is each instance's own estimate, and is the same for one report that comes twice.
+        // The time of measurement is a local estimate, which is the same for a report that arrives twice.
         prop_assert_eq!(strip(&joined(&a, &b)), strip(&joined(&b, &a)));
         prop_assert_eq!(strip(&joined(&joined(&a, &b), &c)), strip(&joined(&a, &joined(&b, &c))));
         prop_assert_eq!(joined(&a, &a), a);
     }
 }
 
-/// What counts of a store: for each exchange and reporter what was said.
+/// The part of a store that merging determines: for each exchange and reporter the measurements.
 fn strip(r: &Reports) -> Vec<(u16, u64, Incarnation, Evidence)> {
     let on = |e: u16| {
-        r.on(8, Exchange(e)).map(move |(id, r)| (e, id.0, r.incarnation, r.evidence)).collect::<Vec<_>>()
+        r.fresh(8, Exchange(e)).map(move |(id, r)| (e, id.0, r.incarnation, r.evidence)).collect::<Vec<_>>()
     };
     let strip = |mut x: (u16, u64, Incarnation, Evidence)| {
         x.3.age = 0;
--- a/src/program/gossip.rs
+++ b/src/program/gossip.rs
@@ -7,8 +7,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use walnuthatch_control::views;
-use walnuthatch_gossip::belief::{Change, End};
-use walnuthatch_gossip::node::{self, News, Node};
+use walnuthatch_gossip::exchange_suspicion::{Change, EndReason};
+use walnuthatch_gossip::node::{self, Event, Node};
 use walnuthatch_gossip::{Exchange, MemberId, SECOND};
 
 /// First byte of a message that tells of groups, as the decision module has it.
@@ -67,7 +67,7 @@
     /// Takes over seeds, networks, ceilings and keys that were read anew.
     pub fn reload(&mut self, config: &GossipConfig) {
         self.node.reload(config.node.clone());
-        self.node.set_ring(config.ring.clone());
+        self.node.set_key_ring(config.ring.clone());
     }
 
     /// Hears what the ledger does. Only set-ups that go direct are evidence of silence: what is lost over a tandem may
@@ -79,7 +79,7 @@
                 let to = ledger.offered_call(*call).map(|o| o.new_call.destination);
                 if let Some(leg) = leg.filter(|l| Some(*l) == to) {
                     self.out.insert(*call, exchange(leg));
-                    self.node.sent(now, exchange(leg), u64::from(call.0));
+                    self.node.set_up_sent(now, exchange(leg), u64::from(call.0));
                 }
             }
             LedgerOutput::Answer {
@@ -88,8 +88,8 @@
                 let direct = self.out.remove(call);
                 if let Some(leg) = last.exchange {
                     match direct {
-                        Some(e) => self.node.answered(now, e, u64::from(call.0), last.setup_time),
-                        None => self.node.turned_away(now, exchange(leg), u64::from(call.0)),
+                        Some(e) => self.node.set_up_answered(now, e, u64::from(call.0), last.setup_time),
+                        None => self.node.set_up_refused(now, exchange(leg), u64::from(call.0)),
                     }
                 }
             }
@@ -98,20 +98,20 @@
                 let (e, call) = (exchange(*leg), u64::from(call.0));
                 match (ending, cause) {
                     (Ending::Full | Ending::Fault, _) | (_, Cause::LinesBusy) => {
-                        self.node.turned_away(now, e, call)
+                        self.node.set_up_refused(now, e, call)
                     }
                     (Ending::TimedOut | Ending::Cancelled | Ending::Reset | Ending::Unreachable, _)
                         if direct =>
                     {
-                        self.node.given_up(now, e, call);
+                        self.node.set_up_timed_out(now, e, call);
                     }
-                    _ => self.node.dropped(now, e, call),
+                    _ => self.node.set_up_abandoned(now, e, call),
                 }
             }
             // Its caller left; an attempt that this side gave up is told to have ended besides.
             LedgerOutput::Clear { call, .. } if ledger.offered_call(*call).is_none() => {
                 if let Some(e) = self.out.remove(call) {
-                    self.node.dropped(now, e, u64::from(call.0));
+                    self.node.set_up_abandoned(now, e, u64::from(call.0));
                 }
             }
             _ => {}
@@ -121,7 +121,7 @@
 
     /// A datagram came.
     pub fn datagram(&mut self, now: Micros, from: SocketAddr, body: &[u8]) {
-        self.node.datagram(now, from, body);
+        self.node.handle_datagram(now, from, body);
         self.follow(now);
     }
 
@@ -137,9 +137,9 @@
             self.node.set_links(&linked.map(|(e, _)| exchange(e.exchange)).collect());
             let known: BTreeSet<ExchangeNumber> = offices.iter().map(|(e, _)| e.exchange).collect();
             self.node.set_exchanges(known.len());
-            self.node.set_pressed((ledger.processor_load(now) * 200.0).clamp(0.0, 255.0) as u8);
+            self.node.set_load((ledger.processor_load(now) * 200.0).clamp(0.0, 255.0) as u8);
         }
-        self.node.due(now);
+        self.node.handle_timeouts(now);
         self.follow(now);
     }
 
@@ -162,14 +162,16 @@
                     let all = all.into_iter().map(|e| ExchangeNumber(e.0)).collect();
                     self.todo.push(Output::Suspect(all));
                 }
-                node::Output::Links { member, own, from, bits } => self.link(member, own, from, bits),
-                node::Output::Tell(news) => {
+                node::Output::Links { member, exchange, first, bits } => {
+                    self.link(member, exchange, first, bits);
+                }
+                node::Output::Event(news) => {
                     let (kind, text) = told(&news);
                     self.todo.push(Output::Tell(kind, text));
                 }
             }
         }
-        let due = self.node.next_due().min(self.tick + SECOND).max(now + 1);
+        let due = self.node.next_timeout().min(self.tick + SECOND).max(now + 1);
         if due < self.next || self.next <= now {
             self.next = due;
             self.todo.push(Output::Wake(due));
@@ -200,7 +202,7 @@
     /// Counters.
     pub fn counters(&self) -> Vec<(String, u64)> {
         let c = self.node.counts();
-        let (reports, queue) = self.node.held();
+        let (reports, queue) = self.node.buffered_counts();
         [
             ("gossip.sent", c.sent),
             ("gossip.sent_bytes", c.sent_bytes),
@@ -229,53 +231,53 @@
             address: m.address.to_string(),
             state: format!("{:?}", m.state.claim()).to_lowercase(),
             incarnation: m.incarnation.0,
-            pressed: f64::from(m.pressed) / 255.0,
-            trust: self.node.belief().trust(id),
+            pressed: f64::from(m.load) / 255.0,
+            trust: self.node.exchange_suspicions().trust(id),
         };
         self.node.members.iter().map(of).collect()
     }
 
     /// The suspicions.
     pub fn suspicions(&self, now: Micros) -> Vec<views::Suspicion> {
-        let of = |(e, s): (Exchange, &walnuthatch_gossip::belief::Suspicion)| views::Suspicion {
+        let of = |(e, s): (Exchange, &walnuthatch_gossip::exchange_suspicion::Suspicion)| views::Suspicion {
             exchange: e.0,
             for_ms: u64::try_from((now - s.since) / 1000).unwrap_or(0),
             weight: s.weight,
-            against: s.against,
+            against: s.opposing_weight,
             accusers: s.accusers.iter().map(ToString::to_string).collect(),
-            own: s.own,
+            own: s.observed_locally,
         };
-        self.node.belief().suspicions().map(of).collect()
+        self.node.exchange_suspicions().suspicions().map(of).collect()
     }
 }
 
 /// Of which kind a piece of news is, and its words.
-fn told(news: &News) -> (&'static str, String) {
+fn told(news: &Event) -> (&'static str, String) {
     match news {
-        News::Member(u) => ("peer", format!("{} at {}: {:?}", u.id, u.address, u.claim).to_lowercase()),
-        News::NameTaken(at) => ("peer", format!("another instance has this one's name, at {at}")),
-        News::Conflict(id, at) => ("peer", format!("{id}: claimed from {at} too, and not believed")),
-        News::Belief(Change::Suspected(e, s)) => {
+        Event::Member(u) => ("peer", format!("{} at {}: {:?}", u.id, u.address, u.claim).to_lowercase()),
+        Event::NameTaken(at) => ("peer", format!("another instance has this one's name, at {at}")),
+        Event::Conflict(id, at) => ("peer", format!("{id}: claimed from {at} too, and not believed")),
+        Event::ExchangeSuspicion(Change::Suspected(e, s)) => {
             let who: Vec<String> = s.accusers.iter().map(ToString::to_string).collect();
-            let own = if s.own { ", and this instance misses answers itself" } else { "" };
+            let own = if s.observed_locally { ", and this instance misses answers itself" } else { "" };
             let text = format!(
                 "exchange:{} is suspected: weight {:.2} against {:.2}, accused by {}{own}",
                 e.0,
                 s.weight,
-                s.against,
+                s.opposing_weight,
                 who.join(" ")
             );
             ("belief", text)
         }
-        News::Belief(Change::Cleared(e, end)) => {
+        Event::ExchangeSuspicion(Change::Cleared(e, end)) => {
             let why = match end {
-                End::Answered => "it answered",
-                End::Faded => "too little speaks against it",
-                End::Crowded => "others are suspected with more weight",
+                EndReason::Answered => "it answered",
+                EndReason::InsufficientEvidence => "too little speaks against it",
+                EndReason::Displaced => "others are suspected with more weight",
             };
             ("belief", format!("exchange:{} is suspected no more: {why}", e.0))
         }
-        News::Belief(Change::Weighed(id, e, right, trust)) => {
+        Event::ExchangeSuspicion(Change::TrustUpdated(id, e, right, trust)) => {
             let word = if *right { "right" } else { "wrong" };
             ("belief", format!("{id} was {word} of exchange:{}: its word is worth {trust:.2}", e.0))
         }
--- a/tests/gossip.rs
+++ b/tests/gossip.rs
@@ -11,9 +11,9 @@
 use std::time::{Duration, Instant};
 use walnuthatch_control::client::Connection;
 use walnuthatch_control::frames::{Body, Operation, Topic};
-use walnuthatch_gossip::bucket::Ceiling;
+use walnuthatch_gossip::auth::KeyRing;
 use walnuthatch_gossip::node::{Config, Node, Output};
-use walnuthatch_gossip::seal::Ring;
+use walnuthatch_gossip::rate_limit::RateLimit;
 use walnuthatch_gossip::{Exchange as Number, MemberId};
 use walnuthatch_standin::{Callers, Exchange, Load, Table, Traits};
 
@@ -152,33 +152,33 @@
 fn liar(to: SocketAddr, over: Arc<AtomicBool>, heard: Arc<AtomicU64>) {
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     socket.set_read_timeout(Some(Duration::from_millis(5))).unwrap();
-    let ceiling = Ceiling { bytes: 100_000, datagrams: 1000 };
+    let ceiling = RateLimit { bytes: 100_000, datagrams: 1000 };
     let config = Config {
         name: "liar".into(),
         address: socket.local_addr().unwrap(),
         seeds: vec![to],
         allowed: vec!["127.0.0.0/8".parse().unwrap()],
-        own: Some(Number(200)),
-        send: ceiling,
-        receive: ceiling,
-        source: ceiling,
+        own_exchange: Some(Number(200)),
+        send_limit: ceiling,
+        receive_limit: ceiling,
+        source_limit: ceiling,
     };
     let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap();
     let (start, mut call) = (Instant::now(), 0);
     let begun = unix.as_micros() as i64;
-    let mut node = Node::new(begun, unix.as_secs() as i64, config, Ring::read(&keys('a')).unwrap(), 3);
+    let mut node = Node::new(begun, unix.as_secs() as i64, config, KeyRing::parse(&keys('a')).unwrap(), 3);
     let mut buffer = [0; 512];
     while !over.load(Ordering::SeqCst) {
         let now = begun + start.elapsed().as_micros() as i64;
         for e in 1..=4 {
             call += 1;
-            node.sent(now, Number(e), call);
+            node.set_up_sent(now, Number(e), call);
         }
         if let Ok((n, from)) = socket.recv_from(&mut buffer) {
             heard.fetch_add(n as u64, Ordering::SeqCst);
-            node.datagram(now, from, &buffer[..n]);
+            node.handle_datagram(now, from, &buffer[..n]);
         }
-        node.due(now);
+        node.handle_timeouts(now);
         for output in node.take_outputs() {
             if let Output::Send(to, bytes) = output {
                 drop(socket.send_to(&bytes, to));
@@ -206,7 +206,7 @@
     let target = all[1].gossip;
     let flood = std::thread::spawn(move || {
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
-        let forged = Ring::read(&keys('b')).unwrap().seal(vec![1; 100]);
+        let forged = KeyRing::parse(&keys('b')).unwrap().sign(vec![1; 100]);
         let start = Instant::now();
         for n in 0..20_000u32 {
             drop(socket.send_to(if n % 2 == 0 { &forged } else { &[7; 200] }, target));
