--- a/src/program/appliance.rs
+++ b/src/program/appliance.rs
@@ -1,4 +1,4 @@
-//! The appliance: drains, figures, alarms and operators' programs, as one subsystem of the switchboard.
+//! The appliance: drains, figures, alarms and operators' programs, as one subsystem of the event loop.
 //!
 //! It is told what happens ([`Appliance::observe`], [`Appliance::take`], [`Appliance::look`]) and says what is to be
 //! done ([`Appliance::take_outputs`]). It decides nothing about a call: what is out of service reaches the decision
--- a/src/program/switchboard.rs
+++ b/src/program/event_loop.rs
@@ -1,5 +1,5 @@
 //! The one task's state: it owns the ledger with the decision module in it, the fronts, the links and every
-//! deadline. News comes in, [`Switchboard::turn`] settles it, and lines go to the connections' outboxes.
+//! deadline. News comes in, [`EventLoop::turn`] settles it, and lines go to the connections' outboxes.
 
 use super::appliance::Appliance;
 use super::config::{Config, ConfigError};
@@ -35,6 +35,8 @@
 
 use stop::{ListenerState, Stop};
 
+/// Target of this module's log events; operators' log filters name it.
+const LOG_TARGET: &str = "walnuthatch::program::switchboard";
 /// The platform's front.
 pub const LINES: FrontendId = FrontendId(0);
 /// The front towards gateways.
@@ -96,7 +98,7 @@
 
 /// The state of the task that owns routing.
 #[derive(Debug)]
-pub struct Switchboard {
+pub struct EventLoop {
     ledger: Ledger,
     callers: ClientConnections,
     links: UpstreamConnections,
@@ -123,10 +125,10 @@
     minted: u64,
 }
 
-impl Switchboard {
+impl EventLoop {
     /// The state at the start, with the list as it was last known.
     pub fn new(config: &Config, now: Micros) -> Self {
-        Switchboard::resume(config, now, None, None)
+        EventLoop::resume(config, now, None, None)
     }
 
     /// The state at the start, with what an earlier life of the program saved.
@@ -136,7 +138,7 @@
             .appliance
             .as_ref()
             .map(|a| Appliance::new(Now::new(now, now), a, s.own_exchange, s.drain_grace, saved, log));
-        let mut board = Switchboard {
+        let mut event_loop = EventLoop {
             ledger: Ledger::new(config.settings.clone(), config.seed),
             callers: ClientConnections::new(now, LINES, config.classes.clone(), config.usual_callers())
                 .with_quiet_period(s.quiet_period + s.min_batch_interval),
@@ -159,21 +161,21 @@
             exported: Rc::default(),
             minted: config.seed,
         };
-        if let Some(t) = &board.config.telemetry {
-            board.deadlines.add(now + t.interval, Due::Export);
+        if let Some(t) = &event_loop.config.telemetry {
+            event_loop.deadlines.add(now + t.interval, Due::Export);
         }
-        let gateways = board.gateway_entries();
+        let gateways = event_loop.gateway_entries();
         if !gateways.is_empty() {
-            board.ledger.list_update(now, ListUpdate::Cached(gateways.into()));
+            event_loop.ledger.list_update(now, ListUpdate::Cached(gateways.into()));
         }
-        if let Some(agent) = &mut board.agent {
+        if let Some(agent) = &mut event_loop.agent {
             agent.start(now);
         }
         for update in &config.known {
-            board.list(now, update, true);
+            event_loop.list(now, update, true);
         }
-        board.settle(now);
-        board
+        event_loop.settle(now);
+        event_loop
     }
 
     /// Takes one piece of news and does all that follows from it.
@@ -181,10 +183,10 @@
         match news {
             Inbound::Conn(side, conn, news) => self.conn(now, side, conn, news),
             Inbound::List(event) => self.list(now, &event.data, false),
-            Inbound::Stream(Ok(())) => tracing::debug!("coordinator: stream up"),
+            Inbound::Stream(Ok(())) => tracing::debug!(target: LOG_TARGET, "coordinator: stream up"),
             Inbound::Stream(Err(why)) => {
                 self.counts.stream_losses += 1;
-                tracing::info!("coordinator: {why}");
+                tracing::info!(target: LOG_TARGET, "coordinator: {why}");
             }
             Inbound::Peer { from, body } => {
                 if let Some(at) = self.config.peers.iter().position(|p| *p == from) {
@@ -208,7 +210,7 @@
                 }
             }
             Inbound::Report => {
-                tracing::info!("{}", counters::line(&self.counters()));
+                tracing::info!(target: LOG_TARGET, "{}", counters::line(&self.counters()));
             }
             Inbound::Gossip { from, body } => {
                 if let Some(g) = &mut self.gossip {
@@ -224,7 +226,7 @@
                     stop.listener = ListenerState::Closed;
                 }
             }
-            // Whoever runs the switchboard reads the files: see `Switchboard::reload`.
+            // The caller reads the files: see `EventLoop::reload`.
             Inbound::Reload => {}
         }
         self.settle(now);
@@ -237,12 +239,12 @@
             Ok(new) => new,
             Err(e) => {
                 self.counts.bad_reloads += 1;
-                return tracing::warn!("configuration kept: {e}");
+                return tracing::warn!(target: LOG_TARGET, "configuration kept: {e}");
             }
         };
         self.counts.reloads += 1;
         for key in self.config.needs_restart(&new) {
-            tracing::info!(key, "configuration: {key}: takes effect at the next start");
+            tracing::info!(target: LOG_TARGET, key, "configuration: {key}: takes effect at the next start");
         }
         if self.config.coordinator != new.coordinator {
             self.tasks.push(Task::Follow(new.coordinator));
@@ -254,7 +256,7 @@
         if let (Some(g), Some(config)) = (&mut self.gossip, &self.config.gossip) {
             g.reload(config);
         }
-        tracing::info!("configuration read anew");
+        tracing::info!(target: LOG_TARGET, "configuration read anew");
     }
 
     /// Sweeps the deadlines.
@@ -406,7 +408,7 @@
                     // What it was to tell is told once more with the whole list.
                     self.deadlines.add(now + LIST_AGAIN, Due::ListAgain);
                 }
-                return tracing::warn!("coordinator: {e}");
+                return tracing::warn!(target: LOG_TARGET, "coordinator: {e}");
             }
         };
         let (entries, complete) = match &update.news {
@@ -509,7 +511,7 @@
             Output::SendToPeer { .. } if self.gossip.is_some() => {}
             Output::SendToPeer { to, body } => self.tell_peers(to, body),
             Output::FetchList => self.tasks.push(Task::Refetch),
-            Output::Log(line) => tracing::info!("{line}"),
+            Output::Log(line) => tracing::info!(target: LOG_TARGET, "{line}"),
             Output::SetTimer(at, due) => self.deadlines.add(at, Due::Ledger(due)),
         }
     }
@@ -555,10 +557,10 @@
             UpstreamOutput::Group(office, load) => self.ledger.group_report(now, office, load),
             UpstreamOutput::ProbeFailed(office) => self.ledger.probe_failed(now, office),
             UpstreamOutput::GaveUp(member, why) => {
-                tracing::info!(%member, "exchange {member}: connection given up: {why}");
+                tracing::info!(target: LOG_TARGET, %member, "exchange {member}: connection given up: {why}");
             }
             UpstreamOutput::LeaseOver(member, calls) => {
-                tracing::info!(%member, calls, "exchange {member}: nothing heard for too long, {calls} calls cut");
+                tracing::info!(target: LOG_TARGET, %member, calls, "exchange {member}: nothing heard for too long, {calls} calls cut");
             }
             UpstreamOutput::Earlier(sid, code) => self.callers.release_earlier(now, sid, code),
         }
--- a/src/program/switchboard/exports.rs
+++ b/src/program/event_loop/exports.rs
@@ -1,13 +1,13 @@
 //! What the task that owns routing hands to the exporter.
 
-use super::{Due, Switchboard, Task, SPANS};
+use super::{Due, EventLoop, Task, SPANS};
 use crate::program::telemetry::ExportCounts;
 use crate::protocol::otlp::{CallSpan, Snapshot};
 use crate::routing::interface::{CallId, ExchangeNumber, Micros};
 use crate::routing::ledger::Answer;
 use std::rc::Rc;
 
-impl Switchboard {
+impl EventLoop {
     /// The exporter's counts, shared with its task.
     pub fn exported(&self) -> Rc<ExportCounts> {
         self.exported.clone()
--- a/src/program/switchboard/gossip.rs
+++ b/src/program/event_loop/gossip.rs
@@ -1,12 +1,12 @@
 //! Gossip's part of the task that owns routing.
 
-use super::{Due, Switchboard, Task};
+use super::{Due, EventLoop, Task};
 use crate::program::appliance::Appliance;
 use crate::program::gossip::{Gossip, Output};
 use crate::routing::interface::Micros;
 use crate::routing::ledger;
 
-impl Switchboard {
+impl EventLoop {
     /// The appliance and gossip hear what the ledger does.
     pub(super) fn observe(&mut self, now: Micros, output: &ledger::Output) {
         if let ledger::Output::Answer { call, .. }
--- a/src/program/switchboard/stop.rs
+++ b/src/program/event_loop/stop.rs
@@ -1,10 +1,13 @@
 //! A stop that was asked for: its phases carried out, and the program's end.
 
-use super::{Due, Switchboard, Task};
+use super::{Due, EventLoop, Task};
 use crate::fault_injection::{fault_injected, InjectedFault};
 use crate::routing::interface::Micros;
 use crate::routing::shutdown::{Phase, Shutdown};
 
+/// Target of this module's log events; operators' log filters name it.
+const LOG_TARGET: &str = "walnuthatch::program::switchboard::stop";
+
 /// A stop under way.
 #[derive(Debug)]
 pub(super) struct Stop {
@@ -23,7 +26,7 @@
     Closed,
 }
 
-impl Switchboard {
+impl EventLoop {
     /// Whether the program was asked to stop and has answered all that it took.
     pub fn finished(&self, now: Micros) -> bool {
         let Some(stop) = &self.stopping else { return false };
@@ -44,7 +47,7 @@
             let longest = self.config.settings.classes.iter().map(|c| c.client_timeout).max().unwrap_or(0);
             let shutdown = Shutdown::new(now, longest);
             self.stopping = Some(Stop { shutdown, listener: ListenerState::Listening });
-            tracing::info!("stop asked for: {} calls open", self.ledger.open_calls());
+            tracing::info!(target: LOG_TARGET, "stop asked for: {} calls open", self.ledger.open_calls());
             if let Some(g) = &mut self.gossip {
                 g.leave(now);
             }
@@ -59,7 +62,7 @@
         let Some(stop) = &self.stopping else { return };
         let phase = stop.shutdown.phase_at(now);
         let (open, standing) = (self.ledger.open_calls(), self.ledger.established_calls());
-        tracing::info!("stop: {phase:?}; {open} calls open, {standing} stand");
+        tracing::info!(target: LOG_TARGET, "stop: {phase:?}; {open} calls open, {standing} stand");
         if fault_injected(InjectedFault::RequestLeftAtStop) && phase < Phase::Terminating {
             return;
         }
--- a/src/program/gossip.rs
+++ b/src/program/gossip.rs
@@ -1,4 +1,4 @@
-//! Gossip as a subsystem of the switchboard: what happens to set-ups goes to the node, and what it comes to believe
+//! Gossip as a subsystem of the event loop: what happens to set-ups goes to the node, and what it comes to believe
 //! goes to the decision module as an event of its interface.
 
 use super::gossip_file::GossipConfig;
--- a/src/program/views.rs
+++ b/src/program/views.rs
@@ -2,8 +2,8 @@
 //! alarm, has it from here; nothing here changes anything.
 
 use super::config::Config;
+use super::event_loop::GATEWAYS;
 use super::gossip::Gossip;
-use super::switchboard::GATEWAYS;
 use crate::protocol::mgcp::agent::Agent;
 use crate::protocol::upstream::UpstreamConnections;
 use crate::routing::interface::{ExchangeId, ExchangeNumber, ListState, Micros};
