--- a/src/program/alarms.rs
+++ b/src/program/alarms.rs
@@ -1,7 +1,7 @@
 //! What is looked at each second, and from which value on it is an alarm.
 
 use super::appliance_file::AlarmMarks;
-use super::views::Scene;
+use super::views::Snapshot;
 use crate::routing::interface::Micros;
 use walnuthatch_drains::drain::State;
 use walnuthatch_drains::plan::Stage;
@@ -30,7 +30,7 @@
 /// All values as they are now.
 pub fn looks(
     marks: &Marks,
-    scene: &Scene<'_>,
+    snapshot: &Snapshot<'_>,
     service: &ServiceWindows,
     book: &DrainRegistry,
     wall: Micros,
@@ -61,12 +61,12 @@
     let text = format!("{:.0}% of the last 10 s's calls are refused", refused * 100.0);
     let mark = marks.refused_over.max(0.001);
     add("refusals", String::new(), refused, rule(mark, mark * 0.7, Severity::Warning), text);
-    for e in scene.exchanges() {
+    for e in snapshot.exchanges() {
         let name = format!("exchange:{}", e.exchange);
         if e.listed == "ready" {
             // Without a connection figures grow old too, but one that never told any has no age.
             let age = e.report_age_ms.map(|ms| ms as f64 * 1000.0);
-            let quiet = if e.connected { 0.0 } else { age.unwrap_or((scene.now - scene.born) as f64) };
+            let quiet = if e.connected { 0.0 } else { age.unwrap_or((snapshot.now - snapshot.born) as f64) };
             let text = format!("no connection to {} at {} for {:.0} s", e.member, e.address, quiet / 1e6);
             let silent = AlarmRule { raise_delay: 0, ..rule(marks.silent as f64, 0.0, Severity::Critical) };
             add("unreachable", format!("{name} {}", e.member), quiet, silent, text);
--- a/src/program/appliance.rs
+++ b/src/program/appliance.rs
@@ -8,7 +8,7 @@
 use super::appliance_file::ApplianceConfig;
 use super::gossip::Gossip;
 use super::log::Log;
-use super::views::{Loads, Scene, CALLS};
+use super::views::{Loads, Snapshot, CALLS};
 use crate::routing::interface::{Cause, Ending, ExchangeNumber, Micros, OutOfService};
 use crate::routing::ledger::{Answer, LastAttempt, Ledger, Output as LedgerOutput};
 use crate::transport::ControlNews;
@@ -245,7 +245,7 @@
     }
 
     /// Takes news of the control socket or of the state folder.
-    pub fn take(&mut self, now: Now, news: ControlNews, scene: &Scene<'_>) {
+    pub fn take(&mut self, now: Now, news: ControlNews, snapshot: &Snapshot<'_>) {
         match news {
             ControlNews::Opened(client, queue) => {
                 self.queues.insert(client, queue);
@@ -253,7 +253,7 @@
             }
             ControlNews::Bytes(client, bytes) => {
                 for asked in self.sessions.receive(now.steady, client, &bytes) {
-                    self.request(now, asked, scene);
+                    self.request(now, asked, snapshot);
                 }
             }
             ControlNews::Wrote(client) => self.feed(client),
@@ -273,7 +273,7 @@
     }
 
     /// Lets time pass.
-    pub fn look(&mut self, now: Now, scene: &Scene<'_>) {
+    pub fn look(&mut self, now: Now, snapshot: &Snapshot<'_>) {
         // Deadlines that an earlier one has overtaken mean nothing.
         if now.steady < self.next {
             return;
@@ -281,29 +281,29 @@
         let whole = now.steady - self.second >= SECOND;
         if whole || !self.quiet() {
             let links = std::mem::take(&mut self.links);
-            let site = scene.loads().with(&links, self.health());
+            let site = snapshot.loads().with(&links, self.health());
             self.book.evaluate(now, &self.traffic, &site);
             if whole {
-                self.each_second(now, scene, &site);
+                self.each_second(now, snapshot, &site);
             }
             drop(site);
             self.links = links;
             self.follow_book(now);
         }
         let mut sessions = std::mem::take(&mut self.sessions);
-        sessions.send_due_views(now.steady, |topic, search| self.body(now, topic, search, scene));
+        sessions.send_due_views(now.steady, |topic, search| self.body(now, topic, search, snapshot));
         self.sessions = sessions;
         self.follow_sessions();
         self.plan(now);
     }
 
-    fn each_second(&mut self, now: Now, scene: &Scene<'_>, site: &Loads<'_>) {
+    fn each_second(&mut self, now: Now, snapshot: &Snapshot<'_>, site: &Loads<'_>) {
         let span = now.steady - self.second;
         self.second = now.steady;
         for (leg, to, calls) in site.standing() {
             self.traffic.record_held(now.steady, Exchange(to.0), Exchange(leg.0), calls, span);
         }
-        let abandoned = scene.ledger.counts().abandoned;
+        let abandoned = snapshot.ledger.counts().abandoned;
         (self.abandoned..abandoned).for_each(|_| self.service.record(now.steady, CallOutcome::Abandoned));
         self.abandoned = abandoned;
         self.service.advance(now.steady);
@@ -316,7 +316,7 @@
             tracing::warn!(lines = lost - self.log_lost, "log lines were lost: nobody read them in time");
             self.log_lost = lost;
         }
-        let looks = alarms::looks(&self.marks, scene, &self.service, &self.book, now.wall);
+        let looks = alarms::looks(&self.marks, snapshot, &self.service, &self.book, now.wall);
         let keys: BTreeSet<_> = looks.iter().map(|l| l.key.clone()).collect();
         let mut changes = self.alarms.retain(now.steady, |k| keys.contains(k));
         for l in looks {
@@ -451,16 +451,16 @@
 
     // ---- Requests ----
 
-    fn request(&mut self, now: Now, asked: PendingRequest, scene: &Scene<'_>) {
+    fn request(&mut self, now: Now, asked: PendingRequest, snapshot: &Snapshot<'_>) {
         let PendingRequest { client, request } = asked;
         let who = if request.who.is_empty() { "unknown".to_owned() } else { request.who };
         let id = request.id;
         let target = |text: &str| text.parse::<Target>().map_err(|e| e.to_string());
         let what = match request.operation {
-            Operation::Show { topic, search } => Ok(self.body(now, topic, &search, scene)),
+            Operation::Show { topic, search } => Ok(self.body(now, topic, &search, snapshot)),
             Operation::Audit => Ok(self.audit()),
-            Operation::Config => Ok(Body::Text { text: scene.config.summary() }),
-            Operation::Cost { target: text } => target(&text).map(|t| self.cost(now, t, scene)),
+            Operation::Config => Ok(Body::Text { text: snapshot.config.summary() }),
+            Operation::Cost { target: text } => target(&text).map(|t| self.cost(now, t, snapshot)),
             Operation::Log { filter } => self.set_log(now, &who, filter),
             Operation::Seen { alarm } => match self.alarms.acknowledge(&alarm, &who) {
                 true => {
@@ -484,12 +484,12 @@
                         frames::AtLimit::Cut => AtLimit::Cut,
                     };
                     let command = Command::Drain { target, reason, limit, at_limit, force };
-                    return self.order(now, client, id, who, command, scene);
+                    return self.order(now, client, id, who, command, snapshot);
                 }
             },
             Operation::Undrain { target: text } => match target(&text) {
                 Err(e) => Err(e),
-                Ok(target) => return self.order(now, client, id, who, Command::Undrain { target }, scene),
+                Ok(target) => return self.order(now, client, id, who, Command::Undrain { target }, snapshot),
             },
             Operation::Round { targets, reason, pause_s } => {
                 match targets.iter().map(|t| target(t)).collect::<Result<Vec<_>, _>>() {
@@ -497,12 +497,12 @@
                     Ok(targets) => {
                         let pause = pause_s.map(|s| Micros::from(s) * SECOND);
                         let command = Command::Round { targets, reason, pause };
-                        return self.order(now, client, id, who, command, scene);
+                        return self.order(now, client, id, who, command, snapshot);
                     }
                 }
             }
-            Operation::Next => return self.order(now, client, id, who, Command::Next, scene),
-            Operation::Halt => return self.order(now, client, id, who, Command::Halt, scene),
+            Operation::Next => return self.order(now, client, id, who, Command::Next, snapshot),
+            Operation::Halt => return self.order(now, client, id, who, Command::Halt, snapshot),
             // Sessions answer these themselves.
             Operation::Watch { .. } | Operation::Unwatch => return,
         };
@@ -516,14 +516,14 @@
         id: String,
         who: String,
         command: Command,
-        scene: &Scene<'_>,
+        snapshot: &Snapshot<'_>,
     ) {
         self.next_waiter += 1;
         let waiter = self.next_waiter;
         self.waiters.insert(waiter, (client, id.clone()));
         let ask = registry::OrderRequest { request_id: id, requested_by: who, command };
         let links = std::mem::take(&mut self.links);
-        let site = scene.loads().with(&links, self.health());
+        let site = snapshot.loads().with(&links, self.health());
         self.book.submit(now, ask, Some(waiter), &self.traffic, &site);
         drop(site);
         self.links = links;
@@ -541,12 +541,12 @@
 
     // ---- Views ----
 
-    fn body(&self, now: Now, topic: Topic, search: &str, scene: &Scene<'_>) -> Body {
+    fn body(&self, now: Now, topic: Topic, search: &str, snapshot: &Snapshot<'_>) -> Body {
         match topic {
-            Topic::Status => Body::Status(self.status(scene)),
-            Topic::Exchanges => Body::Exchanges { exchanges: self.exchange_views(scene) },
+            Topic::Status => Body::Status(self.status(snapshot)),
+            Topic::Exchanges => Body::Exchanges { exchanges: self.exchange_views(snapshot) },
             Topic::Calls => {
-                let (calls, total) = scene.calls(search, CALLS);
+                let (calls, total) = snapshot.calls(search, CALLS);
                 Body::Calls { calls, total }
             }
             Topic::Service => Body::Service(self.service_view()),
@@ -572,24 +572,24 @@
                 Body::Alarms { alarms: self.alarms.raised().into_iter().map(of).collect() }
             }
             Topic::Counters => {
-                // The scene has no appliance while this one makes the view.
-                let all = (scene.counters)().into_iter().chain(self.counters());
+                // The snapshot has no appliance while this one makes the view.
+                let all = (snapshot.counters)().into_iter().chain(self.counters());
                 Body::Counters { counters: all.collect() }
             }
-            Topic::Peers => Body::Peers { peers: scene.gossip.map_or_else(Vec::new, Gossip::peers) },
+            Topic::Peers => Body::Peers { peers: snapshot.gossip.map_or_else(Vec::new, Gossip::peers) },
             Topic::Suspicions => {
-                let suspicions = scene.gossip.map_or_else(Vec::new, |g| g.suspicions(now.steady));
+                let suspicions = snapshot.gossip.map_or_else(Vec::new, |g| g.suspicions(now.steady));
                 Body::Suspicions { suspicions }
             }
             Topic::Events => Body::Events { events: self.events.iter().cloned().collect() },
         }
     }
 
-    fn status(&self, scene: &Scene<'_>) -> views::Status {
+    fn status(&self, snapshot: &Snapshot<'_>) -> views::Status {
         let raised = self.alarms.raised();
-        let mut s = scene.status();
+        let mut s = snapshot.status();
         let own = self.book.drains().iter().find(|d| d.target == Target::Controller);
-        if !scene.stopping {
+        if !snapshot.stopping {
             if let Some(d) = own.filter(|d| d.state.in_force()) {
                 s.state = if d.state == State::Empty { "drained" } else { "draining" }.to_owned();
             }
@@ -608,8 +608,8 @@
         s
     }
 
-    fn exchange_views(&self, scene: &Scene<'_>) -> Vec<views::Exchange> {
-        let mut all = scene.exchanges();
+    fn exchange_views(&self, snapshot: &Snapshot<'_>) -> Vec<views::Exchange> {
+        let mut all = snapshot.exchanges();
         for e in &mut all {
             let here = [Target::Exchange(Exchange(e.exchange)), Target::Group(Exchange(e.exchange))];
             let drain = self.book.drains().iter().find(|d| here.contains(&d.target));
@@ -666,8 +666,8 @@
         Body::Audit { audit: self.book.audit().map(of).collect() }
     }
 
-    fn cost(&self, now: Now, target: Target, scene: &Scene<'_>) -> Body {
-        let site = scene.loads().with(&self.links, self.health());
+    fn cost(&self, now: Now, target: Target, snapshot: &Snapshot<'_>) -> Body {
+        let site = snapshot.loads().with(&self.links, self.health());
         let c = self.book.cost(now, target, &self.traffic, &site);
         let denied = self.book.dry_run(now, target, false, &self.traffic, &site).err();
         Body::Cost(views::Cost {
--- a/src/program/console.rs
+++ b/src/program/console.rs
@@ -1,7 +1,7 @@
 //! The line commands on standard input. The answers are only texts; a thread of their own writes them, so that a
 //! terminal that stands still stops nothing. The full-screen console speaks through the control socket instead.
 
-use super::views::{call_line, Scene};
+use super::views::{call_line, Snapshot};
 use std::fmt::Write as _;
 use std::io::{self, BufRead, Read, Write};
 
@@ -32,7 +32,7 @@
 }
 
 /// Reads a command: what is to be printed, and what is to be done.
-pub fn run(scene: &Scene<'_>, line: &str) -> (String, Option<Act>) {
+pub fn run(scene: &Snapshot<'_>, line: &str) -> (String, Option<Act>) {
     let mut words = line.split_whitespace();
     let (mut out, mut act) = (String::new(), None);
     // Writing to a string can't fail.
--- a/src/program/event_loop.rs
+++ b/src/program/event_loop.rs
@@ -201,7 +201,7 @@
                 }
             }
             Inbound::Command(line) => {
-                let (text, act) = console::run(&self.scene(now), &line);
+                let (text, act) = console::run(&self.snapshot(now), &line);
                 self.tasks.push(Task::Print(text));
                 match act {
                     Some(console::Act::Drain(on)) => self.draining = on,
@@ -218,7 +218,7 @@
                 }
             }
             Inbound::Control(news) => {
-                self.with_appliance(now, |a, clocks, scene| a.take(clocks, news, scene));
+                self.with_appliance(now, |a, clocks, snapshot| a.take(clocks, news, snapshot));
             }
             Inbound::Stop => self.stop(now),
             Inbound::NotListening => {
--- a/src/program/views.rs
+++ b/src/program/views.rs
@@ -16,7 +16,7 @@
 pub const CALLS: usize = 500;
 
 /// All that views are made of.
-pub struct Scene<'a> {
+pub struct Snapshot<'a> {
     /// The time.
     pub now: Micros,
     /// When the program started.
@@ -56,7 +56,7 @@
     u64::try_from(span / 1000).unwrap_or(0)
 }
 
-impl Scene<'_> {
+impl Snapshot<'_> {
     /// In one word.
     pub fn state(&self) -> &'static str {
         match (self.stopping, self.draining) {
@@ -147,7 +147,7 @@
 
     /// What is at each exchange.
     pub fn loads(&self) -> Loads<'_> {
-        Loads { scene: self, loads: self.ledger.call_loads(), links: None, health: Health::default() }
+        Loads { snapshot: self, loads: self.ledger.call_loads(), links: None, health: Health::default() }
     }
 }
 
@@ -165,7 +165,7 @@
 
 /// The site as drains see it.
 pub struct Loads<'a> {
-    scene: &'a Scene<'a>,
+    snapshot: &'a Snapshot<'a>,
     loads: BTreeMap<(ExchangeNumber, ExchangeNumber), (u32, u32)>,
     links: Option<&'a BTreeSet<(ExchangeNumber, ExchangeNumber)>>,
     health: Health,
@@ -188,8 +188,8 @@
         if target == Target::Controller {
             let of = |n: usize| u32::try_from(n).unwrap_or(u32::MAX);
             return Load {
-                pending_setups: of(self.scene.ledger.open_calls()),
-                established: of(self.scene.ledger.established_calls()),
+                pending_setups: of(self.snapshot.ledger.open_calls()),
+                established: of(self.snapshot.ledger.established_calls()),
             };
         }
         let at = |leg: ExchangeNumber, to: ExchangeNumber| match target {
@@ -206,10 +206,10 @@
     }
 
     fn neighbours(&self) -> Vec<Neighbour> {
-        let own = self.scene.config.settings.own_exchange;
+        let own = self.snapshot.config.settings.own_exchange;
         let mut all: BTreeMap<ExchangeNumber, Neighbour> = BTreeMap::new();
         for (e, group) in
-            self.scene.ledger.administrative_state().offices().filter(|o| Some(o.0.exchange) != own)
+            self.snapshot.ledger.administrative_state().offices().filter(|o| Some(o.0.exchange) != own)
         {
             let ready = e.state == ListState::Ready;
             let n = Neighbour { exchange: target::Exchange(e.exchange.0), ready, group };
