--- a/src/program/alarms.rs
+++ b/src/program/alarms.rs
@@ -10,13 +10,13 @@
 use walnuthatch_metrics::service::ServiceWindows;
 
 /// When alarms are raised.
-pub type Marks = AlarmMarks;
+pub type Thresholds = AlarmMarks;
 
 /// With fewer calls than this in its window a share says nothing.
-const FEW: u32 = 20;
+const MIN_CALLS: u32 = 20;
 
 /// A value to be looked at.
-pub struct Look {
+pub struct Observation {
     /// What it is of.
     pub key: AlarmKey,
     /// The value.
@@ -28,79 +28,89 @@
 }
 
 /// All values as they are now.
-pub fn looks(
-    marks: &Marks,
+pub fn evaluate(
+    thresholds: &Thresholds,
     snapshot: &Snapshot<'_>,
     service: &ServiceWindows,
-    book: &DrainRegistry,
+    registry: &DrainRegistry,
     wall: Micros,
-) -> Vec<Look> {
+) -> Vec<Observation> {
     let mut out = Vec::new();
     let rule = |raise: f64, clear: f64, severity| AlarmRule {
         raise,
         clear,
-        raise_delay: marks.hold,
-        clear_delay: marks.calm,
+        raise_delay: thresholds.hold,
+        clear_delay: thresholds.calm,
         severity,
     };
     // A state that is so or not; the holds are for values that swing.
     let at_once = |severity| AlarmRule { raise: 1.0, clear: 0.0, raise_delay: 0, clear_delay: 0, severity };
     let mut add = |kind, subject: String, value: f64, rule, text: String| {
-        out.push(Look { key: AlarmKey { kind, subject }, value, rule, text });
+        out.push(Observation { key: AlarmKey { kind, subject }, value, rule, text });
     };
     let [short, minute, _] = service.windows();
-    let missed =
-        minute.share_within_objective().filter(|_| minute.answered() >= FEW).map_or(0.0, |share| 1.0 - share);
-    let mark = 1.0 - marks.in_aim_under;
+    let missed = minute
+        .share_within_objective()
+        .filter(|_| minute.answered() >= MIN_CALLS)
+        .map_or(0.0, |share| 1.0 - share);
+    let threshold = 1.0 - thresholds.in_aim_under;
     let text = format!("{:.0}% of the last minute's calls stand within the aim", (1.0 - missed) * 100.0);
-    add("service", String::new(), missed, rule(mark.max(0.001), mark * 0.7, Severity::Critical), text);
+    add(
+        "service",
+        String::new(),
+        missed,
+        rule(threshold.max(0.001), threshold * 0.7, Severity::Critical),
+        text,
+    );
     let refused = match short.answered() {
-        n if n >= FEW => f64::from(short.refused()) / f64::from(n),
+        n if n >= MIN_CALLS => f64::from(short.refused()) / f64::from(n),
         _ => 0.0,
     };
     let text = format!("{:.0}% of the last 10 s's calls are refused", refused * 100.0);
-    let mark = marks.refused_over.max(0.001);
-    add("refusals", String::new(), refused, rule(mark, mark * 0.7, Severity::Warning), text);
+    let threshold = thresholds.refused_over.max(0.001);
+    add("refusals", String::new(), refused, rule(threshold, threshold * 0.7, Severity::Warning), text);
     for e in snapshot.exchanges() {
         let name = format!("exchange:{}", e.exchange);
         if e.listed == "ready" {
             // Without a connection figures grow old too, but one that never told any has no age.
             let age = e.report_age_ms.map(|ms| ms as f64 * 1000.0);
-            let quiet = if e.connected { 0.0 } else { age.unwrap_or((snapshot.now - snapshot.born) as f64) };
+            let quiet =
+                if e.connected { 0.0 } else { age.unwrap_or((snapshot.now - snapshot.started_at) as f64) };
             let text = format!("no connection to {} at {} for {:.0} s", e.member, e.address, quiet / 1e6);
-            let silent = AlarmRule { raise_delay: 0, ..rule(marks.silent as f64, 0.0, Severity::Critical) };
+            let silent =
+                AlarmRule { raise_delay: 0, ..rule(thresholds.silent as f64, 0.0, Severity::Critical) };
             add("unreachable", format!("{name} {}", e.member), quiet, silent, text);
         }
         if let (Some(free), Some(size)) = (e.free, e.size.filter(|s| *s >= 1.0)) {
             let busy = 1.0 - free.max(0.0) / size;
             let text = format!("{:.0} of {size:.0} circuits are busy", size - free.max(0.0));
-            let mark = marks.busy_over;
+            let threshold = thresholds.busy_over;
             add(
                 "group",
                 format!("{name} {}", e.member),
                 busy,
-                rule(mark, mark * 0.95, Severity::Warning),
+                rule(threshold, threshold * 0.95, Severity::Warning),
                 text,
             );
         }
     }
-    for d in book.drains() {
+    for d in registry.drains() {
         let stuck = matches!(d.state, State::Failed | State::Expired);
         let text = format!("{}: {} calls still stand there", d.state.name(), d.load.established);
         add("drain", d.target.to_string(), f64::from(u8::from(stuck)), at_once(Severity::Warning), text);
     }
-    for w in book.windows() {
-        let begun = book.drains().iter().any(|d| d.window.as_ref().is_some_and(|x| x.0 == w.name));
-        let denied = w.open_at(wall).is_some() && !begun && book.window_denied(&w.name);
+    for w in registry.windows() {
+        let begun = registry.drains().iter().any(|d| d.window.as_ref().is_some_and(|x| x.0 == w.name));
+        let denied = w.open_at(wall).is_some() && !begun && registry.window_denied(&w.name);
         let text = "it is open, and its drain was turned down: see the events".to_owned();
         add("window", w.name.clone(), f64::from(u8::from(denied)), at_once(Severity::Warning), text);
     }
-    if let Some(Stage::Halted(why)) = book.plan().map(|p| &p.stage) {
+    if let Some(Stage::Halted(why)) = registry.plan().map(|p| &p.stage) {
         // One that somebody halted is known to be.
         let by_itself = f64::from(u8::from(!why.starts_with("halted by")));
         add("round", String::new(), by_itself, at_once(Severity::Warning), format!("halted: {why}"));
     }
     let text = "drains that are in force would not survive a restart".to_owned();
-    add("unsaved", String::new(), f64::from(u8::from(book.unsaved())), at_once(Severity::Warning), text);
+    add("unsaved", String::new(), f64::from(u8::from(registry.unsaved())), at_once(Severity::Warning), text);
     out
 }
--- a/src/program/appliance.rs
+++ b/src/program/appliance.rs
@@ -4,11 +4,11 @@
 //! done ([`Appliance::take_outputs`]). It decides nothing about a call: what is out of service reaches the decision
 //! module through the ledger, as an event of its interface.
 
-use super::alarms::{self, Marks};
+use super::alarms::{self, Thresholds};
 use super::appliance_file::ApplianceConfig;
 use super::gossip::Gossip;
 use super::log::Log;
-use super::views::{Loads, Snapshot, CALLS};
+use super::views::{SiteLoad, Snapshot, MAX_LISTED_CALLS};
 use crate::routing::interface::{Cause, Ending, ExchangeNumber, Micros, OutOfService};
 use crate::routing::ledger::{Answer, LastAttempt, Ledger, Output as LedgerOutput};
 use crate::transport::ControlNews;
@@ -30,60 +30,60 @@
 use walnuthatch_metrics::service::{CallOutcome, ServiceWindows, OUTCOMES, WINDOWS};
 
 /// Events kept for whoever asks later.
-const EVENTS: usize = 512;
+const MAX_KEPT_EVENTS: usize = 512;
 /// Bytes handed to one connection at a time.
-const BATCH: usize = 64 * 1024;
+const MAX_BATCH_BYTES: usize = 64 * 1024;
 /// Seconds of history in the view of the service.
-const HISTORY: usize = 60;
+const HISTORY_SECONDS: usize = 60;
 
 /// What is to be done.
 #[derive(Debug)]
 pub enum Output {
     /// This is out of service from now on.
-    Withdraw(OutOfService),
+    SetOutOfService(OutOfService),
     /// Release the calls that stand there.
-    Cut(Target),
+    CutCalls(Target),
     /// Bring groups back a little more.
-    Reopen,
+    RampRestoredGroups,
     /// Write the state.
     Save(u64, Box<Saved>),
     /// Stop the program.
     Stop,
     /// Come back then.
-    Wake(Micros),
+    SetTimer(Micros),
 }
 
 /// The appliance's state.
 pub struct Appliance {
-    book: DrainRegistry,
+    registry: DrainRegistry,
     traffic: Traffic,
     service: ServiceWindows,
-    answers: RollingHistogram,
-    exchanges: MetricsByExchange,
+    answer_times: RollingHistogram,
+    exchange_metrics: MetricsByExchange,
     alarms: Alarms,
-    marks: Marks,
+    thresholds: Thresholds,
     links: BTreeSet<(ExchangeNumber, ExchangeNumber)>,
     sessions: Sessions,
     /// One message at a time may be on its way to each program.
-    queues: HashMap<ClientId, Sender<Vec<u8>>>,
+    write_queues: HashMap<ClientId, Sender<Vec<u8>>>,
     waiters: BTreeMap<WaiterId, (ClientId, String)>,
     next_waiter: WaiterId,
     events: VecDeque<Event>,
     event_number: u64,
     log: Option<Rc<Log>>,
     log_lost: u64,
-    keeps: bool,
+    has_state_folder: bool,
     abandoned: u64,
     /// The second that was last looked at.
-    second: Micros,
+    last_second: Micros,
     /// When it is to be looked at next.
-    next: Micros,
-    out: Vec<Output>,
+    next_timer: Micros,
+    outputs: Vec<Output>,
 }
 
 impl std::fmt::Debug for Appliance {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Appliance").field("book", &self.book).finish_non_exhaustive()
+        f.debug_struct("Appliance").field("registry", &self.registry).finish_non_exhaustive()
     }
 }
 
@@ -110,43 +110,44 @@
         log: Option<Rc<Log>>,
     ) -> Self {
         let policy = walnuthatch_drains::policy::Policy { grace: drain_grace, ..config.policy.clone() };
-        let keeps = config.folder.is_some();
-        let mut book = DrainRegistry::new(policy, config.windows.clone(), own.map(|o| Exchange(o.0)), keeps);
+        let has_state_folder = config.folder.is_some();
+        let mut registry =
+            DrainRegistry::new(policy, config.windows.clone(), own.map(|o| Exchange(o.0)), has_state_folder);
         if let Some(saved) = saved {
-            book.resume(now, saved);
+            registry.resume(now, saved);
         }
         let mut appliance = Appliance {
-            book,
+            registry,
             traffic: Traffic::default(),
             service: ServiceWindows::new(now.steady),
-            answers: RollingHistogram::default(),
-            exchanges: MetricsByExchange::default(),
+            answer_times: RollingHistogram::default(),
+            exchange_metrics: MetricsByExchange::default(),
             alarms: Alarms::default(),
-            marks: config.alarms,
+            thresholds: config.alarms,
             links: config.links.clone(),
             sessions: Sessions::default(),
-            queues: HashMap::new(),
+            write_queues: HashMap::new(),
             waiters: BTreeMap::new(),
             next_waiter: 0,
             events: VecDeque::new(),
             event_number: 0,
             log,
             log_lost: 0,
-            keeps,
+            has_state_folder,
             abandoned: 0,
-            second: now.steady,
-            next: now.steady,
-            out: vec![Output::Wake(now.steady)],
+            last_second: now.steady,
+            next_timer: now.steady,
+            outputs: vec![Output::SetTimer(now.steady)],
         };
-        appliance.follow_book(now);
+        appliance.process_registry_outputs(now);
         appliance
     }
 
     /// Takes over what a running program can follow.
     pub fn reload(&mut self, config: &ApplianceConfig, drain_grace: Micros) {
         let policy = walnuthatch_drains::policy::Policy { grace: drain_grace, ..config.policy.clone() };
-        self.book.reload(policy, config.windows.clone());
-        self.marks = config.alarms;
+        self.registry.reload(policy, config.windows.clone());
+        self.thresholds = config.alarms;
         self.links.clone_from(&config.links);
         if let (Some(log), Some(filter)) = (&self.log, &config.log_filter) {
             // It was checked when the file was read.
@@ -156,12 +157,12 @@
 
     /// What is to be done, in order.
     pub fn take_outputs(&mut self) -> Vec<Output> {
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outputs)
     }
 
     /// Whether this controller's tests fail by order.
-    pub fn fails_tests(&self) -> bool {
-        self.book.out_of_service().fail_health_checks
+    pub fn fails_health_checks(&self) -> bool {
+        self.registry.out_of_service().fail_health_checks
     }
 
     /// Counters of its own.
@@ -184,38 +185,44 @@
     // ---- What happens ----
 
     /// Hears what the ledger does.
-    pub fn observe(&mut self, now: Micros, output: &LedgerOutput, ledger: &Ledger, aims: &[Micros]) {
+    pub fn observe(
+        &mut self,
+        now: Micros,
+        output: &LedgerOutput,
+        ledger: &Ledger,
+        latency_objectives: &[Micros],
+    ) {
         match output {
             LedgerOutput::SetUp { call, office, .. } => {
                 let leg = ledger.administrative_state().exchange_of(*office);
                 let Some((leg, offer)) = leg.zip(ledger.offered_call(*call)) else { return };
                 self.traffic.record_setup(now, Exchange(offer.new_call.destination.0), Exchange(leg.0));
-                if let Some(e) = self.exchanges.entry(leg.0) {
+                if let Some(e) = self.exchange_metrics.entry(leg.0) {
                     e.record_attempt(now);
                 }
             }
             LedgerOutput::AttemptEnded { exchange: Some(leg), .. } => {
-                if let Some(e) = self.exchanges.entry(leg.0) {
+                if let Some(e) = self.exchange_metrics.entry(leg.0) {
                     e.unsuccessful_attempts += 1;
                 }
             }
             LedgerOutput::Answer {
                 call, answer, offered_at: taken, destination, last_attempt: last, ..
             } => {
-                self.answers.record(now, now - taken);
+                self.answer_times.record(now, now - taken);
                 let outcome = match answer {
                     Answer::Failed => CallOutcome::Failed,
-                    Answer::Refused { .. } => self.refusal(*destination, *last),
+                    Answer::Refused { .. } => self.refusal_outcome(*destination, *last),
                     Answer::Established(_) => {
                         if let Some(LastAttempt { exchange: Some(leg), setup_time: took, .. }) = last {
                             self.traffic.record_established(now, Exchange(destination.0), Exchange(leg.0));
-                            if let Some(e) = self.exchanges.entry(leg.0) {
+                            if let Some(e) = self.exchange_metrics.entry(leg.0) {
                                 e.setup_times.record(now, *took);
                             }
                         }
                         let class = ledger.offered_call(*call).map_or(0, |o| o.new_call.class);
-                        let aim = aims.get(class).copied().unwrap_or(Micros::MAX);
-                        if now - taken <= aim {
+                        let latency_objective = latency_objectives.get(class).copied().unwrap_or(Micros::MAX);
+                        if now - taken <= latency_objective {
                             CallOutcome::WithinObjective
                         } else {
                             CallOutcome::Late
@@ -229,8 +236,8 @@
     }
 
     /// Why a call was refused, as far as its last attempt, or the lack of one, tells.
-    fn refusal(&self, destination: ExchangeNumber, last: Option<LastAttempt>) -> CallOutcome {
-        let w = self.book.out_of_service();
+    fn refusal_outcome(&self, destination: ExchangeNumber, last: Option<LastAttempt>) -> CallOutcome {
+        let w = self.registry.out_of_service();
         match last.and_then(|l| l.failure) {
             _ if w.refuse_new_calls || w.exchanges.contains(&Exchange(destination.0)) => CallOutcome::Drained,
             Some((_, Cause::NoCircuit)) => CallOutcome::NoCircuit,
@@ -245,94 +252,95 @@
     }
 
     /// Takes news of the control socket or of the state folder.
-    pub fn take(&mut self, now: Now, news: ControlNews, snapshot: &Snapshot<'_>) {
+    pub fn handle_control_event(&mut self, now: Now, news: ControlNews, snapshot: &Snapshot<'_>) {
         match news {
             ControlNews::Opened(client, queue) => {
-                self.queues.insert(client, queue);
+                self.write_queues.insert(client, queue);
                 self.sessions.opened(now.steady, client);
             }
             ControlNews::Bytes(client, bytes) => {
                 for asked in self.sessions.receive(now.steady, client, &bytes) {
-                    self.request(now, asked, snapshot);
+                    self.handle_request(now, asked, snapshot);
                 }
             }
-            ControlNews::Wrote(client) => self.feed(client),
+            ControlNews::Wrote(client) => self.send_pending(client),
             ControlNews::Closed(client) => {
                 // The one place where a connection is given back. Orders that came on it go on.
-                self.queues.remove(&client);
+                self.write_queues.remove(&client);
                 self.sessions.closed(client);
                 self.waiters.retain(|_, w| w.0 != client);
             }
             ControlNews::Saved(n, how) => {
-                self.book.save_finished(now, n, how);
-                self.follow_book(now);
+                self.registry.save_finished(now, n, how);
+                self.process_registry_outputs(now);
             }
         }
-        self.follow_sessions();
-        self.plan(now);
+        self.process_session_outputs();
+        self.schedule(now);
     }
 
     /// Lets time pass.
-    pub fn look(&mut self, now: Now, snapshot: &Snapshot<'_>) {
+    pub fn handle_timer(&mut self, now: Now, snapshot: &Snapshot<'_>) {
         // Deadlines that an earlier one has overtaken mean nothing.
-        if now.steady < self.next {
+        if now.steady < self.next_timer {
             return;
         }
-        let whole = now.steady - self.second >= SECOND;
-        if whole || !self.quiet() {
+        let whole = now.steady - self.last_second >= SECOND;
+        if whole || !self.is_idle() {
             let links = std::mem::take(&mut self.links);
-            let site = snapshot.loads().with(&links, self.health());
-            self.book.evaluate(now, &self.traffic, &site);
+            let site = snapshot.site_load().with_links_and_health(&links, self.health());
+            self.registry.evaluate(now, &self.traffic, &site);
             if whole {
-                self.each_second(now, snapshot, &site);
+                self.run_each_second(now, snapshot, &site);
             }
             drop(site);
             self.links = links;
-            self.follow_book(now);
+            self.process_registry_outputs(now);
         }
         let mut sessions = std::mem::take(&mut self.sessions);
-        sessions.send_due_views(now.steady, |topic, search| self.body(now, topic, search, snapshot));
+        sessions.send_due_views(now.steady, |topic, search| self.topic_body(now, topic, search, snapshot));
         self.sessions = sessions;
-        self.follow_sessions();
-        self.plan(now);
+        self.process_session_outputs();
+        self.schedule(now);
     }
 
-    fn each_second(&mut self, now: Now, snapshot: &Snapshot<'_>, site: &Loads<'_>) {
-        let span = now.steady - self.second;
-        self.second = now.steady;
-        for (leg, to, calls) in site.standing() {
+    fn run_each_second(&mut self, now: Now, snapshot: &Snapshot<'_>, site: &SiteLoad<'_>) {
+        let span = now.steady - self.last_second;
+        self.last_second = now.steady;
+        for (leg, to, calls) in site.established() {
             self.traffic.record_held(now.steady, Exchange(to.0), Exchange(leg.0), calls, span);
         }
         let abandoned = snapshot.ledger.counts().abandoned;
         (self.abandoned..abandoned).for_each(|_| self.service.record(now.steady, CallOutcome::Abandoned));
         self.abandoned = abandoned;
         self.service.advance(now.steady);
-        self.answers.advance(now.steady);
-        self.exchanges.advance(now.steady);
+        self.answer_times.advance(now.steady);
+        self.exchange_metrics.advance(now.steady);
         let list: BTreeSet<u16> = site.neighbours().iter().map(|n| n.exchange.0).collect();
-        self.exchanges.retain(|e| list.contains(&e));
+        self.exchange_metrics.retain(|e| list.contains(&e));
         let lost = self.log.as_ref().map_or(0, |l| l.lost());
         if lost > self.log_lost {
             tracing::warn!(lines = lost - self.log_lost, "log lines were lost: nobody read them in time");
             self.log_lost = lost;
         }
-        let looks = alarms::looks(&self.marks, snapshot, &self.service, &self.book, now.wall);
-        let keys: BTreeSet<_> = looks.iter().map(|l| l.key.clone()).collect();
+        let observations =
+            alarms::evaluate(&self.thresholds, snapshot, &self.service, &self.registry, now.wall);
+        let keys: BTreeSet<_> = observations.iter().map(|l| l.key.clone()).collect();
         let mut changes = self.alarms.retain(now.steady, |k| keys.contains(k));
-        for l in looks {
+        for l in observations {
             changes.extend(self.alarms.evaluate(now.steady, l.key, l.value, l.rule, || l.text));
         }
         for change in changes {
             match change {
                 AlarmChange::Raised(key, alarm) => {
-                    self.event(now, "alarm", format!("raised: {key}: {}", alarm.text));
+                    self.publish_event(now, "alarm", format!("raised: {key}: {}", alarm.text));
                 }
                 AlarmChange::Cleared(key, after) => {
-                    self.event(now, "alarm", format!("cleared: {key}, after {} s", seconds(after)));
+                    self.publish_event(now, "alarm", format!("cleared: {key}, after {} s", seconds(after)));
                 }
             }
         }
-        self.out.push(Output::Reopen);
+        self.outputs.push(Output::RampRestoredGroups);
     }
 
     /// How calls fare that are not for what is drained.
@@ -350,24 +358,24 @@
     // ---- What follows ----
 
     /// Nothing is drained, and no round is under way.
-    fn quiet(&self) -> bool {
-        self.book.drains().is_empty() && self.book.plan().is_none_or(Plan::is_stopped)
+    fn is_idle(&self) -> bool {
+        self.registry.drains().is_empty() && self.registry.plan().is_none_or(Plan::is_stopped)
     }
 
-    fn plan(&mut self, now: Now) {
+    fn schedule(&mut self, now: Now) {
         let views = self.sessions.next_view_due().unwrap_or(Micros::MAX);
-        let drains = if self.quiet() { Micros::MAX } else { self.book.next_evaluation(now) };
-        let want = views.min(drains).min(self.second + SECOND).max(now.steady + 1);
-        if want < self.next || self.next <= now.steady {
-            self.next = want;
-            self.out.push(Output::Wake(want));
+        let drains = if self.is_idle() { Micros::MAX } else { self.registry.next_evaluation(now) };
+        let want = views.min(drains).min(self.last_second + SECOND).max(now.steady + 1);
+        if want < self.next_timer || self.next_timer <= now.steady {
+            self.next_timer = want;
+            self.outputs.push(Output::SetTimer(want));
         }
     }
 
-    fn follow_book(&mut self, now: Now) {
-        for output in self.book.take_outputs() {
+    fn process_registry_outputs(&mut self, now: Now) {
+        for output in self.registry.take_outputs() {
             match output {
-                registry::Output::Save(n, saved) => self.out.push(Output::Save(n, saved)),
+                registry::Output::Save(n, saved) => self.outputs.push(Output::Save(n, saved)),
                 registry::Output::Answer(waiter, answer) => {
                     let Some((client, id)) = self.waiters.remove(&waiter) else { continue };
                     let what = match answer.done {
@@ -376,37 +384,39 @@
                     };
                     self.sessions.reply(client, id, what);
                 }
-                registry::Output::SetOutOfService(w) => self.out.push(Output::Withdraw(OutOfService {
-                    exchanges: exchanges(&w.exchanges),
-                    groups: exchanges(&w.groups),
-                    controller: w.refuse_new_calls,
-                })),
+                registry::Output::SetOutOfService(w) => {
+                    self.outputs.push(Output::SetOutOfService(OutOfService {
+                        exchanges: exchanges(&w.exchanges),
+                        groups: exchanges(&w.groups),
+                        controller: w.refuse_new_calls,
+                    }))
+                }
                 registry::Output::Cut(target) => {
-                    self.event(now, "drain", format!("{target}: the calls that are left are cut"));
-                    self.out.push(Output::Cut(target));
+                    self.publish_event(now, "drain", format!("{target}: the calls that are left are cut"));
+                    self.outputs.push(Output::CutCalls(target));
                 }
                 registry::Output::Event(news) => {
-                    let (kind, text) = told(&news);
-                    self.event(now, kind, text);
+                    let (kind, text) = event_text(&news);
+                    self.publish_event(now, kind, text);
                 }
             }
         }
-        self.follow_sessions();
+        self.process_session_outputs();
     }
 
-    fn follow_sessions(&mut self) {
+    fn process_session_outputs(&mut self) {
         for output in self.sessions.take_outputs() {
             match output {
-                sessions::Output::Ready(client) => self.feed(client),
+                sessions::Output::Ready(client) => self.send_pending(client),
                 // What waits is sent, and then the queue has no more to give.
                 sessions::Output::Close(client) => {
-                    self.feed(client);
-                    if let Some(queue) = self.queues.get(&client) {
+                    self.send_pending(client);
+                    if let Some(queue) = self.write_queues.get(&client) {
                         queue.close();
                     }
                 }
                 sessions::Output::Abort(client) => {
-                    if let Some(queue) = self.queues.get(&client) {
+                    if let Some(queue) = self.write_queues.get(&client) {
                         queue.close();
                     }
                 }
@@ -415,10 +425,12 @@
     }
 
     /// Hands a connection what waits for it, if nothing is on its way there.
-    fn feed(&mut self, client: ClientId) {
-        let Some(queue) = self.queues.get(&client).filter(|q| q.is_empty()) else { return };
+    fn send_pending(&mut self, client: ClientId) {
+        let Some(queue) = self.write_queues.get(&client).filter(|q| q.is_empty()) else { return };
         let mut bytes = Vec::new();
-        while let Some(frame) = (bytes.len() < BATCH).then(|| self.sessions.next_message(client)).flatten() {
+        while let Some(frame) =
+            (bytes.len() < MAX_BATCH_BYTES).then(|| self.sessions.next_message(client)).flatten()
+        {
             bytes.extend(frame);
         }
         if !bytes.is_empty() {
@@ -428,50 +440,50 @@
     }
 
     /// Something happened in another subsystem.
-    pub fn tell(&mut self, now: Micros, wall: Micros, kind: &str, text: String) {
-        self.event(Now::new(now, wall), kind, text);
-        self.follow_sessions();
+    pub fn record_event(&mut self, now: Micros, wall: Micros, kind: &str, text: String) {
+        self.publish_event(Now::new(now, wall), kind, text);
+        self.process_session_outputs();
     }
 
     /// Writes an event to the log.
-    pub fn log(kind: &str, text: &str) {
+    pub fn log_event(kind: &str, text: &str) {
         tracing::info!(target: "walnuthatch::events", kind, "{text}");
     }
 
-    fn event(&mut self, now: Now, kind: &str, text: String) {
-        Appliance::log(kind, &text);
+    fn publish_event(&mut self, now: Now, kind: &str, text: String) {
+        Appliance::log_event(kind, &text);
         self.event_number += 1;
         let event = Event { at_ms: now.wall / 1000, number: self.event_number, kind: kind.to_owned(), text };
         self.sessions.publish(&event);
         self.events.push_back(event);
-        if self.events.len() > EVENTS {
+        if self.events.len() > MAX_KEPT_EVENTS {
             self.events.pop_front();
         }
     }
 
     // ---- Requests ----
 
-    fn request(&mut self, now: Now, asked: PendingRequest, snapshot: &Snapshot<'_>) {
+    fn handle_request(&mut self, now: Now, asked: PendingRequest, snapshot: &Snapshot<'_>) {
         let PendingRequest { client, request } = asked;
         let who = if request.who.is_empty() { "unknown".to_owned() } else { request.who };
         let id = request.id;
         let target = |text: &str| text.parse::<Target>().map_err(|e| e.to_string());
         let what = match request.operation {
-            Operation::Show { topic, search } => Ok(self.body(now, topic, &search, snapshot)),
+            Operation::Show { topic, search } => Ok(self.topic_body(now, topic, &search, snapshot)),
             Operation::Audit => Ok(self.audit()),
             Operation::Config => Ok(Body::Text { text: snapshot.config.summary() }),
             Operation::Cost { target: text } => target(&text).map(|t| self.cost(now, t, snapshot)),
             Operation::Log { filter } => self.set_log(now, &who, filter),
             Operation::Seen { alarm } => match self.alarms.acknowledge(&alarm, &who) {
                 true => {
-                    self.event(now, "alarm", format!("seen by {who}: {alarm}"));
+                    self.publish_event(now, "alarm", format!("seen by {who}: {alarm}"));
                     Ok(Body::Text { text: format!("{alarm}: seen by {who}") })
                 }
                 false => Err(format!("alarm: {alarm:?} is not raised")),
             },
             Operation::Stop => {
-                self.event(now, "program", format!("{who} stops the controller"));
-                self.out.push(Output::Stop);
+                self.publish_event(now, "program", format!("{who} stops the controller"));
+                self.outputs.push(Output::Stop);
                 Ok(Body::Text { text: "stopping".to_owned() })
             }
             Operation::Drain { target: text, reason, limit_s, at_limit, force } => match target(&text) {
@@ -484,12 +496,14 @@
                         frames::AtLimit::Cut => AtLimit::Cut,
                     };
                     let command = Command::Drain { target, reason, limit, at_limit, force };
-                    return self.order(now, client, id, who, command, snapshot);
+                    return self.submit_order(now, client, id, who, command, snapshot);
                 }
             },
             Operation::Undrain { target: text } => match target(&text) {
                 Err(e) => Err(e),
-                Ok(target) => return self.order(now, client, id, who, Command::Undrain { target }, snapshot),
+                Ok(target) => {
+                    return self.submit_order(now, client, id, who, Command::Undrain { target }, snapshot)
+                }
             },
             Operation::Round { targets, reason, pause_s } => {
                 match targets.iter().map(|t| target(t)).collect::<Result<Vec<_>, _>>() {
@@ -497,19 +511,19 @@
                     Ok(targets) => {
                         let pause = pause_s.map(|s| Micros::from(s) * SECOND);
                         let command = Command::Round { targets, reason, pause };
-                        return self.order(now, client, id, who, command, snapshot);
+                        return self.submit_order(now, client, id, who, command, snapshot);
                     }
                 }
             }
-            Operation::Next => return self.order(now, client, id, who, Command::Next, snapshot),
-            Operation::Halt => return self.order(now, client, id, who, Command::Halt, snapshot),
+            Operation::Next => return self.submit_order(now, client, id, who, Command::Next, snapshot),
+            Operation::Halt => return self.submit_order(now, client, id, who, Command::Halt, snapshot),
             // Sessions answer these themselves.
             Operation::Watch { .. } | Operation::Unwatch => return,
         };
         self.sessions.reply(client, id, what);
     }
 
-    fn order(
+    fn submit_order(
         &mut self,
         now: Now,
         client: ClientId,
@@ -523,38 +537,38 @@
         self.waiters.insert(waiter, (client, id.clone()));
         let ask = registry::OrderRequest { request_id: id, requested_by: who, command };
         let links = std::mem::take(&mut self.links);
-        let site = snapshot.loads().with(&links, self.health());
-        self.book.submit(now, ask, Some(waiter), &self.traffic, &site);
+        let site = snapshot.site_load().with_links_and_health(&links, self.health());
+        self.registry.submit(now, ask, Some(waiter), &self.traffic, &site);
         drop(site);
         self.links = links;
-        self.follow_book(now);
+        self.process_registry_outputs(now);
     }
 
     fn set_log(&mut self, now: Now, who: &str, filter: Option<String>) -> Result<Body, String> {
         let log = self.log.clone().ok_or("log: none is kept here")?;
         if let Some(filter) = filter {
             log.set(&filter).map_err(|e| e.to_string())?;
-            self.event(now, "program", format!("{who} sets the log to {filter}"));
+            self.publish_event(now, "program", format!("{who} sets the log to {filter}"));
         }
         Ok(Body::Text { text: log.filter() })
     }
 
     // ---- Views ----
 
-    fn body(&self, now: Now, topic: Topic, search: &str, snapshot: &Snapshot<'_>) -> Body {
+    fn topic_body(&self, now: Now, topic: Topic, search: &str, snapshot: &Snapshot<'_>) -> Body {
         match topic {
             Topic::Status => Body::Status(self.status(snapshot)),
             Topic::Exchanges => Body::Exchanges { exchanges: self.exchange_views(snapshot) },
             Topic::Calls => {
-                let (calls, total) = snapshot.calls(search, CALLS);
+                let (calls, total) = snapshot.calls(search, MAX_LISTED_CALLS);
                 Body::Calls { calls, total }
             }
             Topic::Service => Body::Service(self.service_view()),
             Topic::Drains => Body::Drains {
-                drains: self.book.drains().iter().map(|d| drain_view(now, d)).collect(),
-                over: self.book.finished().map(|d| drain_view(now, d)).collect(),
+                drains: self.registry.drains().iter().map(|d| drain_view(now, d)).collect(),
+                over: self.registry.finished().map(|d| drain_view(now, d)).collect(),
                 windows: self.windows(now),
-                round: self.book.plan().map(|p| round_view(now, p)),
+                round: self.registry.plan().map(|p| round_view(now, p)),
             },
             Topic::Alarms => {
                 let of = |(key, a): (
@@ -588,7 +602,7 @@
     fn status(&self, snapshot: &Snapshot<'_>) -> views::Status {
         let raised = self.alarms.raised();
         let mut s = snapshot.status();
-        let own = self.book.drains().iter().find(|d| d.target == Target::Controller);
+        let own = self.registry.drains().iter().find(|d| d.target == Target::Controller);
         if !snapshot.stopping {
             if let Some(d) = own.filter(|d| d.state.in_force()) {
                 s.state = if d.state == State::Empty { "drained" } else { "draining" }.to_owned();
@@ -596,8 +610,8 @@
         }
         s.alarms = raised.len();
         s.worst = raised.first().map_or(String::new(), |(key, a)| format!("{key}: {}", a.text));
-        s.drains = self.book.drains().len();
-        s.state_folder = match (self.keeps, self.book.unsaved()) {
+        s.drains = self.registry.drains().len();
+        s.state_folder = match (self.has_state_folder, self.registry.unsaved()) {
             (false, _) => "off",
             (true, true) => "unsaved",
             (true, false) => "saved",
@@ -612,12 +626,12 @@
         let mut all = snapshot.exchanges();
         for e in &mut all {
             let here = [Target::Exchange(Exchange(e.exchange)), Target::Group(Exchange(e.exchange))];
-            let drain = self.book.drains().iter().find(|d| here.contains(&d.target));
+            let drain = self.registry.drains().iter().find(|d| here.contains(&d.target));
             e.drain = drain.map_or(String::new(), |d| {
                 let group = if matches!(d.target, Target::Group(_)) { "group " } else { "" };
                 format!("{group}{}", d.state.name())
             });
-            if let Some(f) = self.exchanges.get(e.exchange) {
+            if let Some(f) = self.exchange_metrics.get(e.exchange) {
                 let Quantiles { count, p50, p99, .. } = f.setup_times.quantiles();
                 (e.stood, e.p50_ms, e.p99_ms) = (count, millis(p50), millis(p99));
                 e.turned_away = f.unsuccessful_attempts;
@@ -634,14 +648,14 @@
             in_aim_share: counts.share_within_objective(),
             by_fate: OUTCOMES.iter().map(|f| (f.name().to_owned(), counts.get(*f))).collect(),
         });
-        let q = self.answers.quantiles();
+        let q = self.answer_times.quantiles();
         views::Service {
             spans: spans.collect(),
             answers: q.count,
             p50_ms: millis(q.p50),
             p99_ms: millis(q.p99),
             p999_ms: millis(q.p999),
-            history: self.service.history::<HISTORY>().to_vec(),
+            history: self.service.history::<HISTORY_SECONDS>().to_vec(),
         }
     }
 
@@ -653,7 +667,7 @@
             next_at_ms: w.next_after(now.wall).map(|t| t / 1000),
             length_s: seconds(w.length),
         };
-        self.book.windows().iter().map(of).collect()
+        self.registry.windows().iter().map(of).collect()
     }
 
     fn audit(&self) -> Body {
@@ -663,13 +677,13 @@
             what: a.what.clone(),
             answer: a.answer.clone(),
         };
-        Body::Audit { audit: self.book.audit().map(of).collect() }
+        Body::Audit { audit: self.registry.audit().map(of).collect() }
     }
 
     fn cost(&self, now: Now, target: Target, snapshot: &Snapshot<'_>) -> Body {
-        let site = snapshot.loads().with(&self.links, self.health());
-        let c = self.book.cost(now, target, &self.traffic, &site);
-        let denied = self.book.dry_run(now, target, false, &self.traffic, &site).err();
+        let site = snapshot.site_load().with_links_and_health(&self.links, self.health());
+        let c = self.registry.cost(now, target, &self.traffic, &site);
+        let denied = self.registry.dry_run(now, target, false, &self.traffic, &site).err();
         Body::Cost(views::Cost {
             target: target.to_string(),
             denied: denied.map(|d| d.to_string()),
@@ -739,7 +753,7 @@
 }
 
 /// Of which kind a piece of news is, and its words.
-fn told(news: &DrainEvent) -> (&'static str, String) {
+fn event_text(news: &DrainEvent) -> (&'static str, String) {
     match news {
         DrainEvent::StateChanged { order, target, state, load, requested_by } => (
             "drain",
--- a/src/program/event_loop.rs
+++ b/src/program/event_loop.rs
@@ -1,5 +1,8 @@
-//! The one task's state: it owns the ledger with the decision module in it, the fronts, the links and every
-//! deadline. News comes in, [`EventLoop::turn`] settles it, and lines go to the connections' outboxes.
+//! The state of the task that owns routing: the ledger with its decision module, the front ends, the connections to
+//! exchanges and every timer.
+//!
+//! [`EventLoop::handle`] takes one event, carries out everything that follows from it, and leaves lines in the
+//! connections' outboxes and commands for the transport. Nothing here does I/O or waits.
 
 use super::appliance::Appliance;
 use super::config::{Config, ConfigError};
@@ -37,62 +40,62 @@
 
 /// Target of this module's log events; operators' log filters name it.
 const LOG_TARGET: &str = "walnuthatch::program::switchboard";
-/// The platform's front.
-pub const LINES: FrontendId = FrontendId(0);
-/// The front towards gateways.
-pub const GATEWAYS: FrontendId = FrontendId(1);
-/// A test passes this long after the start even if an exchange has not been heard of (µs).
-const SETTLE: Micros = 1_500_000;
-/// After an event of the coordinator that can't be used, the whole list is asked for this long after (µs).
-const LIST_AGAIN: Micros = 1_000_000;
-/// Spans kept between two exports; more are dropped.
-const SPANS: usize = 512;
-
-/// Everything that can fall due.
+/// The front end for the platform's JSON lines protocol.
+pub const JSON_LINES_FRONTEND: FrontendId = FrontendId(0);
+/// The front end for media gateways (MGCP).
+pub const GATEWAY_FRONTEND: FrontendId = FrontendId(1);
+/// Health probes pass this long after the start (µs) even if some exchange has neither reported nor proved unreachable.
+const STARTUP_GRACE: Micros = 1_500_000;
+/// Delay before the complete list is fetched again after an invalid event from the coordinator (µs).
+const LIST_REFETCH_DELAY: Micros = 1_000_000;
+/// Maximum number of spans buffered between two exports; further spans are dropped.
+const MAX_BUFFERED_SPANS: usize = 512;
+
+/// Identifies a timer of the event loop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Due {
-    /// The ledger's.
+pub enum TimerKey {
+    /// A timer of the ledger.
     Ledger(LedgerTimer),
-    /// The links'.
-    Link(UpstreamTimer),
-    /// The callers'.
-    Caller(ClientTimer),
-    /// The call agent's.
+    /// A timer of the connections to exchanges.
+    Upstream(UpstreamTimer),
+    /// A timer of the callers' connections.
+    Client(ClientTimer),
+    /// A timer of the MGCP call agent.
     Agent(AgentDue),
-    /// Hand the figures to the exporter.
+    /// Pass a snapshot of the metrics to the exporter.
     Export,
-    /// The appliance's.
+    /// The timer of the appliance.
     Appliance,
-    /// Gossip's.
+    /// The timer of the gossip subsystem.
     Gossip,
-    /// The next phase of a stop begins.
+    /// The next phase of a shutdown starts.
     Stop,
-    /// The whole list is to be asked for.
-    ListAgain,
+    /// Fetch the complete exchange list again.
+    RefetchList,
 }
 
-/// What only the transport can do.
+/// An action that the event loop requests from the transport.
 #[derive(Debug)]
-pub enum Task {
+pub enum TransportCommand {
     /// Open a connection to an exchange.
     Connect(ConnId, SocketAddr, Outbox),
-    /// Send a datagram to peers.
-    Peer(SocketAddr, Vec<u8>),
+    /// Send a datagram to one peer or to the peers' common address.
+    SendToPeers(SocketAddr, Vec<u8>),
     /// Send a datagram to a gateway.
-    Gateway(SocketAddr, Vec<u8>),
-    /// Send a datagram to an instance that gossips.
-    Gossip(SocketAddr, Vec<u8>),
-    /// Hand these figures to the exporter.
+    SendToGateway(SocketAddr, Vec<u8>),
+    /// Send a gossip datagram to another instance.
+    SendGossip(SocketAddr, Vec<u8>),
+    /// Pass a snapshot of the metrics to the exporter.
     Export(Snapshot),
-    /// Print the answer to a command.
+    /// Print the answer to a console command.
     Print(String),
-    /// Write the state that survives.
+    /// Write the persistent state to the state folder.
     Save(Saving),
-    /// Ask the coordinator anew.
-    Refetch,
-    /// Follow the coordinator at this address from now on.
-    Follow(Option<SocketAddr>),
-    /// Listen for callers no more, and say so.
+    /// Fetch the complete exchange list from the coordinator.
+    RefetchList,
+    /// Follow the coordinator at this address from now on; `None` follows none.
+    FollowCoordinator(Option<SocketAddr>),
+    /// Stop accepting callers' connections, then confirm with [`Inbound::NotListening`].
     StopListening,
 }
 
@@ -101,37 +104,38 @@
 pub struct EventLoop {
     ledger: Ledger,
     callers: ClientConnections,
-    links: UpstreamConnections,
+    upstream: UpstreamConnections,
     agent: Option<Agent>,
     appliance: Option<Appliance>,
     gossip: Option<Gossip>,
     roster: Roster,
-    deadlines: TimerQueue<Due>,
+    timers: TimerQueue<TimerKey>,
     outboxes: HashMap<(Side, ConnId), Outbox>,
-    tasks: Vec<Task>,
+    commands: Vec<TransportCommand>,
     counts: WireCounts,
-    /// As read at the start, and anew since.
+    /// The configuration in force, with the changes of later reloads.
     config: Config,
-    born: Micros,
+    started_at: Micros,
     stopping: Option<Stop>,
-    /// The operator wants no new calls.
+    /// Health probes fail because the console command `drain` was given.
     draining: bool,
-    /// How far the wall's clock is ahead of the program's.
-    wall_ahead: Micros,
-    /// The aim of each class.
-    aims: Vec<Micros>,
+    /// Wall-clock time minus program time.
+    wall_clock_offset: Micros,
+    /// The latency objective of each class.
+    latency_objectives: Vec<Micros>,
     spans: Vec<CallSpan>,
-    exported: Rc<ExportCounts>,
-    minted: u64,
+    export_counts: Rc<ExportCounts>,
+    /// State of the generator of call names for calls that did not come over the JSON lines protocol.
+    sid_generator: u64,
 }
 
 impl EventLoop {
-    /// The state at the start, with the list as it was last known.
+    /// Creates the event loop with the last known exchange list and no saved state.
     pub fn new(config: &Config, now: Micros) -> Self {
         EventLoop::resume(config, now, None, None)
     }
 
-    /// The state at the start, with what an earlier life of the program saved.
+    /// Creates the event loop with the last known exchange list and the state that an earlier run saved.
     pub fn resume(config: &Config, now: Micros, saved: Option<Saved>, log: Option<Rc<log::Log>>) -> Self {
         let s = &config.settings;
         let appliance = config
@@ -140,29 +144,34 @@
             .map(|a| Appliance::new(Now::new(now, now), a, s.own_exchange, s.drain_grace, saved, log));
         let mut event_loop = EventLoop {
             ledger: Ledger::new(config.settings.clone(), config.seed),
-            callers: ClientConnections::new(now, LINES, config.classes.clone(), config.usual_callers())
-                .with_quiet_period(s.quiet_period + s.min_batch_interval),
-            links: UpstreamConnections::new(now, config.connect_timeout, config.settings.own_exchange),
-            agent: config.mgcp.as_ref().map(|m| Agent::new(GATEWAYS, m.agent.clone(), config.seed)),
+            callers: ClientConnections::new(
+                now,
+                JSON_LINES_FRONTEND,
+                config.classes.clone(),
+                config.usual_callers(),
+            )
+            .with_quiet_period(s.quiet_period + s.min_batch_interval),
+            upstream: UpstreamConnections::new(now, config.connect_timeout, config.settings.own_exchange),
+            agent: config.mgcp.as_ref().map(|m| Agent::new(GATEWAY_FRONTEND, m.agent.clone(), config.seed)),
             appliance,
             gossip: config.gossip.as_ref().map(|g| Gossip::new(now, g, config.seed)),
             roster: Roster::new(config.zones.clone()),
-            deadlines: TimerQueue::default(),
+            timers: TimerQueue::default(),
             outboxes: HashMap::new(),
-            tasks: Vec::new(),
+            commands: Vec::new(),
             counts: WireCounts::default(),
             config: config.clone(),
-            born: now,
+            started_at: now,
             stopping: None,
             draining: false,
-            wall_ahead: 0,
-            aims: config.settings.classes.iter().map(|c| c.latency_objective).collect(),
+            wall_clock_offset: 0,
+            latency_objectives: config.settings.classes.iter().map(|c| c.latency_objective).collect(),
             spans: Vec::new(),
-            exported: Rc::default(),
-            minted: config.seed,
+            export_counts: Rc::default(),
+            sid_generator: config.seed,
         };
         if let Some(t) = &event_loop.config.telemetry {
-            event_loop.deadlines.add(now + t.interval, Due::Export);
+            event_loop.timers.add(now + t.interval, TimerKey::Export);
         }
         let gateways = event_loop.gateway_entries();
         if !gateways.is_empty() {
@@ -172,26 +181,28 @@
             agent.start(now);
         }
         for update in &config.known {
-            event_loop.list(now, update, true);
+            event_loop.handle_list_event(now, update, true);
         }
-        event_loop.settle(now);
+        event_loop.process_outputs(now);
         event_loop
     }
 
-    /// Takes one piece of news and does all that follows from it.
-    pub fn take(&mut self, now: Micros, news: Inbound) {
-        match news {
-            Inbound::Conn(side, conn, news) => self.conn(now, side, conn, news),
-            Inbound::List(event) => self.list(now, &event.data, false),
-            Inbound::Stream(Ok(())) => tracing::debug!(target: LOG_TARGET, "coordinator: stream up"),
-            Inbound::Stream(Err(why)) => {
+    /// Handles one event and carries out everything that follows from it.
+    pub fn handle(&mut self, now: Micros, event: Inbound) {
+        match event {
+            Inbound::Conn(side, conn, event) => self.handle_connection_event(now, side, conn, event),
+            Inbound::List(event) => self.handle_list_event(now, &event.data, false),
+            Inbound::Stream(Ok(())) => {
+                tracing::debug!(target: LOG_TARGET, "coordinator: event stream connected")
+            }
+            Inbound::Stream(Err(reason)) => {
                 self.counts.stream_losses += 1;
-                tracing::info!(target: LOG_TARGET, "coordinator: {why}");
+                tracing::info!(target: LOG_TARGET, "coordinator: {reason}");
             }
             Inbound::Peer { from, body } => {
-                if let Some(at) = self.config.peers.iter().position(|p| *p == from) {
+                if let Some(index) = self.config.peers.iter().position(|p| *p == from) {
                     self.counts.peers_in += 1;
-                    self.ledger.peer_message(now, PeerNumber(at as u32), body);
+                    self.ledger.peer_message(now, PeerNumber(index as u32), body);
                 }
             }
             Inbound::Gateway { from, body } => {
@@ -201,9 +212,9 @@
                 }
             }
             Inbound::Command(line) => {
-                let (text, act) = console::run(&self.snapshot(now), &line);
-                self.tasks.push(Task::Print(text));
-                match act {
+                let (text, action) = console::run(&self.snapshot(now), &line);
+                self.commands.push(TransportCommand::Print(text));
+                match action {
                     Some(console::Act::Drain(on)) => self.draining = on,
                     Some(console::Act::Stop) => self.stop(now),
                     None => {}
@@ -217,8 +228,10 @@
                     g.datagram(now, from, &body);
                 }
             }
-            Inbound::Control(news) => {
-                self.with_appliance(now, |a, clocks, snapshot| a.take(clocks, news, snapshot));
+            Inbound::Control(event) => {
+                self.with_appliance(now, |a, clocks, snapshot| {
+                    a.handle_control_event(clocks, event, snapshot)
+                });
             }
             Inbound::Stop => self.stop(now),
             Inbound::NotListening => {
@@ -226,16 +239,16 @@
                     stop.listener = ListenerState::Closed;
                 }
             }
-            // The caller reads the files: see `EventLoop::reload`.
+            // The caller of this function reads the files and calls `EventLoop::reload`.
             Inbound::Reload => {}
         }
-        self.settle(now);
+        self.process_outputs(now);
     }
 
-    /// Goes over to a configuration that was read anew, as far as a running program can; calls are untouched. A
-    /// faulty one is logged by its key, and the running one kept.
-    pub fn reload(&mut self, read: Result<Config, ConfigError>) {
-        let new = match read {
+    /// Applies the settings of a reloaded configuration that can change at run time; calls are not affected. If the
+    /// new configuration is invalid, the error is logged with its key and the running configuration is kept.
+    pub fn reload(&mut self, loaded: Result<Config, ConfigError>) {
+        let new = match loaded {
             Ok(new) => new,
             Err(e) => {
                 self.counts.bad_reloads += 1;
@@ -244,10 +257,10 @@
         };
         self.counts.reloads += 1;
         for key in self.config.needs_restart(&new) {
-            tracing::info!(target: LOG_TARGET, key, "configuration: {key}: takes effect at the next start");
+            tracing::info!(target: LOG_TARGET, key, "configuration: {key}: the change takes effect at the next start");
         }
         if self.config.coordinator != new.coordinator {
-            self.tasks.push(Task::Follow(new.coordinator));
+            self.commands.push(TransportCommand::FollowCoordinator(new.coordinator));
         }
         self.config.follow(new);
         if let (Some(a), Some(config)) = (&mut self.appliance, &self.config.appliance) {
@@ -259,54 +272,54 @@
         tracing::info!(target: LOG_TARGET, "configuration read anew");
     }
 
-    /// Sweeps the deadlines.
-    pub fn sweep(&mut self, now: Micros) {
-        while let Some(due) = self.deadlines.pop_expired(now) {
-            match due {
-                Due::Ledger(due) => self.ledger.timer_expired(now, due),
-                Due::Link(due) => self.links.due(now, due),
-                Due::Caller(due) => self.callers.due(now, due),
-                Due::Agent(due) => {
+    /// Handles all timers that have expired.
+    pub fn expire_timers(&mut self, now: Micros) {
+        while let Some(timer) = self.timers.pop_expired(now) {
+            match timer {
+                TimerKey::Ledger(timer) => self.ledger.timer_expired(now, timer),
+                TimerKey::Upstream(timer) => self.upstream.due(now, timer),
+                TimerKey::Client(timer) => self.callers.due(now, timer),
+                TimerKey::Agent(timer) => {
                     if let Some(agent) = &mut self.agent {
-                        agent.due(now, due);
+                        agent.due(now, timer);
                     }
                 }
-                Due::Export => self.export(now),
-                Due::Gossip => self.gossip_due(now),
-                Due::Appliance => self.with_appliance(now, Appliance::look),
-                Due::Stop => self.advance_stop(now),
-                Due::ListAgain => self.tasks.push(Task::Refetch),
+                TimerKey::Export => self.export(now),
+                TimerKey::Gossip => self.handle_gossip_timer(now),
+                TimerKey::Appliance => self.with_appliance(now, Appliance::handle_timer),
+                TimerKey::Stop => self.advance_stop(now),
+                TimerKey::RefetchList => self.commands.push(TransportCommand::RefetchList),
             }
-            self.settle(now);
+            self.process_outputs(now);
         }
     }
 
-    /// The earliest deadline.
-    pub fn next_deadline(&self) -> Option<Micros> {
-        self.deadlines.next_expiry()
+    /// The expiry time of the earliest timer.
+    pub fn next_timer(&self) -> Option<Micros> {
+        self.timers.next_expiry()
     }
 
-    /// What the transport is to do.
-    pub fn take_tasks(&mut self) -> Vec<Task> {
-        std::mem::take(&mut self.tasks)
+    /// Takes the commands for the transport, in the order in which they were requested.
+    pub fn take_commands(&mut self) -> Vec<TransportCommand> {
+        std::mem::take(&mut self.commands)
     }
 
-    /// Ends every connection once what waits on it has been sent.
+    /// Closes every connection once its outbox has been sent.
     pub fn close_all(&self) {
         self.outboxes.values().for_each(Outbox::close);
     }
 
-    /// Connections that have not ended.
+    /// The number of connections that are not closed yet.
     pub fn connections(&self) -> usize {
         self.outboxes.len()
     }
 
     /// All counters.
     pub fn counters(&self) -> Vec<(String, u64)> {
-        let (callers, links) = (self.callers.counts(), self.links.counts());
-        let mut table = counters::table(&self.counts, self.ledger.counts(), &callers, &links);
+        let (callers, upstream) = (self.callers.counts(), self.upstream.counts());
+        let mut table = counters::table(&self.counts, self.ledger.counts(), &callers, &upstream);
         if self.config.telemetry.is_some() {
-            table.extend(self.exported.table());
+            table.extend(self.export_counts.table());
         }
         if let Some(a) = &self.appliance {
             table.extend(a.counters());
@@ -320,28 +333,28 @@
         table
     }
 
-    // ---- News ----
+    // ---- Events ----
 
-    fn conn(&mut self, now: Micros, side: Side, conn: ConnId, news: ConnNews) {
-        match (side, news) {
-            (Side::Callers, ConnNews::Accepted(outbox)) => self.accepted(now, conn, outbox),
+    fn handle_connection_event(&mut self, now: Micros, side: Side, conn: ConnId, event: ConnNews) {
+        match (side, event) {
+            (Side::Callers, ConnNews::Accepted(outbox)) => self.accept_connection(now, conn, outbox),
             (Side::Exchanges, ConnNews::Connected) => {
-                tracing::debug!(target: CONNECTIONS, conn = conn.0, "up");
-                self.links.connected(now, conn);
+                tracing::debug!(target: CONNECTIONS, conn = conn.0, "connected to the exchange");
+                self.upstream.connected(now, conn);
             }
             (_, ConnNews::Message(message)) => {
                 self.counts.messages_in += 1;
                 match side {
-                    Side::Callers => self.caller(now, conn, message),
-                    Side::Exchanges => self.links.message(now, conn, message),
+                    Side::Callers => self.handle_caller_message(now, conn, message),
+                    Side::Exchanges => self.upstream.message(now, conn, message),
                 }
             }
-            (side, ConnNews::Bad(why)) => {
-                tracing::debug!(target: CONNECTIONS, ?side, conn = conn.0, "unreadable: {why}");
+            (side, ConnNews::Bad(reason)) => {
+                tracing::debug!(target: CONNECTIONS, ?side, conn = conn.0, "unreadable input: {reason}");
                 self.counts.malformed += 1;
                 match side {
                     Side::Callers => self.callers.spoilt(now, conn),
-                    Side::Exchanges => self.links.spoilt(now, conn),
+                    Side::Exchanges => self.upstream.spoilt(now, conn),
                 }
             }
             (side, ConnNews::ReadingStopped) => {
@@ -349,47 +362,48 @@
                     self.callers.reading_stopped(conn);
                 }
             }
-            (Side::Exchanges, ConnNews::Half(half)) => self.links.half(now, conn, half),
+            (Side::Exchanges, ConnNews::Half(half)) => self.upstream.half(now, conn, half),
             (Side::Callers, ConnNews::Half(half)) => self.callers.half(now, conn, half),
-            (side, ConnNews::Closed(how)) => {
-                tracing::debug!(target: CONNECTIONS, ?side, conn = conn.0, "closed: {how:?}");
-                // The one place where an outbox is given back.
+            (side, ConnNews::Closed(closing)) => {
+                tracing::debug!(target: CONNECTIONS, ?side, conn = conn.0, "closed: {closing:?}");
+                // The only place that removes an outbox.
                 self.outboxes.remove(&(side, conn));
                 match side {
                     Side::Callers => {
-                        let lost = self.callers.closed(now, conn);
-                        lost.into_iter().for_each(|call| self.ledger.caller_left(now, call));
+                        let abandoned = self.callers.closed(now, conn);
+                        abandoned.into_iter().for_each(|call| self.ledger.caller_left(now, call));
                     }
-                    Side::Exchanges => self.links.closed(now, conn, how),
+                    Side::Exchanges => self.upstream.closed(now, conn, closing),
                 }
             }
             (Side::Callers, ConnNews::Connected) | (Side::Exchanges, ConnNews::Accepted(_)) => {}
         }
     }
 
-    fn accepted(&mut self, now: Micros, conn: ConnId, outbox: Outbox) {
+    fn accept_connection(&mut self, now: Micros, conn: ConnId, outbox: Outbox) {
         self.counts.accepted += 1;
-        tracing::debug!(target: CONNECTIONS, conn = conn.0, "caller's connection up");
+        tracing::debug!(target: CONNECTIONS, conn = conn.0, "caller's connection accepted");
         self.outboxes.insert((Side::Callers, conn), outbox);
         self.callers.opened(now, conn);
     }
 
-    fn caller(&mut self, now: Micros, conn: ConnId, message: Message) {
+    fn handle_caller_message(&mut self, now: Micros, conn: ConnId, message: Message) {
         match self.callers.message(now, conn, message) {
             Ask::Offer(sid, key, offer) => {
                 let (class, left) = (offer.new_call.class, offer.new_call.remaining_time);
-                tracing::debug!(target: CALLS, %sid, conn = conn.0, class, left, "taken");
+                tracing::debug!(target: CALLS, %sid, conn = conn.0, class, left, "call accepted");
                 let call = self.ledger.offer(now, *offer);
                 self.callers.taken(conn, sid, key, call);
             }
             Ask::Left(call) => {
-                tracing::debug!(target: CALLS, call = call.0, conn = conn.0, "given up or released by its caller");
+                tracing::debug!(target: CALLS, call = call.0, conn = conn.0, "call abandoned or released by its caller");
                 self.ledger.caller_left(now, call);
             }
-            Ask::LeftEarlier(sid) => self.links.release_earlier(sid),
+            Ask::LeftEarlier(sid) => self.upstream.release_earlier(sid),
             Ask::Test(sid) => {
-                let ready = self.links.settled() || now - self.born >= SETTLE;
-                let draining = self.draining || self.appliance.as_ref().is_some_and(Appliance::fails_tests);
+                let ready = self.upstream.settled() || now - self.started_at >= STARTUP_GRACE;
+                let draining =
+                    self.draining || self.appliance.as_ref().is_some_and(Appliance::fails_health_checks);
                 let code = u16::from(ready && self.stopping.is_none() && !draining);
                 let message = Message { code: Some(code), ..Message::new(Kind::Probed, sid) };
                 self.send(Side::Callers, conn, None, &message);
@@ -398,15 +412,15 @@
         }
     }
 
-    fn list(&mut self, now: Micros, json: &str, cached: bool) {
+    fn handle_list_event(&mut self, now: Micros, json: &str, cached: bool) {
         self.counts.list_events += 1;
         let update = match self.roster.read(json, cached) {
             Ok(update) => update,
             Err(e) => {
                 self.counts.bad_list_events += 1;
                 if !cached {
-                    // What it was to tell is told once more with the whole list.
-                    self.deadlines.add(now + LIST_AGAIN, Due::ListAgain);
+                    // The complete list contains the changes that this event announced.
+                    self.timers.add(now + LIST_REFETCH_DELAY, TimerKey::RefetchList);
                 }
                 return tracing::warn!(target: LOG_TARGET, "coordinator: {e}");
             }
@@ -416,113 +430,113 @@
             ListUpdate::Changes(e) => (e.clone(), false),
             ListUpdate::Complete(e) | ListUpdate::Cached(e) => (e.clone(), true),
         };
-        // The coordinator knows nothing of gateways: a whole list of its own must not remove them.
-        let whole = || entries.iter().cloned().chain(self.gateway_entries()).collect();
-        let news = match update.news {
-            ListUpdate::Complete(_) => ListUpdate::Complete(whole()),
-            ListUpdate::Cached(_) => ListUpdate::Cached(whole()),
+        // The coordinator does not know the gateways: its complete list must not remove them.
+        let with_gateways = || entries.iter().cloned().chain(self.gateway_entries()).collect();
+        let list_update = match update.news {
+            ListUpdate::Complete(_) => ListUpdate::Complete(with_gateways()),
+            ListUpdate::Cached(_) => ListUpdate::Cached(with_gateways()),
             other => other,
         };
         for (entry, place) in entries.iter().zip(&update.places) {
             let (member, state) = (&place.member, entry.state);
             tracing::debug!(target: "walnuthatch::list", index = update.index, %member, "{state:?}");
         }
-        // The ledger first: the guard on drains must know before anything else is done.
-        self.ledger.list_update(now, news);
-        self.links.list(now, &entries, &update.places, complete);
+        // The ledger first: its drain check must know the new states before anything else is done.
+        self.ledger.list_update(now, list_update);
+        self.upstream.list(now, &entries, &update.places, complete);
     }
 
     fn gateway_entries(&self) -> Vec<ListEntry> {
         self.agent.as_ref().map_or_else(Vec::new, Agent::entries)
     }
 
-    // ---- What follows ----
+    // ---- Outputs of the subsystems ----
 
-    /// Carries out what the ledger, the links and the call agent ask for, until none asks for more.
-    fn settle(&mut self, now: Micros) {
+    /// Carries out the outputs of all subsystems until none of them has any left.
+    fn process_outputs(&mut self, now: Micros) {
         loop {
-            let (ledger, links) = (self.ledger.take_outputs(), self.links.take_outputs());
+            let (ledger, upstream) = (self.ledger.take_outputs(), self.upstream.take_outputs());
             let agent = self.agent.as_mut().map_or_else(Vec::new, Agent::take_outputs);
             let callers = self.callers.take_outputs();
-            let gossiped = self.follow_gossip(now);
-            let orders = self.appliance.as_mut().map_or_else(Vec::new, Appliance::take_outputs);
+            let had_gossip = self.process_gossip_outputs(now);
+            let appliance = self.appliance.as_mut().map_or_else(Vec::new, Appliance::take_outputs);
             if ledger.is_empty()
-                && links.is_empty()
+                && upstream.is_empty()
                 && agent.is_empty()
                 && callers.is_empty()
-                && orders.is_empty()
-                && !gossiped
+                && appliance.is_empty()
+                && !had_gossip
             {
-                if self.stop_listening_if_served(now) {
+                if self.stop_listening_if_finished(now) {
                     continue;
                 }
                 return;
             }
-            for output in orders {
-                self.appliance_output(now, output);
+            for output in appliance {
+                self.handle_appliance_output(now, output);
             }
             for output in ledger {
-                self.ledger_output(now, output);
+                self.handle_ledger_output(now, output);
             }
-            for output in links {
-                self.link_output(now, output);
+            for output in upstream {
+                self.handle_upstream_output(now, output);
             }
             for output in agent {
-                self.agent_output(now, output);
+                self.handle_agent_output(now, output);
             }
             for output in callers {
-                self.caller_output(now, output);
+                self.handle_caller_output(now, output);
             }
         }
     }
 
-    fn ledger_output(&mut self, now: Micros, output: Output) {
+    fn handle_ledger_output(&mut self, now: Micros, output: Output) {
         self.observe(now, &output);
         match output {
-            Output::SetUp { call, attempt, office, timeout: wait } => match &mut self.agent {
+            Output::SetUp { call, attempt, office, timeout } => match &mut self.agent {
                 Some(agent) if agent.has(office) => {
                     let description = self.ledger.offered_call(call).and_then(|o| o.description.as_ref());
                     agent.set_up(now, (call, attempt), office, description);
                 }
                 _ => {
-                    if let Some(message) = self.set_up_message(call, wait) {
-                        self.links.set_up(now, (call, attempt), office, message);
+                    if let Some(message) = self.set_up_message(call, timeout) {
+                        self.upstream.set_up(now, (call, attempt), office, message);
                     }
                 }
             },
             Output::Clear { call, attempt, office } => match &mut self.agent {
                 Some(agent) if agent.has(office) => agent.clear(now, call, attempt),
-                _ => self.links.clear(now, call, attempt),
+                _ => self.upstream.clear(now, call, attempt),
             },
-            Output::Answer { frontend, call, answer, offered_at: taken, destination, .. } => {
-                self.span(call, &answer, (taken, now), destination);
+            Output::Answer { frontend, call, answer, offered_at, destination, .. } => {
+                self.record_span(call, &answer, (offered_at, now), destination);
                 match &mut self.agent {
-                    Some(agent) if frontend == GATEWAYS => agent.answer(now, call, &answer),
+                    Some(agent) if frontend == GATEWAY_FRONTEND => agent.answer(now, call, &answer),
                     _ => self.callers.answer(now, call, answer),
                 }
             }
             Output::Release { frontend, call, cut } => match &mut self.agent {
-                Some(agent) if frontend == GATEWAYS => agent.release(now, call),
+                Some(agent) if frontend == GATEWAY_FRONTEND => agent.release(now, call),
                 _ => self.callers.release(now, call, cut),
             },
             Output::AttemptEnded { .. } => {}
-            Output::Probe(office) => self.links.probe(now, office),
-            // With gossip the own groups are told on its signed path.
+            Output::Probe(exchange_id) => self.upstream.probe(now, exchange_id),
+            // With gossip enabled, this instance's groups are announced in its signed datagrams instead.
             Output::SendToPeer { .. } if self.gossip.is_some() => {}
-            Output::SendToPeer { to, body } => self.tell_peers(to, body),
-            Output::FetchList => self.tasks.push(Task::Refetch),
+            Output::SendToPeer { to, body } => self.send_to_peers(to, body),
+            Output::FetchList => self.commands.push(TransportCommand::RefetchList),
             Output::Log(line) => tracing::info!(target: LOG_TARGET, "{line}"),
-            Output::SetTimer(at, due) => self.deadlines.add(at, Due::Ledger(due)),
+            Output::SetTimer(at, timer) => self.timers.add(at, TimerKey::Ledger(timer)),
         }
     }
 
-    fn link_output(&mut self, now: Micros, output: UpstreamOutput) {
+    fn handle_upstream_output(&mut self, now: Micros, output: UpstreamOutput) {
         match output {
             UpstreamOutput::Connect(conn, Place { address, member }) => {
                 tracing::debug!(target: CONNECTIONS, conn = conn.0, %member, %address, "connecting");
                 let outbox = Outbox::default();
                 self.outboxes.insert((Side::Exchanges, conn), outbox.clone());
-                self.tasks.push(Task::Connect(conn, address, outbox));
+                self.commands.push(TransportCommand::Connect(conn, address, outbox));
             }
             UpstreamOutput::Send { conn, message, set_up } => {
                 self.send(Side::Exchanges, conn, set_up, &message);
@@ -536,58 +550,58 @@
             UpstreamOutput::Unsend { conn, call, attempt } => {
                 let outbox = self.outboxes.get(&(Side::Exchanges, conn));
                 if outbox.is_some_and(|o| o.take_back(call)) {
-                    self.links.unsent(call, attempt);
+                    self.upstream.unsent(call, attempt);
                 }
             }
-            UpstreamOutput::HangUp(conn, why) => {
-                tracing::debug!(target: CONNECTIONS, conn = conn.0, "exchange's connection ended: {why}");
+            UpstreamOutput::HangUp(conn, reason) => {
+                tracing::debug!(target: CONNECTIONS, conn = conn.0, "connection to the exchange closed: {reason}");
                 if let Some(outbox) = self.outboxes.get(&(Side::Exchanges, conn)) {
                     outbox.cut();
                 }
             }
-            UpstreamOutput::Wake(at, due) => self.deadlines.add(at, Due::Link(due)),
-            UpstreamOutput::Answered(call, attempt, text) => {
-                if !self.ledger.attempt_answered(now, call, attempt, text) {
-                    self.links.clear(now, call, attempt);
+            UpstreamOutput::Wake(at, timer) => self.timers.add(at, TimerKey::Upstream(timer)),
+            UpstreamOutput::Answered(call, attempt, description) => {
+                if !self.ledger.attempt_answered(now, call, attempt, description) {
+                    self.upstream.clear(now, call, attempt);
                 }
             }
-            UpstreamOutput::Ended(call, attempt, how, load) => {
-                self.ledger.attempt_ended(now, call, attempt, how, load);
+            UpstreamOutput::Ended(call, attempt, ending, load) => {
+                self.ledger.attempt_ended(now, call, attempt, ending, load);
             }
-            UpstreamOutput::Group(office, load) => self.ledger.group_report(now, office, load),
-            UpstreamOutput::ProbeFailed(office) => self.ledger.probe_failed(now, office),
-            UpstreamOutput::GaveUp(member, why) => {
-                tracing::info!(target: LOG_TARGET, %member, "exchange {member}: connection given up: {why}");
+            UpstreamOutput::Group(exchange_id, load) => self.ledger.group_report(now, exchange_id, load),
+            UpstreamOutput::ProbeFailed(exchange_id) => self.ledger.probe_failed(now, exchange_id),
+            UpstreamOutput::GaveUp(member, reason) => {
+                tracing::info!(target: LOG_TARGET, %member, "exchange {member}: connection closed: {reason}");
             }
             UpstreamOutput::LeaseOver(member, calls) => {
-                tracing::info!(target: LOG_TARGET, %member, calls, "exchange {member}: nothing heard for too long, {calls} calls cut");
+                tracing::info!(target: LOG_TARGET, %member, calls, "exchange {member}: lease expired, {calls} calls cut");
             }
             UpstreamOutput::Earlier(sid, code) => self.callers.release_earlier(now, sid, code),
         }
     }
 
-    fn caller_output(&mut self, now: Micros, output: ClientOutput) {
+    fn handle_caller_output(&mut self, now: Micros, output: ClientOutput) {
         let outbox = |conn| self.outboxes.get(&(Side::Callers, conn));
         match output {
             ClientOutput::Tell(conn, message) => self.send(Side::Callers, conn, None, &message),
             ClientOutput::Fail(call) => self.ledger.fail_call(now, call, AnswerReason::ConnectionEnding),
-            ClientOutput::Ending(conn, why) => {
-                tracing::debug!(target: CONNECTIONS, conn = conn.0, "caller's connection ends: {why:?}");
+            ClientOutput::Ending(conn, reason) => {
+                tracing::debug!(target: CONNECTIONS, conn = conn.0, "closing the caller's connection: {reason:?}");
             }
             ClientOutput::StopReading(conn) => drop(outbox(conn).map(Outbox::stop_reading)),
             ClientOutput::End(conn) => drop(outbox(conn).map(Outbox::close)),
             ClientOutput::Cut(conn) => drop(outbox(conn).map(Outbox::cut)),
-            ClientOutput::Wake(at, due) => self.deadlines.add(at, Due::Caller(due)),
+            ClientOutput::Wake(at, timer) => self.timers.add(at, TimerKey::Client(timer)),
         }
     }
 
-    fn agent_output(&mut self, now: Micros, output: AgentOutput) {
+    fn handle_agent_output(&mut self, now: Micros, output: AgentOutput) {
         match output {
             AgentOutput::Datagram(to, body) => {
                 self.counts.gateways_out += 1;
-                self.tasks.push(Task::Gateway(to, body));
+                self.commands.push(TransportCommand::SendToGateway(to, body));
             }
-            AgentOutput::Wake(at, due) => self.deadlines.add(at, Due::Agent(due)),
+            AgentOutput::Wake(at, timer) => self.timers.add(at, TimerKey::Agent(timer)),
             AgentOutput::Offer(port, offer) => {
                 let call = self.ledger.offer(now, *offer);
                 if let Some(agent) = &mut self.agent {
@@ -595,35 +609,37 @@
                 }
             }
             AgentOutput::Left(call) => self.ledger.caller_left(now, call),
-            AgentOutput::Answered(call, attempt, text) => {
-                if !self.ledger.attempt_answered(now, call, attempt, text) {
+            AgentOutput::Answered(call, attempt, description) => {
+                if !self.ledger.attempt_answered(now, call, attempt, description) {
                     if let Some(agent) = &mut self.agent {
                         agent.clear(now, call, attempt);
                     }
                 }
             }
-            AgentOutput::Ended(call, attempt, how) => {
-                self.ledger.attempt_ended(now, call, attempt, how, LoadReport::default());
+            AgentOutput::Ended(call, attempt, ending) => {
+                self.ledger.attempt_ended(now, call, attempt, ending, LoadReport::default());
             }
-            AgentOutput::Group(office, load) => self.ledger.group_report(now, office, load),
+            AgentOutput::Group(exchange_id, load) => self.ledger.group_report(now, exchange_id, load),
             AgentOutput::List(entry) => self.ledger.list_update(now, ListUpdate::Changes([entry].into())),
         }
     }
 
-    fn set_up_message(&mut self, call: CallId, wait: Micros) -> Option<Message> {
+    fn set_up_message(&mut self, call: CallId, timeout: Micros) -> Option<Message> {
         let offer = self.ledger.offered_call(call)?;
         let class = self.config.classes.get(offer.new_call.class)?.clone();
         let (sid, key) = match self.callers.particulars(call) {
-            Some(known) => known,
+            Some(particulars) => particulars,
             None => {
-                // A call of another front has no name on this wire yet.
-                self.minted = self.minted.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
+                // A call from another front end has no name in this protocol yet.
+                self.sid_generator =
+                    self.sid_generator.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
                 let number = self.agent.as_ref().and_then(|a| a.number(call));
-                (Sid(self.minted), number.map(Value::from))
+                (Sid(self.sid_generator), number.map(Value::from))
             }
         };
-        let mut message =
-            Message::new(Kind::Open, Some(sid)).with("class", class).with("left", (wait / 1000).to_string());
+        let mut message = Message::new(Kind::Open, Some(sid))
+            .with("class", class)
+            .with("left", (timeout / 1000).to_string());
         if let Some(key) = key {
             message.attrs.insert("key".to_owned(), key);
         }
@@ -635,20 +651,20 @@
         let Some(outbox) = self.outboxes.get(&(side, conn)) else { return };
         self.counts.messages_out += 1;
         if !outbox.push(set_up, message.line()) {
-            // Guards this task and its memory against a peer that does not read.
+            // Protects this task and its memory from a peer that does not read.
             self.counts.overflows += 1;
             outbox.cut();
         }
     }
 
-    fn tell_peers(&mut self, to: Option<PeerNumber>, body: Vec<u8>) {
+    fn send_to_peers(&mut self, to: Option<PeerNumber>, body: Vec<u8>) {
         let address = match to {
             Some(peer) => self.config.peers.get(peer.0 as usize).copied(),
             None => self.config.peers_all,
         };
         if let Some(address) = address.filter(|_| body.len() <= 256) {
             self.counts.peers_out += 1;
-            self.tasks.push(Task::Peer(address, body));
+            self.commands.push(TransportCommand::SendToPeers(address, body));
         }
     }
 }
--- a/src/program/event_loop/exports.rs
+++ b/src/program/event_loop/exports.rs
@@ -1,6 +1,6 @@
-//! What the task that owns routing hands to the exporter.
+//! Metrics and spans that the event loop passes to the exporter.
 
-use super::{Due, EventLoop, Task, SPANS};
+use super::{EventLoop, TimerKey, TransportCommand, MAX_BUFFERED_SPANS};
 use crate::program::telemetry::ExportCounts;
 use crate::protocol::otlp::{CallSpan, Snapshot};
 use crate::routing::interface::{CallId, ExchangeNumber, Micros};
@@ -8,12 +8,13 @@
 use std::rc::Rc;
 
 impl EventLoop {
-    /// The exporter's counts, shared with its task.
-    pub fn exported(&self) -> Rc<ExportCounts> {
-        self.exported.clone()
+    /// The counters of the exporter, shared with its task.
+    pub fn export_counts(&self) -> Rc<ExportCounts> {
+        self.export_counts.clone()
     }
 
-    pub(super) fn span(
+    /// Buffers the span of an answered call if spans are exported.
+    pub(super) fn record_span(
         &mut self,
         call: CallId,
         answer: &Answer,
@@ -23,7 +24,7 @@
         if !self.config.telemetry.as_ref().is_some_and(|t| t.spans) {
             return;
         }
-        if self.spans.len() >= SPANS {
+        if self.spans.len() >= MAX_BUFFERED_SPANS {
             self.counts.spans_dropped += 1;
             return;
         }
@@ -35,21 +36,27 @@
         self.spans.push(CallSpan { call: call.0, from, to, destination: destination.0, answer });
     }
 
+    /// Passes the current metrics and the buffered spans to the exporter, and sets the timer for the next export.
     pub(super) fn export(&mut self, now: Micros) {
         let Some(interval) = self.config.telemetry.as_ref().map(|t| t.interval) else { return };
-        self.deadlines.add(now + interval, Due::Export);
-        let gauges = self.gauges().map(|(name, v)| (name.to_owned(), v)).to_vec();
+        self.timers.add(now + interval, TimerKey::Export);
+        let gauges = self.gauges().map(|(name, value)| (name.to_owned(), value)).to_vec();
         let calls = std::mem::take(&mut self.spans);
-        self.tasks.push(Task::Export(Snapshot { at: now, counters: self.counters(), gauges, calls }));
+        self.commands.push(TransportCommand::Export(Snapshot {
+            at: now,
+            counters: self.counters(),
+            gauges,
+            calls,
+        }));
     }
 
     fn gauges(&self) -> [(&'static str, u64); 4] {
-        let of = |n: usize| u64::try_from(n).unwrap_or(u64::MAX);
+        let count = |n: usize| u64::try_from(n).unwrap_or(u64::MAX);
         [
-            ("calls.open", of(self.ledger.open_calls())),
-            ("calls.standing", of(self.ledger.established_calls())),
-            ("connections", of(self.outboxes.len())),
-            ("deadlines", of(self.deadlines.len())),
+            ("calls.open", count(self.ledger.open_calls())),
+            ("calls.standing", count(self.ledger.established_calls())),
+            ("connections", count(self.outboxes.len())),
+            ("deadlines", count(self.timers.len())),
         ]
     }
 }
--- a/src/program/event_loop/gossip.rs
+++ b/src/program/event_loop/gossip.rs
@@ -1,13 +1,13 @@
-//! Gossip's part of the task that owns routing.
+//! Connects the gossip subsystem to the event loop.
 
-use super::{Due, EventLoop, Task};
+use super::{EventLoop, TimerKey, TransportCommand};
 use crate::program::appliance::Appliance;
 use crate::program::gossip::{Gossip, Output};
 use crate::routing::interface::Micros;
 use crate::routing::ledger;
 
 impl EventLoop {
-    /// The appliance and gossip hear what the ledger does.
+    /// Reports an output of the ledger to the log, the appliance and the gossip subsystem.
     pub(super) fn observe(&mut self, now: Micros, output: &ledger::Output) {
         if let ledger::Output::Answer { call, .. }
         | ledger::Output::SetUp { call, .. }
@@ -18,35 +18,36 @@
             crate::program::log::call(output, self.callers.particulars(*call).map(|p| p.0));
         }
         if let Some(a) = &mut self.appliance {
-            a.observe(now, output, &self.ledger, &self.aims);
+            a.observe(now, output, &self.ledger, &self.latency_objectives);
         }
         if let Some(g) = &mut self.gossip {
             g.observe(now, output, &self.ledger);
         }
     }
 
-    pub(super) fn gossip_due(&mut self, now: Micros) {
+    /// Handles the timer of the gossip subsystem.
+    pub(super) fn handle_gossip_timer(&mut self, now: Micros) {
         if let Some(g) = &mut self.gossip {
-            g.due(now, &self.ledger);
+            g.handle_timer(now, &self.ledger);
         }
     }
 
-    /// Carries out what gossip asks for. Whether there was anything.
-    pub(super) fn follow_gossip(&mut self, now: Micros) -> bool {
+    /// Carries out the outputs of the gossip subsystem; returns whether there were any.
+    pub(super) fn process_gossip_outputs(&mut self, now: Micros) -> bool {
         let outputs = self.gossip.as_mut().map_or_else(Vec::new, Gossip::take_outputs);
-        let any = !outputs.is_empty();
+        let had_outputs = !outputs.is_empty();
         for output in outputs {
             match output {
-                Output::Datagram(to, body) => self.tasks.push(Task::Gossip(to, body)),
-                Output::Suspect(all) => self.ledger.suspected_changed(now, all),
-                Output::Peer(from, body) => self.ledger.peer_message(now, from, body),
-                Output::Tell(kind, text) => match &mut self.appliance {
-                    Some(a) => a.tell(now, now + self.wall_ahead, kind, text),
-                    None => Appliance::log(kind, &text),
+                Output::Datagram(to, body) => self.commands.push(TransportCommand::SendGossip(to, body)),
+                Output::SetSuspected(suspected) => self.ledger.suspected_changed(now, suspected),
+                Output::PeerMessage(from, body) => self.ledger.peer_message(now, from, body),
+                Output::Event(kind, text) => match &mut self.appliance {
+                    Some(a) => a.record_event(now, now + self.wall_clock_offset, kind, text),
+                    None => Appliance::log_event(kind, &text),
                 },
-                Output::Wake(at) => self.deadlines.add(at, Due::Gossip),
+                Output::SetTimer(at) => self.timers.add(at, TimerKey::Gossip),
             }
         }
-        any
+        had_outputs
     }
 }
--- a/src/program/event_loop/stop.rs
+++ b/src/program/event_loop/stop.rs
@@ -1,6 +1,6 @@
-//! A stop that was asked for: its phases carried out, and the program's end.
+//! Orderly shutdown: carries out the phases and decides when the program ends.
 
-use super::{Due, EventLoop, Task};
+use super::{EventLoop, TimerKey, TransportCommand};
 use crate::fault_injection::{fault_injected, InjectedFault};
 use crate::routing::interface::Micros;
 use crate::routing::shutdown::{Phase, Shutdown};
@@ -8,61 +8,64 @@
 /// Target of this module's log events; operators' log filters name it.
 const LOG_TARGET: &str = "walnuthatch::program::switchboard::stop";
 
-/// A stop under way.
+/// A shutdown in progress.
 #[derive(Debug)]
 pub(super) struct Stop {
     shutdown: Shutdown,
-    /// Whether callers' connections still come up.
+    /// Whether callers' connections are still accepted.
     pub(super) listener: ListenerState,
 }
 
-/// Whether callers' connections still come up.
+/// State of the listener for callers' connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ListenerState {
     Listening,
-    /// Asked to listen no more.
+    /// The transport was told to stop listening.
     Closing,
-    /// No connection comes up any more.
+    /// No further connection will be accepted.
     Closed,
 }
 
 impl EventLoop {
-    /// Whether the program was asked to stop and has answered all that it took.
+    /// Whether a shutdown was requested and has completed: every accepted call is answered, or the last phase has begun.
     pub fn finished(&self, now: Micros) -> bool {
         let Some(stop) = &self.stopping else { return false };
         let phase = stop.shutdown.phase_at(now);
         let closed = stop.listener == ListenerState::Closed && self.callers.connections() == 0;
-        phase == Phase::Terminating || closed && self.served(phase)
+        phase == Phase::Terminating || closed && self.calls_finished(phase)
     }
 
-    /// Whether a stop in this phase has nothing to wait for but connections.
-    pub(super) fn served(&self, phase: Phase) -> bool {
-        let stood = self.ledger.established_calls() == 0 && !self.callers.owes_releases();
-        phase >= Phase::Draining && self.ledger.open_calls() == 0 && (stood || phase >= Phase::Closing)
+    /// Whether a shutdown in this phase has no calls left to wait for, only connections.
+    pub(super) fn calls_finished(&self, phase: Phase) -> bool {
+        let established_done = self.ledger.established_calls() == 0 && !self.callers.owes_releases();
+        phase >= Phase::Draining
+            && self.ledger.open_calls() == 0
+            && (established_done || phase >= Phase::Closing)
     }
 
-    /// Asks for a stop: calls are taken for a while yet, and all that was taken is answered.
+    /// Starts a shutdown: new calls are accepted for a short time yet, and every accepted call is answered.
     pub fn stop(&mut self, now: Micros) {
         if self.stopping.is_none() {
-            let longest = self.config.settings.classes.iter().map(|c| c.client_timeout).max().unwrap_or(0);
-            let shutdown = Shutdown::new(now, longest);
+            let longest_deadline =
+                self.config.settings.classes.iter().map(|c| c.client_timeout).max().unwrap_or(0);
+            let shutdown = Shutdown::new(now, longest_deadline);
             self.stopping = Some(Stop { shutdown, listener: ListenerState::Listening });
-            tracing::info!(target: LOG_TARGET, "stop asked for: {} calls open", self.ledger.open_calls());
+            tracing::info!(target: LOG_TARGET, "shutdown requested: {} calls open", self.ledger.open_calls());
             if let Some(g) = &mut self.gossip {
                 g.leave(now);
             }
             for (at, _) in shutdown.phase_starts() {
-                self.deadlines.add(at, Due::Stop);
+                self.timers.add(at, TimerKey::Stop);
             }
         }
     }
 
-    /// Does what the present phase of a stop asks for.
+    /// Applies the rules of the current phase of the shutdown.
     pub(super) fn advance_stop(&mut self, now: Micros) {
         let Some(stop) = &self.stopping else { return };
         let phase = stop.shutdown.phase_at(now);
-        let (open, standing) = (self.ledger.open_calls(), self.ledger.established_calls());
-        tracing::info!(target: LOG_TARGET, "stop: {phase:?}; {open} calls open, {standing} stand");
+        let (open, established) = (self.ledger.open_calls(), self.ledger.established_calls());
+        tracing::info!(target: LOG_TARGET, "shutdown: {phase:?}; {open} calls open, {established} established");
         if fault_injected(InjectedFault::RequestLeftAtStop) && phase < Phase::Terminating {
             return;
         }
@@ -78,17 +81,18 @@
         }
     }
 
-    /// Once nothing is left to serve, no caller's connection need come up or stay any more. Whether that is so since
-    /// now. Guards the end of the program against callers that connect again whenever their connection is closed.
-    pub(super) fn stop_listening_if_served(&mut self, now: Micros) -> bool {
+    /// Stops listening and closes the callers' connections once no calls are left; returns whether it did so now.
+    /// Otherwise callers that reconnect whenever their connection is closed would delay the end of the program.
+    pub(super) fn stop_listening_if_finished(&mut self, now: Micros) -> bool {
         let Some(phase) = self.stopping.as_ref().map(|s| s.shutdown.phase_at(now)) else { return false };
-        let done = phase >= Phase::Closing || self.served(phase);
-        let Some(stop) = self.stopping.as_mut().filter(|s| done && s.listener == ListenerState::Listening)
+        let finished = phase >= Phase::Closing || self.calls_finished(phase);
+        let Some(stop) =
+            self.stopping.as_mut().filter(|s| finished && s.listener == ListenerState::Listening)
         else {
             return false;
         };
         stop.listener = ListenerState::Closing;
-        self.tasks.push(Task::StopListening);
+        self.commands.push(TransportCommand::StopListening);
         self.callers.end_all(now);
         true
     }
--- a/src/program/gossip.rs
+++ b/src/program/gossip.rs
@@ -12,9 +12,9 @@
 use walnuthatch_gossip::{Exchange, MemberId, SECOND};
 
 /// First byte of a message that tells of groups, as the decision module has it.
-const TELL_GROUPS: u8 = 1;
+const GROUPS_MESSAGE: u8 = 1;
 /// Numbers of members begin here, far from those of the platform's peers.
-const NUMBERS: u32 = 1 << 20;
+const FIRST_MEMBER_NUMBER: u32 = 1 << 20;
 
 /// What is to be done.
 #[derive(Debug)]
@@ -22,13 +22,13 @@
     /// Send a datagram.
     Datagram(SocketAddr, Vec<u8>),
     /// These exchanges are suspected, and no others.
-    Suspect(BTreeSet<ExchangeNumber>),
+    SetSuspected(BTreeSet<ExchangeNumber>),
     /// A message of a peer, bound to who sent it.
-    Peer(PeerNumber, Vec<u8>),
+    PeerMessage(PeerNumber, Vec<u8>),
     /// Something happened.
-    Tell(&'static str, String),
+    Event(&'static str, String),
     /// Come back then.
-    Wake(Micros),
+    SetTimer(Micros),
 }
 
 /// The gossip's state.
@@ -36,13 +36,13 @@
 pub struct Gossip {
     node: Node,
     /// Direct set-ups that are out, and where they went.
-    out: BTreeMap<CallId, Exchange>,
-    numbers: BTreeMap<MemberId, PeerNumber>,
+    direct_setups: BTreeMap<CallId, Exchange>,
+    peer_numbers: BTreeMap<MemberId, PeerNumber>,
     /// The groups of each member's exchange, by blocks of 64.
-    links: BTreeMap<(MemberId, u16), u64>,
-    tick: Micros,
-    next: Micros,
-    todo: Vec<Output>,
+    group_bitmaps: BTreeMap<(MemberId, u16), u64>,
+    last_tick: Micros,
+    next_timer: Micros,
+    outputs: Vec<Output>,
 }
 
 fn exchange(e: ExchangeNumber) -> Exchange {
@@ -55,12 +55,12 @@
         let unix = now.div_euclid(SECOND);
         Gossip {
             node: Node::new(now, unix, config.node.clone(), config.ring.clone(), seed),
-            out: BTreeMap::new(),
-            numbers: BTreeMap::new(),
-            links: BTreeMap::new(),
-            tick: now,
-            next: now,
-            todo: vec![Output::Wake(now)],
+            direct_setups: BTreeMap::new(),
+            peer_numbers: BTreeMap::new(),
+            group_bitmaps: BTreeMap::new(),
+            last_tick: now,
+            next_timer: now,
+            outputs: vec![Output::SetTimer(now)],
         }
     }
 
@@ -78,14 +78,14 @@
                 let leg = ledger.administrative_state().exchange_of(*office);
                 let to = ledger.offered_call(*call).map(|o| o.new_call.destination);
                 if let Some(leg) = leg.filter(|l| Some(*l) == to) {
-                    self.out.insert(*call, exchange(leg));
+                    self.direct_setups.insert(*call, exchange(leg));
                     self.node.set_up_sent(now, exchange(leg), u64::from(call.0));
                 }
             }
             LedgerOutput::Answer {
                 call, answer: Answer::Established(_), last_attempt: Some(last), ..
             } => {
-                let direct = self.out.remove(call);
+                let direct = self.direct_setups.remove(call);
                 if let Some(leg) = last.exchange {
                     match direct {
                         Some(e) => self.node.set_up_answered(now, e, u64::from(call.0), last.setup_time),
@@ -94,7 +94,7 @@
                 }
             }
             LedgerOutput::AttemptEnded { call, exchange: Some(leg), ending, cause } => {
-                let direct = self.out.remove(call).is_some();
+                let direct = self.direct_setups.remove(call).is_some();
                 let (e, call) = (exchange(*leg), u64::from(call.0));
                 match (ending, cause) {
                     (Ending::Full | Ending::Fault, _) | (_, Cause::LinesBusy) => {
@@ -110,91 +110,91 @@
             }
             // Its caller left; an attempt that this side gave up is told to have ended besides.
             LedgerOutput::Clear { call, .. } if ledger.offered_call(*call).is_none() => {
-                if let Some(e) = self.out.remove(call) {
+                if let Some(e) = self.direct_setups.remove(call) {
                     self.node.set_up_abandoned(now, e, u64::from(call.0));
                 }
             }
             _ => {}
         }
-        self.follow(now);
+        self.process_node_outputs(now);
     }
 
     /// A datagram came.
     pub fn datagram(&mut self, now: Micros, from: SocketAddr, body: &[u8]) {
         self.node.handle_datagram(now, from, body);
-        self.follow(now);
+        self.process_node_outputs(now);
     }
 
     /// Lets time pass.
-    pub fn due(&mut self, now: Micros, ledger: &Ledger) {
-        if now < self.next {
+    pub fn handle_timer(&mut self, now: Micros, ledger: &Ledger) {
+        if now < self.next_timer {
             return;
         }
-        if now - self.tick >= SECOND {
-            self.tick = now;
-            let offices: Vec<_> = ledger.administrative_state().offices().collect();
-            let linked = offices.iter().filter(|(_, g)| g.is_some_and(|g| g.1 >= 1.0));
+        if now - self.last_tick >= SECOND {
+            self.last_tick = now;
+            let exchanges: Vec<_> = ledger.administrative_state().offices().collect();
+            let linked = exchanges.iter().filter(|(_, g)| g.is_some_and(|g| g.1 >= 1.0));
             self.node.set_links(&linked.map(|(e, _)| exchange(e.exchange)).collect());
-            let known: BTreeSet<ExchangeNumber> = offices.iter().map(|(e, _)| e.exchange).collect();
+            let known: BTreeSet<ExchangeNumber> = exchanges.iter().map(|(e, _)| e.exchange).collect();
             self.node.set_exchanges(known.len());
             self.node.set_load((ledger.processor_load(now) * 200.0).clamp(0.0, 255.0) as u8);
         }
         self.node.handle_timeouts(now);
-        self.follow(now);
+        self.process_node_outputs(now);
     }
 
     /// The program stops: the others are told.
     pub fn leave(&mut self, now: Micros) {
         self.node.leave(now);
-        self.follow(now);
+        self.process_node_outputs(now);
     }
 
     /// What is to be done, in order.
     pub fn take_outputs(&mut self) -> Vec<Output> {
-        std::mem::take(&mut self.todo)
+        std::mem::take(&mut self.outputs)
     }
 
-    fn follow(&mut self, now: Micros) {
+    fn process_node_outputs(&mut self, now: Micros) {
         for output in self.node.take_outputs() {
             match output {
-                node::Output::Send(to, bytes) => self.todo.push(Output::Datagram(to, bytes)),
+                node::Output::Send(to, bytes) => self.outputs.push(Output::Datagram(to, bytes)),
                 node::Output::Suspected(all) => {
                     let all = all.into_iter().map(|e| ExchangeNumber(e.0)).collect();
-                    self.todo.push(Output::Suspect(all));
+                    self.outputs.push(Output::SetSuspected(all));
                 }
                 node::Output::Links { member, exchange, first, bits } => {
-                    self.link(member, exchange, first, bits);
+                    self.update_groups(member, exchange, first, bits);
                 }
                 node::Output::Event(news) => {
-                    let (kind, text) = told(&news);
-                    self.todo.push(Output::Tell(kind, text));
+                    let (kind, text) = event_text(&news);
+                    self.outputs.push(Output::Event(kind, text));
                 }
             }
         }
-        let due = self.node.next_timeout().min(self.tick + SECOND).max(now + 1);
-        if due < self.next || self.next <= now {
-            self.next = due;
-            self.todo.push(Output::Wake(due));
+        let due = self.node.next_timeout().min(self.last_tick + SECOND).max(now + 1);
+        if due < self.next_timer || self.next_timer <= now {
+            self.next_timer = due;
+            self.outputs.push(Output::SetTimer(due));
         }
     }
 
     /// The groups of a member's exchange, in the form that the decision module knows from its peers.
-    fn link(&mut self, member: MemberId, own: Exchange, from: Exchange, bits: u64) {
+    fn update_groups(&mut self, member: MemberId, own: Exchange, from: Exchange, bits: u64) {
         // The form has room for some 2,000 exchanges; no site has more than 250.
         if from.0 >= 1984 || !from.0.is_multiple_of(64) {
             return;
         }
-        let number = PeerNumber(NUMBERS + self.numbers.len() as u32);
-        let number = *self.numbers.entry(member).or_insert(number);
-        self.links.insert((member, from.0 / 64), bits);
-        let mut body = vec![TELL_GROUPS];
+        let number = PeerNumber(FIRST_MEMBER_NUMBER + self.peer_numbers.len() as u32);
+        let number = *self.peer_numbers.entry(member).or_insert(number);
+        self.group_bitmaps.insert((member, from.0 / 64), bits);
+        let mut body = vec![GROUPS_MESSAGE];
         body.extend(own.0.to_be_bytes());
-        for (&(_, block), bits) in self.links.range((member, 0)..=(member, u16::MAX)) {
+        for (&(_, block), bits) in self.group_bitmaps.range((member, 0)..=(member, u16::MAX)) {
             body.resize(3 + usize::from(block) * 8, 0);
             // Bits are told with the highest first, and kept with the lowest first in each byte.
             body.extend(bits.to_be_bytes().map(u8::reverse_bits));
         }
-        self.todo.push(Output::Peer(number, body));
+        self.outputs.push(Output::PeerMessage(number, body));
     }
 
     // ---- Views ----
@@ -252,7 +252,7 @@
 }
 
 /// Of which kind a piece of news is, and its words.
-fn told(news: &Event) -> (&'static str, String) {
+fn event_text(news: &Event) -> (&'static str, String) {
     match news {
         Event::Member(u) => ("peer", format!("{} at {}: {:?}", u.id, u.address, u.claim).to_lowercase()),
         Event::NameTaken(at) => ("peer", format!("another instance has this one's name, at {at}")),
--- a/src/program/views.rs
+++ b/src/program/views.rs
@@ -2,7 +2,7 @@
 //! alarm, has it from here; nothing here changes anything.
 
 use super::config::Config;
-use super::event_loop::GATEWAYS;
+use super::event_loop::GATEWAY_FRONTEND;
 use super::gossip::Gossip;
 use crate::protocol::mgcp::agent::Agent;
 use crate::protocol::upstream::UpstreamConnections;
@@ -13,20 +13,20 @@
 use walnuthatch_drains::target::{self, Health, Load, Neighbour, Site, Target};
 
 /// Calls shown at most.
-pub const CALLS: usize = 500;
+pub const MAX_LISTED_CALLS: usize = 500;
 
 /// All that views are made of.
 pub struct Snapshot<'a> {
     /// The time.
     pub now: Micros,
     /// When the program started.
-    pub born: Micros,
+    pub started_at: Micros,
     /// What it was told.
     pub config: &'a Config,
     /// The calls.
     pub ledger: &'a Ledger,
     /// The connections toward exchanges.
-    pub links: &'a UpstreamConnections,
+    pub upstream: &'a UpstreamConnections,
     /// The gateways.
     pub agent: Option<&'a Agent>,
     /// Gossip.
@@ -34,7 +34,7 @@
     /// Connections that there are.
     pub connections: usize,
     /// Deadlines that wait.
-    pub deadlines: usize,
+    pub timers: usize,
     /// It was asked to stop.
     pub stopping: bool,
     /// Its tests fail by order.
@@ -44,7 +44,7 @@
 }
 
 /// How a state on the list is called.
-pub fn listed(state: ListState) -> &'static str {
+pub fn list_state_name(state: ListState) -> &'static str {
     match state {
         ListState::Ready => "ready",
         ListState::Draining => "draining",
@@ -62,7 +62,7 @@
         match (self.stopping, self.draining) {
             (true, _) => "stopping",
             (false, true) => "draining",
-            (false, false) if self.links.settled() => "serving",
+            (false, false) if self.upstream.settled() => "serving",
             (false, false) => "starting",
         }
     }
@@ -77,11 +77,11 @@
             name: self.config.name.clone(),
             version: env!("CARGO_PKG_VERSION").to_owned(),
             state: self.state().to_owned(),
-            up_s: ms(self.now - self.born) / 1000,
+            up_s: ms(self.now - self.started_at) / 1000,
             open: self.ledger.open_calls(),
             standing: self.ledger.established_calls(),
             connections: self.connections,
-            deadlines: self.deadlines,
+            deadlines: self.timers,
             ready: count(Some(ListState::Ready)),
             listed: count(None),
             state_folder: "off".to_owned(),
@@ -92,7 +92,7 @@
     /// The machines on the list and the gateways, in the order of their exchanges. Figures of set-ups are filled in
     /// by whoever has them.
     pub fn exchanges(&self) -> Vec<Exchange> {
-        let loads = self.loads();
+        let loads = self.site_load();
         let figures: BTreeMap<ExchangeId, _> = self.ledger.administrative_state().group_circuits().collect();
         let of =
             |office: &ExchangeId, exchange: ExchangeNumber, name: &str, address: String, state, connected| {
@@ -103,7 +103,7 @@
                     exchange: exchange.0,
                     member: name.to_owned(),
                     address,
-                    listed: listed(state).to_owned(),
+                    listed: list_state_name(state).to_owned(),
                     connected,
                     free: known.map(|f| f.0),
                     size: known.map(|f| f.1),
@@ -114,7 +114,7 @@
                 }
             };
         let list = self.ledger.administrative_state();
-        let links = self.links.views().filter_map(|(office, place, state, up)| {
+        let links = self.upstream.views().filter_map(|(office, place, state, up)| {
             let exchange = list.exchange_of(office)?;
             Some(of(&office, exchange, &place.member, place.address.to_string(), state, up))
         });
@@ -134,7 +134,7 @@
     pub fn calls(&self, search: &str, most: usize) -> (Vec<Call>, usize) {
         let view = |v: CallView| Call {
             call: v.call.0,
-            front: if v.frontend == GATEWAYS { "gateway" } else { "lines" }.to_owned(),
+            front: if v.frontend == GATEWAY_FRONTEND { "gateway" } else { "lines" }.to_owned(),
             destination: v.destination.0,
             doing: v.state.to_owned(),
             over: v.exchange.map(|e| e.0),
@@ -146,8 +146,8 @@
     }
 
     /// What is at each exchange.
-    pub fn loads(&self) -> Loads<'_> {
-        Loads { snapshot: self, loads: self.ledger.call_loads(), links: None, health: Health::default() }
+    pub fn site_load(&self) -> SiteLoad<'_> {
+        SiteLoad { snapshot: self, loads: self.ledger.call_loads(), links: None, health: Health::default() }
     }
 }
 
@@ -164,26 +164,30 @@
 }
 
 /// The site as drains see it.
-pub struct Loads<'a> {
+pub struct SiteLoad<'a> {
     snapshot: &'a Snapshot<'a>,
     loads: BTreeMap<(ExchangeNumber, ExchangeNumber), (u32, u32)>,
     links: Option<&'a BTreeSet<(ExchangeNumber, ExchangeNumber)>>,
     health: Health,
 }
 
-impl<'a> Loads<'a> {
+impl<'a> SiteLoad<'a> {
     /// With what is known of the groups between other exchanges, and how calls fare.
-    pub fn with(self, links: &'a BTreeSet<(ExchangeNumber, ExchangeNumber)>, health: Health) -> Self {
-        Loads { links: Some(links), health, ..self }
+    pub fn with_links_and_health(
+        self,
+        links: &'a BTreeSet<(ExchangeNumber, ExchangeNumber)>,
+        health: Health,
+    ) -> Self {
+        SiteLoad { links: Some(links), health, ..self }
     }
 
     /// Calls that stand, by first leg and destination.
-    pub fn standing(&self) -> impl Iterator<Item = (ExchangeNumber, ExchangeNumber, u32)> + '_ {
+    pub fn established(&self) -> impl Iterator<Item = (ExchangeNumber, ExchangeNumber, u32)> + '_ {
         self.loads.iter().filter(|l| l.1 .1 > 0).map(|(&(leg, to), l)| (leg, to, l.1))
     }
 }
 
-impl Site for Loads<'_> {
+impl Site for SiteLoad<'_> {
     fn load(&self, target: Target) -> Load {
         if target == Target::Controller {
             let of = |n: usize| u32::try_from(n).unwrap_or(u32::MAX);
