--- a/src/program/alarms.rs
+++ b/src/program/alarms.rs
@@ -1,4 +1,4 @@
-//! What is looked at each second, and from which value on it is an alarm.
+//! The alarm conditions: the values that are checked each second, and the thresholds at which they raise an alarm.
 
 use super::appliance_file::AlarmMarks;
 use super::views::Snapshot;
@@ -9,25 +9,25 @@
 use walnuthatch_metrics::alarms::{AlarmKey, AlarmRule, Severity};
 use walnuthatch_metrics::service::ServiceWindows;
 
-/// When alarms are raised.
+/// The configured alarm thresholds.
 pub type Thresholds = AlarmMarks;
 
-/// With fewer calls than this in its window a share says nothing.
+/// Minimum number of calls in a window for its shares to be meaningful.
 const MIN_CALLS: u32 = 20;
 
-/// A value to be looked at.
+/// A value to check against its alarm rule.
 pub struct Observation {
-    /// What it is of.
+    /// The alarm that the value belongs to.
     pub key: AlarmKey,
-    /// The value.
+    /// The current value.
     pub value: f64,
-    /// How it is judged.
+    /// The thresholds, delays and severity of the alarm.
     pub rule: AlarmRule,
-    /// What an alarm would say.
+    /// The text of the alarm, should it be raised.
     pub text: String,
 }
 
-/// All values as they are now.
+/// Computes the current values of all alarm conditions.
 pub fn evaluate(
     thresholds: &Thresholds,
     snapshot: &Snapshot<'_>,
@@ -35,7 +35,7 @@
     registry: &DrainRegistry,
     wall: Micros,
 ) -> Vec<Observation> {
-    let mut out = Vec::new();
+    let mut observations = Vec::new();
     let rule = |raise: f64, clear: f64, severity| AlarmRule {
         raise,
         clear,
@@ -43,10 +43,10 @@
         clear_delay: thresholds.calm,
         severity,
     };
-    // A state that is so or not; the holds are for values that swing.
-    let at_once = |severity| AlarmRule { raise: 1.0, clear: 0.0, raise_delay: 0, clear_delay: 0, severity };
+    // For conditions that either hold or not: the delays are meant for values that fluctuate.
+    let immediate = |severity| AlarmRule { raise: 1.0, clear: 0.0, raise_delay: 0, clear_delay: 0, severity };
     let mut add = |kind, subject: String, value: f64, rule, text: String| {
-        out.push(Observation { key: AlarmKey { kind, subject }, value, rule, text });
+        observations.push(Observation { key: AlarmKey { kind, subject }, value, rule, text });
     };
     let [short, minute, _] = service.windows();
     let missed = minute
@@ -72,14 +72,16 @@
     for e in snapshot.exchanges() {
         let name = format!("exchange:{}", e.exchange);
         if e.listed == "ready" {
-            // Without a connection figures grow old too, but one that never told any has no age.
+            // While disconnected, the age of the last report is the time without a connection; an exchange that has
+            // never reported has no age, so the time since the start is used.
             let age = e.report_age_ms.map(|ms| ms as f64 * 1000.0);
-            let quiet =
+            let disconnected =
                 if e.connected { 0.0 } else { age.unwrap_or((snapshot.now - snapshot.started_at) as f64) };
-            let text = format!("no connection to {} at {} for {:.0} s", e.member, e.address, quiet / 1e6);
-            let silent =
+            let text =
+                format!("no connection to {} at {} for {:.0} s", e.member, e.address, disconnected / 1e6);
+            let rule =
                 AlarmRule { raise_delay: 0, ..rule(thresholds.silent as f64, 0.0, Severity::Critical) };
-            add("unreachable", format!("{name} {}", e.member), quiet, silent, text);
+            add("unreachable", format!("{name} {}", e.member), disconnected, rule, text);
         }
         if let (Some(free), Some(size)) = (e.free, e.size.filter(|s| *s >= 1.0)) {
             let busy = 1.0 - free.max(0.0) / size;
@@ -97,20 +99,26 @@
     for d in registry.drains() {
         let stuck = matches!(d.state, State::Failed | State::Expired);
         let text = format!("{}: {} calls still stand there", d.state.name(), d.load.established);
-        add("drain", d.target.to_string(), f64::from(u8::from(stuck)), at_once(Severity::Warning), text);
+        add("drain", d.target.to_string(), f64::from(u8::from(stuck)), immediate(Severity::Warning), text);
     }
     for w in registry.windows() {
-        let begun = registry.drains().iter().any(|d| d.window.as_ref().is_some_and(|x| x.0 == w.name));
-        let denied = w.open_at(wall).is_some() && !begun && registry.window_denied(&w.name);
+        let started = registry.drains().iter().any(|d| d.window.as_ref().is_some_and(|x| x.0 == w.name));
+        let denied = w.open_at(wall).is_some() && !started && registry.window_denied(&w.name);
         let text = "it is open, and its drain was turned down: see the events".to_owned();
-        add("window", w.name.clone(), f64::from(u8::from(denied)), at_once(Severity::Warning), text);
+        add("window", w.name.clone(), f64::from(u8::from(denied)), immediate(Severity::Warning), text);
     }
-    if let Some(Stage::Halted(why)) = registry.plan().map(|p| &p.stage) {
-        // One that somebody halted is known to be.
-        let by_itself = f64::from(u8::from(!why.starts_with("halted by")));
-        add("round", String::new(), by_itself, at_once(Severity::Warning), format!("halted: {why}"));
+    if let Some(Stage::Halted(reason)) = registry.plan().map(|p| &p.stage) {
+        // A round that an operator halted needs no alarm.
+        let halted_itself = f64::from(u8::from(!reason.starts_with("halted by")));
+        add("round", String::new(), halted_itself, immediate(Severity::Warning), format!("halted: {reason}"));
     }
     let text = "drains that are in force would not survive a restart".to_owned();
-    add("unsaved", String::new(), f64::from(u8::from(registry.unsaved())), at_once(Severity::Warning), text);
-    out
+    add(
+        "unsaved",
+        String::new(),
+        f64::from(u8::from(registry.unsaved())),
+        immediate(Severity::Warning),
+        text,
+    );
+    observations
 }
--- a/src/program/counters.rs
+++ b/src/program/counters.rs
@@ -1,118 +1,126 @@
-//! Counters of what the program takes in, sends and answers.
+//! The table of counters that operators and the exporter see.
 
 use crate::protocol::client::ClientCounts;
 use crate::protocol::mgcp::agent::AgentCounts;
 use crate::protocol::upstream::UpstreamCounts;
 use crate::routing::ledger::LedgerCounts;
 
-/// What the task that owns routing counts itself.
+/// Counters that the event loop keeps itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct WireCounts {
-    /// Messages in.
+    /// Messages received.
     pub messages_in: u64,
-    /// Messages out.
+    /// Messages sent.
     pub messages_out: u64,
-    /// Lines that were no messages.
+    /// Received lines that were not valid messages.
     pub malformed: u64,
-    /// Connections cut since their peer did not take what was sent.
+    /// Connections cut because the other side did not read and the outbox was full.
     pub overflows: u64,
-    /// ClientConnections' connections taken in.
+    /// Callers' connections accepted.
     pub accepted: u64,
-    /// Events of the coordinator.
+    /// Events received from the coordinator.
     pub list_events: u64,
-    /// Events of the coordinator that could not be used.
+    /// Invalid events received from the coordinator.
     pub bad_list_events: u64,
-    /// Times that the coordinator's stream was lost.
+    /// Times that the coordinator's event stream was lost.
     pub stream_losses: u64,
-    /// Configurations read anew and followed.
+    /// Successful reloads of the configuration.
     pub reloads: u64,
-    /// Configurations read anew and found faulty.
+    /// Reloads rejected because the configuration was invalid.
     pub bad_reloads: u64,
-    /// Peers' messages in.
+    /// Messages received from peers.
     pub peers_in: u64,
-    /// Peers' messages out.
+    /// Messages sent to peers.
     pub peers_out: u64,
-    /// Datagrams from gateways.
+    /// Datagrams received from gateways.
     pub gateways_in: u64,
-    /// Datagrams to gateways.
+    /// Datagrams sent to gateways.
     pub gateways_out: u64,
-    /// Spans dropped since too many calls were answered between two exports.
+    /// Spans dropped because too many calls were answered between two exports.
     pub spans_dropped: u64,
 }
 
-/// All counters as names and values, in a fixed order.
-pub fn table(w: &WireCounts, t: &LedgerCounts, c: &ClientCounts, l: &UpstreamCounts) -> Vec<(String, u64)> {
-    let mut out: Vec<(String, u64)> = [
-        ("calls.offered", t.offered),
-        ("calls.stood", t.established),
-        ("calls.refused", t.refused),
-        ("calls.failed", t.failed),
-        ("calls.abandoned", t.abandoned),
-        ("calls.cut", t.cut),
-        ("attempts.sent", t.attempts),
-        ("wire.messages_in", w.messages_in),
-        ("wire.messages_out", w.messages_out),
-        ("wire.malformed", w.malformed),
-        ("wire.overflows", w.overflows),
-        ("callers.accepted", w.accepted),
-        ("callers.turned_away", c.turned_away),
-        ("callers.spoilt", c.spoilt),
-        ("callers.idle", c.idle),
-        ("callers.unusable", c.unusable),
-        ("callers.repeated", c.repeated),
-        ("callers.crowded", c.crowded),
-        ("callers.crossed", c.crossed),
-        ("callers.released_again", c.released_again),
-        ("callers.stray", c.stray),
-        ("callers.unexpected", c.unexpected),
-        ("callers.undeliverable", c.undeliverable),
-        ("exchanges.connects", l.connects),
-        ("exchanges.refused", l.refused),
-        ("exchanges.broken", l.broken),
-        ("exchanges.spoilt", l.spoilt),
-        ("exchanges.stalled", l.stalled),
-        ("exchanges.late_answers", l.late_answers),
-        ("exchanges.stray", l.stray),
-        ("exchanges.found_cut", l.found_cut),
-        ("exchanges.lease_expired", l.lease_expired),
-        ("list.events", w.list_events),
-        ("list.bad_events", w.bad_list_events),
-        ("list.stream_losses", w.stream_losses),
-        ("config.reloads", w.reloads),
-        ("config.bad_reloads", w.bad_reloads),
-        ("peers.in", w.peers_in),
-        ("peers.out", w.peers_out),
-        ("gateways.in", w.gateways_in),
-        ("gateways.out", w.gateways_out),
-        ("otlp.spans_dropped", w.spans_dropped),
+/// The counters of the event loop, the ledger and the connections as names and values, in a fixed order.
+pub fn table(
+    wire: &WireCounts,
+    ledger: &LedgerCounts,
+    client: &ClientCounts,
+    upstream: &UpstreamCounts,
+) -> Vec<(String, u64)> {
+    let mut table: Vec<(String, u64)> = [
+        ("calls.offered", ledger.offered),
+        ("calls.stood", ledger.established),
+        ("calls.refused", ledger.refused),
+        ("calls.failed", ledger.failed),
+        ("calls.abandoned", ledger.abandoned),
+        ("calls.cut", ledger.cut),
+        ("attempts.sent", ledger.attempts),
+        ("wire.messages_in", wire.messages_in),
+        ("wire.messages_out", wire.messages_out),
+        ("wire.malformed", wire.malformed),
+        ("wire.overflows", wire.overflows),
+        ("callers.accepted", wire.accepted),
+        ("callers.turned_away", client.turned_away),
+        ("callers.spoilt", client.spoilt),
+        ("callers.idle", client.idle),
+        ("callers.unusable", client.unusable),
+        ("callers.repeated", client.repeated),
+        ("callers.crowded", client.crowded),
+        ("callers.crossed", client.crossed),
+        ("callers.released_again", client.released_again),
+        ("callers.stray", client.stray),
+        ("callers.unexpected", client.unexpected),
+        ("callers.undeliverable", client.undeliverable),
+        ("exchanges.connects", upstream.connects),
+        ("exchanges.refused", upstream.refused),
+        ("exchanges.broken", upstream.broken),
+        ("exchanges.spoilt", upstream.spoilt),
+        ("exchanges.stalled", upstream.stalled),
+        ("exchanges.late_answers", upstream.late_answers),
+        ("exchanges.stray", upstream.stray),
+        ("exchanges.found_cut", upstream.found_cut),
+        ("exchanges.lease_expired", upstream.lease_expired),
+        ("list.events", wire.list_events),
+        ("list.bad_events", wire.bad_list_events),
+        ("list.stream_losses", wire.stream_losses),
+        ("config.reloads", wire.reloads),
+        ("config.bad_reloads", wire.bad_reloads),
+        ("peers.in", wire.peers_in),
+        ("peers.out", wire.peers_out),
+        ("gateways.in", wire.gateways_in),
+        ("gateways.out", wire.gateways_out),
+        ("otlp.spans_dropped", wire.spans_dropped),
     ]
     .into_iter()
     .map(|(name, value)| (name.to_owned(), value))
     .collect();
-    out.extend(t.endings.iter().map(|(name, &n)| (format!("attempts.{name}"), n)));
-    out.extend(t.blocked.iter().map(|(why, &n)| (format!("held_back.{why:?}").to_lowercase(), n)));
-    out
+    table.extend(ledger.endings.iter().map(|(name, &n)| (format!("attempts.{name}"), n)));
+    table.extend(
+        ledger.blocked.iter().map(|(reason, &n)| (format!("held_back.{reason:?}").to_lowercase(), n)),
+    );
+    table
 }
 
-/// The call agent's counters.
-pub fn agent_table(a: &AgentCounts, repeats: (u64, u64)) -> Vec<(String, u64)> {
+/// The counters of the MGCP call agent.
+pub fn agent_table(agent: &AgentCounts, repeats: (u64, u64)) -> Vec<(String, u64)> {
     let rows = [
-        ("mgcp.commands_in", a.commands_in),
-        ("mgcp.commands_out", a.commands_out),
+        ("mgcp.commands_in", agent.commands_in),
+        ("mgcp.commands_out", agent.commands_out),
         ("mgcp.repeats_out", repeats.0),
         ("mgcp.repeats_in", repeats.1),
-        ("mgcp.unusable", a.unusable),
-        ("mgcp.unknown_endpoint", a.unknown_endpoint),
-        ("mgcp.late_answers", a.late_answers),
-        ("mgcp.unanswered", a.unanswered),
-        ("mgcp.lease_expired", a.lease_expired),
-        ("mgcp.not_offered", a.not_offered),
+        ("mgcp.unusable", agent.unusable),
+        ("mgcp.unknown_endpoint", agent.unknown_endpoint),
+        ("mgcp.late_answers", agent.late_answers),
+        ("mgcp.unanswered", agent.unanswered),
+        ("mgcp.lease_expired", agent.lease_expired),
+        ("mgcp.not_offered", agent.not_offered),
     ];
     rows.map(|(name, value)| (name.to_owned(), value)).to_vec()
 }
 
-/// The counters that are not 0, on one line.
+/// The nonzero counters, formatted on one line.
 pub fn line(table: &[(String, u64)]) -> String {
-    let told: Vec<String> = table.iter().filter(|c| c.1 > 0).map(|(n, v)| format!("{n}={v}")).collect();
-    told.join(" ")
+    let counters: Vec<String> =
+        table.iter().filter(|c| c.1 > 0).map(|(name, value)| format!("{name}={value}")).collect();
+    counters.join(" ")
 }
--- a/src/program/gossip.rs
+++ b/src/program/gossip.rs
@@ -1,5 +1,5 @@
-//! Gossip as a subsystem of the event loop: what happens to set-ups goes to the node, and what it comes to believe
-//! goes to the decision module as an event of its interface.
+//! Gossip as a subsystem of the event loop: reports the outcomes of set-ups to the gossip node, and passes the node's
+//! suspicions to the decision module through the module's event interface.
 
 use super::gossip_file::GossipConfig;
 use crate::routing::interface::{CallId, Cause, Ending, ExchangeNumber, Micros, PeerNumber};
@@ -11,34 +11,34 @@
 use walnuthatch_gossip::node::{self, Event, Node};
 use walnuthatch_gossip::{Exchange, MemberId, SECOND};
 
-/// First byte of a message that tells of groups, as the decision module has it.
+/// First byte of a message that lists trunk groups, as the decision module expects it from peers.
 const GROUPS_MESSAGE: u8 = 1;
-/// Numbers of members begin here, far from those of the platform's peers.
+/// The first peer number given to a gossip member; the platform's own peers are numbered from 0.
 const FIRST_MEMBER_NUMBER: u32 = 1 << 20;
 
-/// What is to be done.
+/// An action that the gossip subsystem requests from the event loop.
 #[derive(Debug)]
 pub enum Output {
     /// Send a datagram.
     Datagram(SocketAddr, Vec<u8>),
-    /// These exchanges are suspected, and no others.
+    /// Replace the set of suspected exchanges.
     SetSuspected(BTreeSet<ExchangeNumber>),
-    /// A message of a peer, bound to who sent it.
+    /// Pass on a message of an authenticated peer.
     PeerMessage(PeerNumber, Vec<u8>),
-    /// Something happened.
+    /// Record an event, given by its kind and text.
     Event(&'static str, String),
-    /// Come back then.
+    /// Call [`Gossip::handle_timer`] at this time.
     SetTimer(Micros),
 }
 
-/// The gossip's state.
+/// The state of the gossip subsystem.
 #[derive(Debug)]
 pub struct Gossip {
     node: Node,
-    /// Direct set-ups that are out, and where they went.
+    /// Pending set-ups over direct routes, and the exchange that each was sent to.
     direct_setups: BTreeMap<CallId, Exchange>,
     peer_numbers: BTreeMap<MemberId, PeerNumber>,
-    /// The groups of each member's exchange, by blocks of 64.
+    /// The trunk groups of each member's exchange: a bitmap of exchange numbers in blocks of 64.
     group_bitmaps: BTreeMap<(MemberId, u16), u64>,
     last_tick: Micros,
     next_timer: Micros,
@@ -50,11 +50,12 @@
 }
 
 impl Gossip {
-    /// A node that begins its life. The program's clock begins at the Unix time of its start.
+    /// Creates the gossip node. Program time starts at the Unix time of the start, so it also serves as the node's
+    /// start time.
     pub fn new(now: Micros, config: &GossipConfig, seed: u64) -> Gossip {
-        let unix = now.div_euclid(SECOND);
+        let unix_seconds = now.div_euclid(SECOND);
         Gossip {
-            node: Node::new(now, unix, config.node.clone(), config.ring.clone(), seed),
+            node: Node::new(now, unix_seconds, config.node.clone(), config.ring.clone(), seed),
             direct_setups: BTreeMap::new(),
             peer_numbers: BTreeMap::new(),
             group_bitmaps: BTreeMap::new(),
@@ -64,38 +65,38 @@
         }
     }
 
-    /// Takes over seeds, networks, ceilings and keys that were read anew.
+    /// Applies the seeds, networks, rate limits and keys of a reloaded configuration.
     pub fn reload(&mut self, config: &GossipConfig) {
         self.node.reload(config.node.clone());
         self.node.set_key_ring(config.ring.clone());
     }
 
-    /// Hears what the ledger does. Only set-ups that go direct are evidence of silence: what is lost over a tandem may
-    /// have been lost beyond it.
+    /// Reports an output of the ledger to the node. Only a timeout on a direct route counts as evidence against the
+    /// exchange: a set-up that times out over a tandem may have been lost beyond it.
     pub fn observe(&mut self, now: Micros, output: &LedgerOutput, ledger: &Ledger) {
         match output {
             LedgerOutput::SetUp { call, office, .. } => {
-                let leg = ledger.administrative_state().exchange_of(*office);
-                let to = ledger.offered_call(*call).map(|o| o.new_call.destination);
-                if let Some(leg) = leg.filter(|l| Some(*l) == to) {
-                    self.direct_setups.insert(*call, exchange(leg));
-                    self.node.set_up_sent(now, exchange(leg), u64::from(call.0));
+                let first_hop = ledger.administrative_state().exchange_of(*office);
+                let destination = ledger.offered_call(*call).map(|o| o.new_call.destination);
+                if let Some(first_hop) = first_hop.filter(|e| Some(*e) == destination) {
+                    self.direct_setups.insert(*call, exchange(first_hop));
+                    self.node.set_up_sent(now, exchange(first_hop), u64::from(call.0));
                 }
             }
             LedgerOutput::Answer {
                 call, answer: Answer::Established(_), last_attempt: Some(last), ..
             } => {
                 let direct = self.direct_setups.remove(call);
-                if let Some(leg) = last.exchange {
+                if let Some(first_hop) = last.exchange {
                     match direct {
                         Some(e) => self.node.set_up_answered(now, e, u64::from(call.0), last.setup_time),
-                        None => self.node.set_up_refused(now, exchange(leg), u64::from(call.0)),
+                        None => self.node.set_up_refused(now, exchange(first_hop), u64::from(call.0)),
                     }
                 }
             }
-            LedgerOutput::AttemptEnded { call, exchange: Some(leg), ending, cause } => {
+            LedgerOutput::AttemptEnded { call, exchange: Some(first_hop), ending, cause } => {
                 let direct = self.direct_setups.remove(call).is_some();
-                let (e, call) = (exchange(*leg), u64::from(call.0));
+                let (e, call) = (exchange(*first_hop), u64::from(call.0));
                 match (ending, cause) {
                     (Ending::Full | Ending::Fault, _) | (_, Cause::LinesBusy) => {
                         self.node.set_up_refused(now, e, call)
@@ -108,7 +109,7 @@
                     _ => self.node.set_up_abandoned(now, e, call),
                 }
             }
-            // Its caller left; an attempt that this side gave up is told to have ended besides.
+            // The caller left. Attempts that this controller cancelled are also reported as `AttemptEnded`.
             LedgerOutput::Clear { call, .. } if ledger.offered_call(*call).is_none() => {
                 if let Some(e) = self.direct_setups.remove(call) {
                     self.node.set_up_abandoned(now, e, u64::from(call.0));
@@ -119,13 +120,13 @@
         self.process_node_outputs(now);
     }
 
-    /// A datagram came.
+    /// Handles a datagram.
     pub fn datagram(&mut self, now: Micros, from: SocketAddr, body: &[u8]) {
         self.node.handle_datagram(now, from, body);
         self.process_node_outputs(now);
     }
 
-    /// Lets time pass.
+    /// Handles the timeouts that have expired, and once a second updates the state that the node announces.
     pub fn handle_timer(&mut self, now: Micros, ledger: &Ledger) {
         if now < self.next_timer {
             return;
@@ -143,13 +144,13 @@
         self.process_node_outputs(now);
     }
 
-    /// The program stops: the others are told.
+    /// Announces to the other members that this instance is leaving.
     pub fn leave(&mut self, now: Micros) {
         self.node.leave(now);
         self.process_node_outputs(now);
     }
 
-    /// What is to be done, in order.
+    /// Takes the requested actions, in order.
     pub fn take_outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.outputs)
     }
@@ -158,40 +159,41 @@
         for output in self.node.take_outputs() {
             match output {
                 node::Output::Send(to, bytes) => self.outputs.push(Output::Datagram(to, bytes)),
-                node::Output::Suspected(all) => {
-                    let all = all.into_iter().map(|e| ExchangeNumber(e.0)).collect();
-                    self.outputs.push(Output::SetSuspected(all));
+                node::Output::Suspected(suspected) => {
+                    let suspected = suspected.into_iter().map(|e| ExchangeNumber(e.0)).collect();
+                    self.outputs.push(Output::SetSuspected(suspected));
                 }
                 node::Output::Links { member, exchange, first, bits } => {
                     self.update_groups(member, exchange, first, bits);
                 }
-                node::Output::Event(news) => {
-                    let (kind, text) = event_text(&news);
+                node::Output::Event(event) => {
+                    let (kind, text) = event_text(&event);
                     self.outputs.push(Output::Event(kind, text));
                 }
             }
         }
-        let due = self.node.next_timeout().min(self.last_tick + SECOND).max(now + 1);
-        if due < self.next_timer || self.next_timer <= now {
-            self.next_timer = due;
-            self.outputs.push(Output::SetTimer(due));
+        let next = self.node.next_timeout().min(self.last_tick + SECOND).max(now + 1);
+        if next < self.next_timer || self.next_timer <= now {
+            self.next_timer = next;
+            self.outputs.push(Output::SetTimer(next));
         }
     }
 
-    /// The groups of a member's exchange, in the form that the decision module knows from its peers.
-    fn update_groups(&mut self, member: MemberId, own: Exchange, from: Exchange, bits: u64) {
-        // The form has room for some 2,000 exchanges; no site has more than 250.
-        if from.0 >= 1984 || !from.0.is_multiple_of(64) {
+    /// Updates one block of a member's trunk groups, and passes all of them to the decision module in the format of a
+    /// peer's message.
+    fn update_groups(&mut self, member: MemberId, own: Exchange, first: Exchange, bits: u64) {
+        // The message has room for about 2,000 exchanges; no site has more than 250.
+        if first.0 >= 1984 || !first.0.is_multiple_of(64) {
             return;
         }
         let number = PeerNumber(FIRST_MEMBER_NUMBER + self.peer_numbers.len() as u32);
         let number = *self.peer_numbers.entry(member).or_insert(number);
-        self.group_bitmaps.insert((member, from.0 / 64), bits);
+        self.group_bitmaps.insert((member, first.0 / 64), bits);
         let mut body = vec![GROUPS_MESSAGE];
         body.extend(own.0.to_be_bytes());
         for (&(_, block), bits) in self.group_bitmaps.range((member, 0)..=(member, u16::MAX)) {
             body.resize(3 + usize::from(block) * 8, 0);
-            // Bits are told with the highest first, and kept with the lowest first in each byte.
+            // The node numbers the bits from the highest one; the message numbers them from the lowest one of each byte.
             body.extend(bits.to_be_bytes().map(u8::reverse_bits));
         }
         self.outputs.push(Output::PeerMessage(number, body));
@@ -199,10 +201,10 @@
 
     // ---- Views ----
 
-    /// Counters.
+    /// The counters of the gossip subsystem.
     pub fn counters(&self) -> Vec<(String, u64)> {
         let c = self.node.counts();
-        let (reports, queue) = self.node.buffered_counts();
+        let (reports, queued) = self.node.buffered_counts();
         [
             ("gossip.sent", c.sent),
             ("gossip.sent_bytes", c.sent_bytes),
@@ -218,15 +220,15 @@
             ("gossip.deaths", c.deaths),
             ("gossip.contradicted", c.contradicted),
             ("gossip.reports", reports as u64),
-            ("gossip.to_pass_on", queue as u64),
+            ("gossip.to_pass_on", queued as u64),
         ]
         .map(|(name, n)| (name.to_owned(), n))
         .to_vec()
     }
 
-    /// The members.
+    /// A view of each member.
     pub fn peers(&self) -> Vec<views::Peer> {
-        let of = |(id, m): (MemberId, &walnuthatch_gossip::swim::Member)| views::Peer {
+        let view = |(id, m): (MemberId, &walnuthatch_gossip::swim::Member)| views::Peer {
             member: id.to_string(),
             address: m.address.to_string(),
             state: format!("{:?}", m.state.claim()).to_lowercase(),
@@ -234,48 +236,49 @@
             pressed: f64::from(m.load) / 255.0,
             trust: self.node.exchange_suspicions().trust(id),
         };
-        self.node.members.iter().map(of).collect()
+        self.node.members.iter().map(view).collect()
     }
 
-    /// The suspicions.
+    /// A view of each suspicion.
     pub fn suspicions(&self, now: Micros) -> Vec<views::Suspicion> {
-        let of = |(e, s): (Exchange, &walnuthatch_gossip::exchange_suspicion::Suspicion)| views::Suspicion {
-            exchange: e.0,
-            for_ms: u64::try_from((now - s.since) / 1000).unwrap_or(0),
-            weight: s.weight,
-            against: s.opposing_weight,
-            accusers: s.accusers.iter().map(ToString::to_string).collect(),
-            own: s.observed_locally,
-        };
-        self.node.exchange_suspicions().suspicions().map(of).collect()
+        let view =
+            |(e, s): (Exchange, &walnuthatch_gossip::exchange_suspicion::Suspicion)| views::Suspicion {
+                exchange: e.0,
+                for_ms: u64::try_from((now - s.since) / 1000).unwrap_or(0),
+                weight: s.weight,
+                against: s.opposing_weight,
+                accusers: s.accusers.iter().map(ToString::to_string).collect(),
+                own: s.observed_locally,
+            };
+        self.node.exchange_suspicions().suspicions().map(view).collect()
     }
 }
 
-/// Of which kind a piece of news is, and its words.
-fn event_text(news: &Event) -> (&'static str, String) {
-    match news {
+/// The kind and the text of an event.
+fn event_text(event: &Event) -> (&'static str, String) {
+    match event {
         Event::Member(u) => ("peer", format!("{} at {}: {:?}", u.id, u.address, u.claim).to_lowercase()),
         Event::NameTaken(at) => ("peer", format!("another instance has this one's name, at {at}")),
         Event::Conflict(id, at) => ("peer", format!("{id}: claimed from {at} too, and not believed")),
         Event::ExchangeSuspicion(Change::Suspected(e, s)) => {
-            let who: Vec<String> = s.accusers.iter().map(ToString::to_string).collect();
+            let accusers: Vec<String> = s.accusers.iter().map(ToString::to_string).collect();
             let own = if s.observed_locally { ", and this instance misses answers itself" } else { "" };
             let text = format!(
                 "exchange:{} is suspected: weight {:.2} against {:.2}, accused by {}{own}",
                 e.0,
                 s.weight,
                 s.opposing_weight,
-                who.join(" ")
+                accusers.join(" ")
             );
             ("belief", text)
         }
-        Event::ExchangeSuspicion(Change::Cleared(e, end)) => {
-            let why = match end {
+        Event::ExchangeSuspicion(Change::Cleared(e, reason)) => {
+            let reason = match reason {
                 EndReason::Answered => "it answered",
                 EndReason::InsufficientEvidence => "too little speaks against it",
                 EndReason::Displaced => "others are suspected with more weight",
             };
-            ("belief", format!("exchange:{} is suspected no more: {why}", e.0))
+            ("belief", format!("exchange:{} is suspected no more: {reason}", e.0))
         }
         Event::ExchangeSuspicion(Change::TrustUpdated(id, e, right, trust)) => {
             let word = if *right { "right" } else { "wrong" };
--- a/src/program/views.rs
+++ b/src/program/views.rs
@@ -1,5 +1,5 @@
-//! The state of the program as operators see it. Whoever shows it, the line console, the control socket or an
-//! alarm, has it from here; nothing here changes anything.
+//! Read-only views of the program's state for operators: the single source for the line console, the control socket
+//! and the alarms.
 
 use super::config::Config;
 use super::event_loop::GATEWAY_FRONTEND;
@@ -12,38 +12,38 @@
 use walnuthatch_control::views::{Call, Exchange, Status};
 use walnuthatch_drains::target::{self, Health, Load, Neighbour, Site, Target};
 
-/// Calls shown at most.
+/// Maximum number of calls in a view.
 pub const MAX_LISTED_CALLS: usize = 500;
 
-/// All that views are made of.
+/// References to the program's state at one time, from which all views are made.
 pub struct Snapshot<'a> {
-    /// The time.
+    /// The current time.
     pub now: Micros,
     /// When the program started.
     pub started_at: Micros,
-    /// What it was told.
+    /// The configuration in force.
     pub config: &'a Config,
-    /// The calls.
+    /// The calls and the state of the exchanges.
     pub ledger: &'a Ledger,
-    /// The connections toward exchanges.
+    /// The connections to exchanges.
     pub upstream: &'a UpstreamConnections,
-    /// The gateways.
+    /// The call agent of the gateways, if enabled.
     pub agent: Option<&'a Agent>,
-    /// Gossip.
+    /// The gossip subsystem, if enabled.
     pub gossip: Option<&'a Gossip>,
-    /// Connections that there are.
+    /// The number of open connections.
     pub connections: usize,
-    /// Deadlines that wait.
+    /// The number of timers that are set.
     pub timers: usize,
-    /// It was asked to stop.
+    /// Whether a shutdown is in progress.
     pub stopping: bool,
-    /// Its tests fail by order.
+    /// Whether health probes fail because the console command `drain` was given.
     pub draining: bool,
-    /// All counters.
+    /// Returns all counters.
     pub counters: Box<dyn Fn() -> Vec<(String, u64)> + 'a>,
 }
 
-/// How a state on the list is called.
+/// The name of a state on the exchange list.
 pub fn list_state_name(state: ListState) -> &'static str {
     match state {
         ListState::Ready => "ready",
@@ -57,7 +57,7 @@
 }
 
 impl Snapshot<'_> {
-    /// In one word.
+    /// The state of the program, in one word.
     pub fn state(&self) -> &'static str {
         match (self.stopping, self.draining) {
             (true, _) => "stopping",
@@ -67,11 +67,11 @@
         }
     }
 
-    /// In short; alarms, drains and the like are filled in by whoever has them.
+    /// The status of the program; the appliance fills in alarms, drains and its other fields.
     pub fn status(&self) -> Status {
         let count = |state: Option<ListState>| {
-            let offices = self.ledger.administrative_state().offices();
-            offices.filter(|o| state.is_none_or(|s| o.0.state == s)).count()
+            let exchanges = self.ledger.administrative_state().offices();
+            exchanges.filter(|o| state.is_none_or(|s| o.0.state == s)).count()
         };
         Status {
             name: self.config.name.clone(),
@@ -89,49 +89,59 @@
         }
     }
 
-    /// The machines on the list and the gateways, in the order of their exchanges. Figures of set-ups are filled in
-    /// by whoever has them.
+    /// The machines on the exchange list and the gateways, in the order of their exchanges. The appliance fills in the
+    /// metrics of set-ups.
     pub fn exchanges(&self) -> Vec<Exchange> {
         let loads = self.site_load();
-        let figures: BTreeMap<ExchangeId, _> = self.ledger.administrative_state().group_circuits().collect();
-        let of =
-            |office: &ExchangeId, exchange: ExchangeNumber, name: &str, address: String, state, connected| {
-                let known = figures.get(office);
-                let Load { pending_setups: out, established: standing } =
-                    loads.load(Target::Group(target::Exchange(exchange.0)));
-                Exchange {
-                    exchange: exchange.0,
-                    member: name.to_owned(),
-                    address,
-                    listed: list_state_name(state).to_owned(),
-                    connected,
-                    free: known.map(|f| f.0),
-                    size: known.map(|f| f.1),
-                    out,
-                    standing,
-                    report_age_ms: known.map(|f| ms(self.now - f.2)),
-                    ..Exchange::default()
-                }
-            };
+        let circuits: BTreeMap<ExchangeId, _> = self.ledger.administrative_state().group_circuits().collect();
+        let view = |exchange_id: &ExchangeId,
+                    exchange: ExchangeNumber,
+                    name: &str,
+                    address: String,
+                    state,
+                    connected| {
+            let known = circuits.get(exchange_id);
+            let Load { pending_setups: out, established: standing } =
+                loads.load(Target::Group(target::Exchange(exchange.0)));
+            Exchange {
+                exchange: exchange.0,
+                member: name.to_owned(),
+                address,
+                listed: list_state_name(state).to_owned(),
+                connected,
+                free: known.map(|f| f.0),
+                size: known.map(|f| f.1),
+                out,
+                standing,
+                report_age_ms: known.map(|f| ms(self.now - f.2)),
+                ..Exchange::default()
+            }
+        };
         let list = self.ledger.administrative_state();
-        let links = self.upstream.views().filter_map(|(office, place, state, up)| {
-            let exchange = list.exchange_of(office)?;
-            Some(of(&office, exchange, &place.member, place.address.to_string(), state, up))
+        let machines = self.upstream.views().filter_map(|(exchange_id, place, state, connected)| {
+            let exchange = list.exchange_of(exchange_id)?;
+            Some(view(&exchange_id, exchange, &place.member, place.address.to_string(), state, connected))
         });
         let gateways = self.agent.iter().flat_map(|a| a.views().zip(a.entries()));
-        let gateways = gateways.map(|((name, state, free, all), e)| {
-            let mut x =
-                of(&e.exchange_id, e.exchange, name, "gateway".to_owned(), state, state == ListState::Ready);
-            (x.free, x.size) = (Some(free as f64), Some(all as f64));
-            x
+        let gateways = gateways.map(|((name, state, free, total), e)| {
+            let mut view = view(
+                &e.exchange_id,
+                e.exchange,
+                name,
+                "gateway".to_owned(),
+                state,
+                state == ListState::Ready,
+            );
+            (view.free, view.size) = (Some(free as f64), Some(total as f64));
+            view
         });
-        let mut all: Vec<Exchange> = links.chain(gateways).collect();
+        let mut all: Vec<Exchange> = machines.chain(gateways).collect();
         all.sort_by(|a, b| (a.exchange, &a.member).cmp(&(b.exchange, &b.member)));
         all
     }
 
-    /// The calls that contain a text, oldest first, and how many there are in all.
-    pub fn calls(&self, search: &str, most: usize) -> (Vec<Call>, usize) {
+    /// The calls whose line contains the search text, oldest first, and the total number of calls.
+    pub fn calls(&self, search: &str, limit: usize) -> (Vec<Call>, usize) {
         let view = |v: CallView| Call {
             call: v.call.0,
             front: if v.frontend == GATEWAY_FRONTEND { "gateway" } else { "lines" }.to_owned(),
@@ -140,18 +150,18 @@
             over: v.exchange.map(|e| e.0),
             for_ms: ms(self.now - v.since),
         };
-        let fits = |c: &Call| search.is_empty() || call_line(c).contains(search);
-        let found = self.ledger.call_views().map(view).filter(fits).take(most).collect();
+        let matches = |c: &Call| search.is_empty() || call_line(c).contains(search);
+        let found = self.ledger.call_views().map(view).filter(matches).take(limit).collect();
         (found, self.ledger.open_calls() + self.ledger.established_calls())
     }
 
-    /// What is at each exchange.
+    /// The calls at each exchange.
     pub fn site_load(&self) -> SiteLoad<'_> {
         SiteLoad { snapshot: self, loads: self.ledger.call_loads(), links: None, health: Health::default() }
     }
 }
 
-/// A call on one line.
+/// Formats a call on one line.
 pub fn call_line(c: &Call) -> String {
     let over = match c.over {
         Some(over) if over != c.destination => format!(" over {over}"),
@@ -163,7 +173,7 @@
     )
 }
 
-/// The site as drains see it.
+/// The site as the drain registry sees it.
 pub struct SiteLoad<'a> {
     snapshot: &'a Snapshot<'a>,
     loads: BTreeMap<(ExchangeNumber, ExchangeNumber), (u32, u32)>,
@@ -172,7 +182,7 @@
 }
 
 impl<'a> SiteLoad<'a> {
-    /// With what is known of the groups between other exchanges, and how calls fare.
+    /// Adds the known trunk groups between other exchanges, and the current health of calls.
     pub fn with_links_and_health(
         self,
         links: &'a BTreeSet<(ExchangeNumber, ExchangeNumber)>,
@@ -181,28 +191,31 @@
         SiteLoad { links: Some(links), health, ..self }
     }
 
-    /// Calls that stand, by first leg and destination.
+    /// Established calls, by first hop and destination.
     pub fn established(&self) -> impl Iterator<Item = (ExchangeNumber, ExchangeNumber, u32)> + '_ {
-        self.loads.iter().filter(|l| l.1 .1 > 0).map(|(&(leg, to), l)| (leg, to, l.1))
+        self.loads
+            .iter()
+            .filter(|l| l.1 .1 > 0)
+            .map(|(&(first_hop, destination), l)| (first_hop, destination, l.1))
     }
 }
 
 impl Site for SiteLoad<'_> {
     fn load(&self, target: Target) -> Load {
         if target == Target::Controller {
-            let of = |n: usize| u32::try_from(n).unwrap_or(u32::MAX);
+            let count = |n: usize| u32::try_from(n).unwrap_or(u32::MAX);
             return Load {
-                pending_setups: of(self.snapshot.ledger.open_calls()),
-                established: of(self.snapshot.ledger.established_calls()),
+                pending_setups: count(self.snapshot.ledger.open_calls()),
+                established: count(self.snapshot.ledger.established_calls()),
             };
         }
-        let at = |leg: ExchangeNumber, to: ExchangeNumber| match target {
-            // A call over a tandem is at its destination too.
-            Target::Exchange(e) => leg.0 == e.0 || to.0 == e.0,
-            Target::Group(e) => leg.0 == e.0,
+        let counts = |first_hop: ExchangeNumber, destination: ExchangeNumber| match target {
+            // A call over a tandem also counts at its destination.
+            Target::Exchange(e) => first_hop.0 == e.0 || destination.0 == e.0,
+            Target::Group(e) => first_hop.0 == e.0,
             Target::Controller => true,
         };
-        let found = self.loads.iter().filter(|(&(leg, to), _)| at(leg, to));
+        let found = self.loads.iter().filter(|(&(first_hop, destination), _)| counts(first_hop, destination));
         found.fold(Load::default(), |sum, (_, l)| Load {
             pending_setups: sum.pending_setups + l.0,
             established: sum.established + l.1,
@@ -217,7 +230,7 @@
         {
             let ready = e.state == ListState::Ready;
             let n = Neighbour { exchange: target::Exchange(e.exchange.0), ready, group };
-            // Of an old machine and its replacement the one that is in service counts.
+            // Of a machine and its replacement, the one in service counts.
             if ready || !all.contains_key(&e.exchange) {
                 all.insert(e.exchange, n);
             }
