--- a/src/program/appliance.rs
+++ b/src/program/appliance.rs
@@ -1,8 +1,8 @@
-//! The appliance: drains, figures, alarms and operators' programs, as one subsystem of the event loop.
+//! The appliance: drains, metrics, alarms and operators' sessions, as one subsystem of the event loop.
 //!
-//! It is told what happens ([`Appliance::observe`], [`Appliance::take`], [`Appliance::look`]) and says what is to be
-//! done ([`Appliance::take_outputs`]). It decides nothing about a call: what is out of service reaches the decision
-//! module through the ledger, as an event of its interface.
+//! It receives events ([`Appliance::observe`], [`Appliance::handle_control_event`], [`Appliance::handle_timer`]) and
+//! requests actions ([`Appliance::take_outputs`]). It makes no decision about a call: out-of-service state reaches the
+//! decision module through the ledger, as an event of the module's interface.
 
 use super::alarms::{self, Thresholds};
 use super::appliance_file::ApplianceConfig;
@@ -29,31 +29,31 @@
 use walnuthatch_metrics::delays::{MetricsByExchange, Quantiles, RollingHistogram};
 use walnuthatch_metrics::service::{CallOutcome, ServiceWindows, OUTCOMES, WINDOWS};
 
-/// Events kept for whoever asks later.
+/// Number of past events kept for operators that ask later.
 const MAX_KEPT_EVENTS: usize = 512;
-/// Bytes handed to one connection at a time.
-const MAX_BATCH_BYTES: usize = 64 * 1024;
-/// Seconds of history in the view of the service.
+/// No further frame is added to a batch for a connection once the batch has this many bytes.
+const BATCH_BYTES: usize = 64 * 1024;
+/// Length of the history in the service view, in seconds.
 const HISTORY_SECONDS: usize = 60;
 
-/// What is to be done.
+/// An action that the appliance requests from the event loop.
 #[derive(Debug)]
 pub enum Output {
-    /// This is out of service from now on.
+    /// Replace the set of exchanges and groups that are out of service.
     SetOutOfService(OutOfService),
-    /// Release the calls that stand there.
+    /// Cut the established calls at this target.
     CutCalls(Target),
-    /// Bring groups back a little more.
+    /// Advance the gradual return of restored groups by one step.
     RampRestoredGroups,
-    /// Write the state.
+    /// Write the state with this number to the state folder.
     Save(u64, Box<Saved>),
-    /// Stop the program.
+    /// Shut the program down.
     Stop,
-    /// Come back then.
+    /// Call [`Appliance::handle_timer`] at this time.
     SetTimer(Micros),
 }
 
-/// The appliance's state.
+/// The state of the appliance.
 pub struct Appliance {
     registry: DrainRegistry,
     traffic: Traffic,
@@ -62,10 +62,12 @@
     exchange_metrics: MetricsByExchange,
     alarms: Alarms,
     thresholds: Thresholds,
+    /// Configured trunk groups between other exchanges.
     links: BTreeSet<(ExchangeNumber, ExchangeNumber)>,
     sessions: Sessions,
-    /// One message at a time may be on its way to each program.
+    /// The queue to each client's connection; it holds at most one piece of data.
     write_queues: HashMap<ClientId, Sender<Vec<u8>>>,
+    /// Clients that wait for the answer to an order, with the id of their request.
     waiters: BTreeMap<WaiterId, (ClientId, String)>,
     next_waiter: WaiterId,
     events: VecDeque<Event>,
@@ -73,10 +75,11 @@
     log: Option<Rc<Log>>,
     log_lost: u64,
     has_state_folder: bool,
+    /// The number of abandoned calls already counted in the service windows.
     abandoned: u64,
-    /// The second that was last looked at.
+    /// When the work of each second was last done.
     last_second: Micros,
-    /// When it is to be looked at next.
+    /// The expiry time of the earliest timer that was requested.
     next_timer: Micros,
     outputs: Vec<Output>,
 }
@@ -87,8 +90,8 @@
     }
 }
 
-fn exchanges(of: &BTreeSet<Exchange>) -> BTreeSet<ExchangeNumber> {
-    of.iter().map(|e| ExchangeNumber(e.0)).collect()
+fn exchange_numbers(exchanges: &BTreeSet<Exchange>) -> BTreeSet<ExchangeNumber> {
+    exchanges.iter().map(|e| ExchangeNumber(e.0)).collect()
 }
 
 fn millis(span: Micros) -> f64 {
@@ -100,19 +103,23 @@
 }
 
 impl Appliance {
-    /// The appliance at the start, with the state of an earlier life.
+    /// Creates the appliance, with the state that an earlier run saved.
     pub fn new(
         now: Now,
         config: &ApplianceConfig,
-        own: Option<ExchangeNumber>,
+        own_exchange: Option<ExchangeNumber>,
         drain_grace: Micros,
         saved: Option<Saved>,
         log: Option<Rc<Log>>,
     ) -> Self {
         let policy = walnuthatch_drains::policy::Policy { grace: drain_grace, ..config.policy.clone() };
         let has_state_folder = config.folder.is_some();
-        let mut registry =
-            DrainRegistry::new(policy, config.windows.clone(), own.map(|o| Exchange(o.0)), has_state_folder);
+        let mut registry = DrainRegistry::new(
+            policy,
+            config.windows.clone(),
+            own_exchange.map(|e| Exchange(e.0)),
+            has_state_folder,
+        );
         if let Some(saved) = saved {
             registry.resume(now, saved);
         }
@@ -143,29 +150,29 @@
         appliance
     }
 
-    /// Takes over what a running program can follow.
+    /// Applies the settings of a reloaded configuration that can change at run time.
     pub fn reload(&mut self, config: &ApplianceConfig, drain_grace: Micros) {
         let policy = walnuthatch_drains::policy::Policy { grace: drain_grace, ..config.policy.clone() };
         self.registry.reload(policy, config.windows.clone());
         self.thresholds = config.alarms;
         self.links.clone_from(&config.links);
         if let (Some(log), Some(filter)) = (&self.log, &config.log_filter) {
-            // It was checked when the file was read.
+            // The filter was validated when the file was read.
             let _ = log.set(filter);
         }
     }
 
-    /// What is to be done, in order.
+    /// Takes the requested actions, in order.
     pub fn take_outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.outputs)
     }
 
-    /// Whether this controller's tests fail by order.
+    /// Whether health probes fail because this controller is drained.
     pub fn fails_health_checks(&self) -> bool {
         self.registry.out_of_service().fail_health_checks
     }
 
-    /// Counters of its own.
+    /// The counters of the appliance.
     pub fn counters(&self) -> Vec<(String, u64)> {
         let c = self.sessions.counts();
         [
@@ -182,9 +189,9 @@
         .to_vec()
     }
 
-    // ---- What happens ----
+    // ---- Events ----
 
-    /// Hears what the ledger does.
+    /// Records an output of the ledger in the metrics.
     pub fn observe(
         &mut self,
         now: Micros,
@@ -194,35 +201,38 @@
     ) {
         match output {
             LedgerOutput::SetUp { call, office, .. } => {
-                let leg = ledger.administrative_state().exchange_of(*office);
-                let Some((leg, offer)) = leg.zip(ledger.offered_call(*call)) else { return };
-                self.traffic.record_setup(now, Exchange(offer.new_call.destination.0), Exchange(leg.0));
-                if let Some(e) = self.exchange_metrics.entry(leg.0) {
+                let first_hop = ledger.administrative_state().exchange_of(*office);
+                let Some((first_hop, offer)) = first_hop.zip(ledger.offered_call(*call)) else { return };
+                self.traffic.record_setup(now, Exchange(offer.new_call.destination.0), Exchange(first_hop.0));
+                if let Some(e) = self.exchange_metrics.entry(first_hop.0) {
                     e.record_attempt(now);
                 }
             }
-            LedgerOutput::AttemptEnded { exchange: Some(leg), .. } => {
-                if let Some(e) = self.exchange_metrics.entry(leg.0) {
+            LedgerOutput::AttemptEnded { exchange: Some(first_hop), .. } => {
+                if let Some(e) = self.exchange_metrics.entry(first_hop.0) {
                     e.unsuccessful_attempts += 1;
                 }
             }
-            LedgerOutput::Answer {
-                call, answer, offered_at: taken, destination, last_attempt: last, ..
-            } => {
-                self.answer_times.record(now, now - taken);
+            LedgerOutput::Answer { call, answer, offered_at, destination, last_attempt, .. } => {
+                self.answer_times.record(now, now - offered_at);
                 let outcome = match answer {
                     Answer::Failed => CallOutcome::Failed,
-                    Answer::Refused { .. } => self.refusal_outcome(*destination, *last),
+                    Answer::Refused { .. } => self.refusal_outcome(*destination, *last_attempt),
                     Answer::Established(_) => {
-                        if let Some(LastAttempt { exchange: Some(leg), setup_time: took, .. }) = last {
-                            self.traffic.record_established(now, Exchange(destination.0), Exchange(leg.0));
-                            if let Some(e) = self.exchange_metrics.entry(leg.0) {
-                                e.setup_times.record(now, *took);
+                        if let Some(LastAttempt { exchange: Some(first_hop), setup_time, .. }) = last_attempt
+                        {
+                            self.traffic.record_established(
+                                now,
+                                Exchange(destination.0),
+                                Exchange(first_hop.0),
+                            );
+                            if let Some(e) = self.exchange_metrics.entry(first_hop.0) {
+                                e.setup_times.record(now, *setup_time);
                             }
                         }
                         let class = ledger.offered_call(*call).map_or(0, |o| o.new_call.class);
                         let latency_objective = latency_objectives.get(class).copied().unwrap_or(Micros::MAX);
-                        if now - taken <= latency_objective {
+                        if now - offered_at <= latency_objective {
                             CallOutcome::WithinObjective
                         } else {
                             CallOutcome::Late
@@ -235,11 +245,15 @@
         }
     }
 
-    /// Why a call was refused, as far as its last attempt, or the lack of one, tells.
-    fn refusal_outcome(&self, destination: ExchangeNumber, last: Option<LastAttempt>) -> CallOutcome {
-        let w = self.registry.out_of_service();
-        match last.and_then(|l| l.failure) {
-            _ if w.refuse_new_calls || w.exchanges.contains(&Exchange(destination.0)) => CallOutcome::Drained,
+    /// The outcome of a refused call, derived from its last attempt, or from the lack of one.
+    fn refusal_outcome(&self, destination: ExchangeNumber, last_attempt: Option<LastAttempt>) -> CallOutcome {
+        let out_of_service = self.registry.out_of_service();
+        match last_attempt.and_then(|a| a.failure) {
+            _ if out_of_service.refuse_new_calls
+                || out_of_service.exchanges.contains(&Exchange(destination.0)) =>
+            {
+                CallOutcome::Drained
+            }
             Some((_, Cause::NoCircuit)) => CallOutcome::NoCircuit,
             Some((_, Cause::ProcessorFull(_) | Cause::FarProcessorFull)) => CallOutcome::ProcessorFull,
             Some((_, Cause::TurnedBack)) => CallOutcome::TurnedBack,
@@ -251,27 +265,27 @@
         }
     }
 
-    /// Takes news of the control socket or of the state folder.
-    pub fn handle_control_event(&mut self, now: Now, news: ControlNews, snapshot: &Snapshot<'_>) {
-        match news {
+    /// Handles an event of the control socket or of the state folder.
+    pub fn handle_control_event(&mut self, now: Now, event: ControlNews, snapshot: &Snapshot<'_>) {
+        match event {
             ControlNews::Opened(client, queue) => {
                 self.write_queues.insert(client, queue);
                 self.sessions.opened(now.steady, client);
             }
             ControlNews::Bytes(client, bytes) => {
-                for asked in self.sessions.receive(now.steady, client, &bytes) {
-                    self.handle_request(now, asked, snapshot);
+                for request in self.sessions.receive(now.steady, client, &bytes) {
+                    self.handle_request(now, request, snapshot);
                 }
             }
             ControlNews::Wrote(client) => self.send_pending(client),
             ControlNews::Closed(client) => {
-                // The one place where a connection is given back. Orders that came on it go on.
+                // The only place that removes a connection. Orders that came on it continue.
                 self.write_queues.remove(&client);
                 self.sessions.closed(client);
                 self.waiters.retain(|_, w| w.0 != client);
             }
-            ControlNews::Saved(n, how) => {
-                self.registry.save_finished(now, n, how);
+            ControlNews::Saved(number, result) => {
+                self.registry.save_finished(now, number, result);
                 self.process_registry_outputs(now);
             }
         }
@@ -279,18 +293,18 @@
         self.schedule(now);
     }
 
-    /// Lets time pass.
+    /// Evaluates drains, alarms and due views, as far as their time has come.
     pub fn handle_timer(&mut self, now: Now, snapshot: &Snapshot<'_>) {
-        // Deadlines that an earlier one has overtaken mean nothing.
+        // A timer that was superseded is ignored.
         if now.steady < self.next_timer {
             return;
         }
-        let whole = now.steady - self.last_second >= SECOND;
-        if whole || !self.is_idle() {
+        let second_elapsed = now.steady - self.last_second >= SECOND;
+        if second_elapsed || !self.is_idle() {
             let links = std::mem::take(&mut self.links);
             let site = snapshot.site_load().with_links_and_health(&links, self.health());
             self.registry.evaluate(now, &self.traffic, &site);
-            if whole {
+            if second_elapsed {
                 self.run_each_second(now, snapshot, &site);
             }
             drop(site);
@@ -304,11 +318,19 @@
         self.schedule(now);
     }
 
+    /// Does the work of each second: advances the metrics, evaluates the alarms, and continues the return of restored
+    /// groups.
     fn run_each_second(&mut self, now: Now, snapshot: &Snapshot<'_>, site: &SiteLoad<'_>) {
-        let span = now.steady - self.last_second;
+        let elapsed = now.steady - self.last_second;
         self.last_second = now.steady;
-        for (leg, to, calls) in site.established() {
-            self.traffic.record_held(now.steady, Exchange(to.0), Exchange(leg.0), calls, span);
+        for (first_hop, destination, calls) in site.established() {
+            self.traffic.record_held(
+                now.steady,
+                Exchange(destination.0),
+                Exchange(first_hop.0),
+                calls,
+                elapsed,
+            );
         }
         let abandoned = snapshot.ledger.counts().abandoned;
         (self.abandoned..abandoned).for_each(|_| self.service.record(now.steady, CallOutcome::Abandoned));
@@ -316,34 +338,41 @@
         self.service.advance(now.steady);
         self.answer_times.advance(now.steady);
         self.exchange_metrics.advance(now.steady);
-        let list: BTreeSet<u16> = site.neighbours().iter().map(|n| n.exchange.0).collect();
-        self.exchange_metrics.retain(|e| list.contains(&e));
+        let listed: BTreeSet<u16> = site.neighbours().iter().map(|n| n.exchange.0).collect();
+        self.exchange_metrics.retain(|e| listed.contains(&e));
         let lost = self.log.as_ref().map_or(0, |l| l.lost());
         if lost > self.log_lost {
-            tracing::warn!(lines = lost - self.log_lost, "log lines were lost: nobody read them in time");
+            tracing::warn!(
+                lines = lost - self.log_lost,
+                "log lines were lost: they were not written fast enough"
+            );
             self.log_lost = lost;
         }
         let observations =
             alarms::evaluate(&self.thresholds, snapshot, &self.service, &self.registry, now.wall);
-        let keys: BTreeSet<_> = observations.iter().map(|l| l.key.clone()).collect();
+        let keys: BTreeSet<_> = observations.iter().map(|o| o.key.clone()).collect();
         let mut changes = self.alarms.retain(now.steady, |k| keys.contains(k));
-        for l in observations {
-            changes.extend(self.alarms.evaluate(now.steady, l.key, l.value, l.rule, || l.text));
+        for o in observations {
+            changes.extend(self.alarms.evaluate(now.steady, o.key, o.value, o.rule, || o.text));
         }
         for change in changes {
             match change {
                 AlarmChange::Raised(key, alarm) => {
                     self.publish_event(now, "alarm", format!("raised: {key}: {}", alarm.text));
                 }
-                AlarmChange::Cleared(key, after) => {
-                    self.publish_event(now, "alarm", format!("cleared: {key}, after {} s", seconds(after)));
+                AlarmChange::Cleared(key, duration) => {
+                    self.publish_event(
+                        now,
+                        "alarm",
+                        format!("cleared: {key}, after {} s", seconds(duration)),
+                    );
                 }
             }
         }
         self.outputs.push(Output::RampRestoredGroups);
     }
 
-    /// How calls fare that are not for what is drained.
+    /// The health of the calls that are not refused because of a drain.
     fn health(&self) -> Health {
         let short = self.service.windows()[0];
         let answered = short.answered() - short.get(CallOutcome::Drained);
@@ -355,48 +384,49 @@
         Health { answered, good_share }
     }
 
-    // ---- What follows ----
+    // ---- Outputs ----
 
-    /// Nothing is drained, and no round is under way.
+    /// Whether no drain and no round is in progress.
     fn is_idle(&self) -> bool {
         self.registry.drains().is_empty() && self.registry.plan().is_none_or(Plan::is_stopped)
     }
 
+    /// Requests a timer for the next time at which there is work, unless an earlier one is set.
     fn schedule(&mut self, now: Now) {
         let views = self.sessions.next_view_due().unwrap_or(Micros::MAX);
         let drains = if self.is_idle() { Micros::MAX } else { self.registry.next_evaluation(now) };
-        let want = views.min(drains).min(self.last_second + SECOND).max(now.steady + 1);
-        if want < self.next_timer || self.next_timer <= now.steady {
-            self.next_timer = want;
-            self.outputs.push(Output::SetTimer(want));
+        let next = views.min(drains).min(self.last_second + SECOND).max(now.steady + 1);
+        if next < self.next_timer || self.next_timer <= now.steady {
+            self.next_timer = next;
+            self.outputs.push(Output::SetTimer(next));
         }
     }
 
     fn process_registry_outputs(&mut self, now: Now) {
         for output in self.registry.take_outputs() {
             match output {
-                registry::Output::Save(n, saved) => self.outputs.push(Output::Save(n, saved)),
+                registry::Output::Save(number, saved) => self.outputs.push(Output::Save(number, saved)),
                 registry::Output::Answer(waiter, answer) => {
                     let Some((client, id)) = self.waiters.remove(&waiter) else { continue };
-                    let what = match answer.done {
+                    let result = match answer.done {
                         true => Ok(Body::Done { order: answer.order.unwrap_or(0), text: answer.text }),
                         false => Err(answer.text),
                     };
-                    self.sessions.reply(client, id, what);
+                    self.sessions.reply(client, id, result);
                 }
-                registry::Output::SetOutOfService(w) => {
+                registry::Output::SetOutOfService(state) => {
                     self.outputs.push(Output::SetOutOfService(OutOfService {
-                        exchanges: exchanges(&w.exchanges),
-                        groups: exchanges(&w.groups),
-                        controller: w.refuse_new_calls,
+                        exchanges: exchange_numbers(&state.exchanges),
+                        groups: exchange_numbers(&state.groups),
+                        controller: state.refuse_new_calls,
                     }))
                 }
                 registry::Output::Cut(target) => {
                     self.publish_event(now, "drain", format!("{target}: the calls that are left are cut"));
                     self.outputs.push(Output::CutCalls(target));
                 }
-                registry::Output::Event(news) => {
-                    let (kind, text) = event_text(&news);
+                registry::Output::Event(event) => {
+                    let (kind, text) = event_text(&event);
                     self.publish_event(now, kind, text);
                 }
             }
@@ -408,7 +438,7 @@
         for output in self.sessions.take_outputs() {
             match output {
                 sessions::Output::Ready(client) => self.send_pending(client),
-                // What waits is sent, and then the queue has no more to give.
+                // Sends what is pending; the connection closes once its queue is drained.
                 sessions::Output::Close(client) => {
                     self.send_pending(client);
                     if let Some(queue) = self.write_queues.get(&client) {
@@ -424,22 +454,22 @@
         }
     }
 
-    /// Hands a connection what waits for it, if nothing is on its way there.
+    /// Passes the pending messages of a client to its connection, if that has taken the previous piece.
     fn send_pending(&mut self, client: ClientId) {
         let Some(queue) = self.write_queues.get(&client).filter(|q| q.is_empty()) else { return };
         let mut bytes = Vec::new();
         while let Some(frame) =
-            (bytes.len() < MAX_BATCH_BYTES).then(|| self.sessions.next_message(client)).flatten()
+            (bytes.len() < BATCH_BYTES).then(|| self.sessions.next_message(client)).flatten()
         {
             bytes.extend(frame);
         }
         if !bytes.is_empty() {
-            // There is room: this is the only one who puts in.
+            // The queue has room: this is its only sender, and it was empty.
             let _ = queue.try_send(bytes);
         }
     }
 
-    /// Something happened in another subsystem.
+    /// Records an event of another subsystem.
     pub fn record_event(&mut self, now: Micros, wall: Micros, kind: &str, text: String) {
         self.publish_event(Now::new(now, wall), kind, text);
         self.process_session_outputs();
@@ -463,26 +493,26 @@
 
     // ---- Requests ----
 
-    fn handle_request(&mut self, now: Now, asked: PendingRequest, snapshot: &Snapshot<'_>) {
-        let PendingRequest { client, request } = asked;
-        let who = if request.who.is_empty() { "unknown".to_owned() } else { request.who };
+    fn handle_request(&mut self, now: Now, pending: PendingRequest, snapshot: &Snapshot<'_>) {
+        let PendingRequest { client, request } = pending;
+        let operator = if request.who.is_empty() { "unknown".to_owned() } else { request.who };
         let id = request.id;
         let target = |text: &str| text.parse::<Target>().map_err(|e| e.to_string());
-        let what = match request.operation {
+        let result = match request.operation {
             Operation::Show { topic, search } => Ok(self.topic_body(now, topic, &search, snapshot)),
             Operation::Audit => Ok(self.audit()),
             Operation::Config => Ok(Body::Text { text: snapshot.config.summary() }),
             Operation::Cost { target: text } => target(&text).map(|t| self.cost(now, t, snapshot)),
-            Operation::Log { filter } => self.set_log(now, &who, filter),
-            Operation::Seen { alarm } => match self.alarms.acknowledge(&alarm, &who) {
+            Operation::Log { filter } => self.set_log(now, &operator, filter),
+            Operation::Seen { alarm } => match self.alarms.acknowledge(&alarm, &operator) {
                 true => {
-                    self.publish_event(now, "alarm", format!("seen by {who}: {alarm}"));
-                    Ok(Body::Text { text: format!("{alarm}: seen by {who}") })
+                    self.publish_event(now, "alarm", format!("seen by {operator}: {alarm}"));
+                    Ok(Body::Text { text: format!("{alarm}: seen by {operator}") })
                 }
                 false => Err(format!("alarm: {alarm:?} is not raised")),
             },
             Operation::Stop => {
-                self.publish_event(now, "program", format!("{who} stops the controller"));
+                self.publish_event(now, "program", format!("{operator} stops the controller"));
                 self.outputs.push(Output::Stop);
                 Ok(Body::Text { text: "stopping".to_owned() })
             }
@@ -496,13 +526,20 @@
                         frames::AtLimit::Cut => AtLimit::Cut,
                     };
                     let command = Command::Drain { target, reason, limit, at_limit, force };
-                    return self.submit_order(now, client, id, who, command, snapshot);
+                    return self.submit_order(now, client, id, operator, command, snapshot);
                 }
             },
             Operation::Undrain { target: text } => match target(&text) {
                 Err(e) => Err(e),
                 Ok(target) => {
-                    return self.submit_order(now, client, id, who, Command::Undrain { target }, snapshot)
+                    return self.submit_order(
+                        now,
+                        client,
+                        id,
+                        operator,
+                        Command::Undrain { target },
+                        snapshot,
+                    )
                 }
             },
             Operation::Round { targets, reason, pause_s } => {
@@ -511,16 +548,16 @@
                     Ok(targets) => {
                         let pause = pause_s.map(|s| Micros::from(s) * SECOND);
                         let command = Command::Round { targets, reason, pause };
-                        return self.submit_order(now, client, id, who, command, snapshot);
+                        return self.submit_order(now, client, id, operator, command, snapshot);
                     }
                 }
             }
-            Operation::Next => return self.submit_order(now, client, id, who, Command::Next, snapshot),
-            Operation::Halt => return self.submit_order(now, client, id, who, Command::Halt, snapshot),
-            // Sessions answer these themselves.
+            Operation::Next => return self.submit_order(now, client, id, operator, Command::Next, snapshot),
+            Operation::Halt => return self.submit_order(now, client, id, operator, Command::Halt, snapshot),
+            // The sessions answer these themselves.
             Operation::Watch { .. } | Operation::Unwatch => return,
         };
-        self.sessions.reply(client, id, what);
+        self.sessions.reply(client, id, result);
     }
 
     fn submit_order(
@@ -528,27 +565,27 @@
         now: Now,
         client: ClientId,
         id: String,
-        who: String,
+        operator: String,
         command: Command,
         snapshot: &Snapshot<'_>,
     ) {
         self.next_waiter += 1;
         let waiter = self.next_waiter;
         self.waiters.insert(waiter, (client, id.clone()));
-        let ask = registry::OrderRequest { request_id: id, requested_by: who, command };
+        let request = registry::OrderRequest { request_id: id, requested_by: operator, command };
         let links = std::mem::take(&mut self.links);
         let site = snapshot.site_load().with_links_and_health(&links, self.health());
-        self.registry.submit(now, ask, Some(waiter), &self.traffic, &site);
+        self.registry.submit(now, request, Some(waiter), &self.traffic, &site);
         drop(site);
         self.links = links;
         self.process_registry_outputs(now);
     }
 
-    fn set_log(&mut self, now: Now, who: &str, filter: Option<String>) -> Result<Body, String> {
+    fn set_log(&mut self, now: Now, operator: &str, filter: Option<String>) -> Result<Body, String> {
         let log = self.log.clone().ok_or("log: none is kept here")?;
         if let Some(filter) = filter {
             log.set(&filter).map_err(|e| e.to_string())?;
-            self.publish_event(now, "program", format!("{who} sets the log to {filter}"));
+            self.publish_event(now, "program", format!("{operator} sets the log to {filter}"));
         }
         Ok(Body::Text { text: log.filter() })
     }
@@ -571,7 +608,7 @@
                 round: self.registry.plan().map(|p| round_view(now, p)),
             },
             Topic::Alarms => {
-                let of = |(key, a): (
+                let view = |(key, a): (
                     &walnuthatch_metrics::alarms::AlarmKey,
                     &walnuthatch_metrics::alarms::Alarm,
                 )| {
@@ -583,12 +620,12 @@
                         seen_by: a.acknowledged_by.clone(),
                     }
                 };
-                Body::Alarms { alarms: self.alarms.raised().into_iter().map(of).collect() }
+                Body::Alarms { alarms: self.alarms.raised().into_iter().map(view).collect() }
             }
             Topic::Counters => {
-                // The snapshot has no appliance while this one makes the view.
-                let all = (snapshot.counters)().into_iter().chain(self.counters());
-                Body::Counters { counters: all.collect() }
+                // The snapshot's counters lack those of the appliance while the appliance makes a view.
+                let counters = (snapshot.counters)().into_iter().chain(self.counters());
+                Body::Counters { counters: counters.collect() }
             }
             Topic::Peers => Body::Peers { peers: snapshot.gossip.map_or_else(Vec::new, Gossip::peers) },
             Topic::Suspicions => {
@@ -602,9 +639,9 @@
     fn status(&self, snapshot: &Snapshot<'_>) -> views::Status {
         let raised = self.alarms.raised();
         let mut s = snapshot.status();
-        let own = self.registry.drains().iter().find(|d| d.target == Target::Controller);
+        let own_drain = self.registry.drains().iter().find(|d| d.target == Target::Controller);
         if !snapshot.stopping {
-            if let Some(d) = own.filter(|d| d.state.in_force()) {
+            if let Some(d) = own_drain.filter(|d| d.state.in_force()) {
                 s.state = if d.state == State::Empty { "drained" } else { "draining" }.to_owned();
             }
         }
@@ -625,17 +662,17 @@
     fn exchange_views(&self, snapshot: &Snapshot<'_>) -> Vec<views::Exchange> {
         let mut all = snapshot.exchanges();
         for e in &mut all {
-            let here = [Target::Exchange(Exchange(e.exchange)), Target::Group(Exchange(e.exchange))];
-            let drain = self.registry.drains().iter().find(|d| here.contains(&d.target));
+            let targets = [Target::Exchange(Exchange(e.exchange)), Target::Group(Exchange(e.exchange))];
+            let drain = self.registry.drains().iter().find(|d| targets.contains(&d.target));
             e.drain = drain.map_or(String::new(), |d| {
                 let group = if matches!(d.target, Target::Group(_)) { "group " } else { "" };
                 format!("{group}{}", d.state.name())
             });
-            if let Some(f) = self.exchange_metrics.get(e.exchange) {
-                let Quantiles { count, p50, p99, .. } = f.setup_times.quantiles();
+            if let Some(metrics) = self.exchange_metrics.get(e.exchange) {
+                let Quantiles { count, p50, p99, .. } = metrics.setup_times.quantiles();
                 (e.stood, e.p50_ms, e.p99_ms) = (count, millis(p50), millis(p99));
-                e.turned_away = f.unsuccessful_attempts;
-                e.history = f.history().to_vec();
+                e.turned_away = metrics.unsuccessful_attempts;
+                e.history = metrics.history().to_vec();
             }
         }
         all
@@ -646,7 +683,7 @@
             seconds: seconds as u64,
             answered: counts.answered(),
             in_aim_share: counts.share_within_objective(),
-            by_fate: OUTCOMES.iter().map(|f| (f.name().to_owned(), counts.get(*f))).collect(),
+            by_fate: OUTCOMES.iter().map(|o| (o.name().to_owned(), counts.get(*o))).collect(),
         });
         let q = self.answer_times.quantiles();
         views::Service {
@@ -660,24 +697,24 @@
     }
 
     fn windows(&self, now: Now) -> Vec<views::Window> {
-        let of = |w: &walnuthatch_drains::windows::Window| views::Window {
+        let view = |w: &walnuthatch_drains::windows::Window| views::Window {
             name: w.name.clone(),
             target: w.target.to_string(),
             open: w.open_at(now.wall).is_some(),
             next_at_ms: w.next_after(now.wall).map(|t| t / 1000),
             length_s: seconds(w.length),
         };
-        self.registry.windows().iter().map(of).collect()
+        self.registry.windows().iter().map(view).collect()
     }
 
     fn audit(&self) -> Body {
-        let of = |a: &walnuthatch_drains::saved::AuditEntry| views::Audit {
+        let view = |a: &walnuthatch_drains::saved::AuditEntry| views::Audit {
             at_ms: a.wall / 1000,
             who: a.who.clone(),
             what: a.what.clone(),
             answer: a.answer.clone(),
         };
-        Body::Audit { audit: self.registry.audit().map(of).collect() }
+        Body::Audit { audit: self.registry.audit().map(view).collect() }
     }
 
     fn cost(&self, now: Now, target: Target, snapshot: &Snapshot<'_>) -> Body {
@@ -745,16 +782,16 @@
         targets: p.targets.iter().map(Target::to_string).collect(),
         done: p.target_index,
         stage: p.stage.name().to_owned(),
-        halted: if let Stage::Halted(why) = &p.stage { why.clone() } else { String::new() },
+        halted: if let Stage::Halted(reason) = &p.stage { reason.clone() } else { String::new() },
         for_s: seconds(now.steady - p.since),
         who: p.requested_by.clone(),
         reason: p.reason.clone(),
     }
 }
 
-/// Of which kind a piece of news is, and its words.
-fn event_text(news: &DrainEvent) -> (&'static str, String) {
-    match news {
+/// The kind and the text of an event.
+fn event_text(event: &DrainEvent) -> (&'static str, String) {
+    match event {
         DrainEvent::StateChanged { order, target, state, load, requested_by } => (
             "drain",
             format!(
@@ -774,13 +811,14 @@
         ),
         DrainEvent::RoundAdvanced { target, stage } => {
             let at = target.map_or(String::new(), |t| format!(" at {t}"));
-            let why = if let Stage::Halted(why) = stage { format!(": {why}") } else { String::new() };
-            ("round", format!("{}{at}{why}", stage.name()))
+            let reason =
+                if let Stage::Halted(reason) = stage { format!(": {reason}") } else { String::new() };
+            ("round", format!("{}{at}{reason}", stage.name()))
         }
         DrainEvent::WindowDenied { window, reason } => {
             ("window", format!("{window} could not begin: {reason}"))
         }
-        DrainEvent::SaveFailed(why) => ("state", format!("not saved: {why}")),
+        DrainEvent::SaveFailed(reason) => ("state", format!("not saved: {reason}")),
         DrainEvent::SaveRecovered => ("state", "saved again".to_owned()),
     }
 }
--- a/src/program/gossip.rs
+++ b/src/program/gossip.rs
@@ -13,7 +13,7 @@
 
 /// First byte of a message that lists trunk groups, as the decision module expects it from peers.
 const GROUPS_MESSAGE: u8 = 1;
-/// The first peer number given to a gossip member; the platform's own peers are numbered from 0.
+/// The first peer number given to a gossip member, far above those of the platform's peers, which start at 0.
 const FIRST_MEMBER_NUMBER: u32 = 1 << 20;
 
 /// An action that the gossip subsystem requests from the event loop.
@@ -50,8 +50,8 @@
 }
 
 impl Gossip {
-    /// Creates the gossip node. Program time starts at the Unix time of the start, so it also serves as the node's
-    /// start time.
+    /// Creates the gossip subsystem. `now` is also the Unix time, because program time starts at the Unix time of the
+    /// start.
     pub fn new(now: Micros, config: &GossipConfig, seed: u64) -> Gossip {
         let unix_seconds = now.div_euclid(SECOND);
         Gossip {
@@ -109,7 +109,8 @@
                     _ => self.node.set_up_abandoned(now, e, call),
                 }
             }
-            // The caller left. Attempts that this controller cancelled are also reported as `AttemptEnded`.
+            // The caller left. An attempt that this controller cancelled is handled above: it is also reported as
+            // `AttemptEnded`.
             LedgerOutput::Clear { call, .. } if ledger.offered_call(*call).is_none() => {
                 if let Some(e) = self.direct_setups.remove(call) {
                     self.node.set_up_abandoned(now, e, u64::from(call.0));
