--- a/src/program/appliance.rs
+++ b/src/program/appliance.rs
@@ -1,8 +1,8 @@
 //! The appliance: drains, metrics, alarms and operators' sessions, as one subsystem of the event loop.
 //!
 //! It receives events ([`Appliance::observe`], [`Appliance::handle_control_event`], [`Appliance::handle_timer`]) and
-//! requests actions ([`Appliance::take_outputs`]). It makes no decision about a call: out-of-service state reaches the
-//! decision module through the ledger, as an event of the module's interface.
+//! requests actions ([`Appliance::take_outputs`]). It makes no decision about a call: out-of-service state reaches
+//! the decision module through the ledger, as an event of the module's interface.
 
 use super::alarms::{self, Thresholds};
 use super::appliance_file::ApplianceConfig;
--- a/src/program/event_loop.rs
+++ b/src/program/event_loop.rs
@@ -44,7 +44,8 @@
 pub const JSON_LINES_FRONTEND: FrontendId = FrontendId(0);
 /// The front end for media gateways (MGCP).
 pub const GATEWAY_FRONTEND: FrontendId = FrontendId(1);
-/// Health probes pass this long after the start (µs) even if some exchange has neither reported nor proved unreachable.
+/// Health probes pass this long after the start (µs) even if some exchange has neither reported nor proved
+/// unreachable.
 const STARTUP_GRACE: Micros = 1_500_000;
 /// Delay before the complete list is fetched again after an invalid event from the coordinator (µs).
 const LIST_REFETCH_DELAY: Micros = 1_000_000;
@@ -257,7 +258,11 @@
         };
         self.counts.reloads += 1;
         for key in self.config.needs_restart(&new) {
-            tracing::info!(target: LOG_TARGET, key, "configuration: {key}: the change takes effect at the next start");
+            tracing::info!(
+                target: LOG_TARGET,
+                key,
+                "configuration: {key}: the change takes effect at the next start"
+            );
         }
         if self.config.coordinator != new.coordinator {
             self.commands.push(TransportCommand::FollowCoordinator(new.coordinator));
@@ -396,7 +401,12 @@
                 self.callers.taken(conn, sid, key, call);
             }
             Ask::Left(call) => {
-                tracing::debug!(target: CALLS, call = call.0, conn = conn.0, "call abandoned or released by its caller");
+                tracing::debug!(
+                    target: CALLS,
+                    call = call.0,
+                    conn = conn.0,
+                    "call abandoned or released by its caller"
+                );
                 self.ledger.caller_left(now, call);
             }
             Ask::LeftEarlier(sid) => self.upstream.release_earlier(sid),
@@ -574,7 +584,12 @@
                 tracing::info!(target: LOG_TARGET, %member, "exchange {member}: connection closed: {reason}");
             }
             UpstreamOutput::LeaseOver(member, calls) => {
-                tracing::info!(target: LOG_TARGET, %member, calls, "exchange {member}: lease expired, {calls} calls cut");
+                tracing::info!(
+                    target: LOG_TARGET,
+                    %member,
+                    calls,
+                    "exchange {member}: lease expired, {calls} calls cut"
+                );
             }
             UpstreamOutput::Earlier(sid, code) => self.callers.release_earlier(now, sid, code),
         }
--- a/src/program/event_loop/stop.rs
+++ b/src/program/event_loop/stop.rs
@@ -27,7 +27,8 @@
 }
 
 impl EventLoop {
-    /// Whether a shutdown was requested and has completed: every accepted call is answered, or the last phase has begun.
+    /// Whether a shutdown was requested and has completed: no call or connection is left, or the last phase has
+    /// begun.
     pub fn finished(&self, now: Micros) -> bool {
         let Some(stop) = &self.stopping else { return false };
         let phase = stop.shutdown.phase_at(now);
--- a/src/program/gossip.rs
+++ b/src/program/gossip.rs
@@ -194,7 +194,7 @@
         body.extend(own.0.to_be_bytes());
         for (&(_, block), bits) in self.group_bitmaps.range((member, 0)..=(member, u16::MAX)) {
             body.resize(3 + usize::from(block) * 8, 0);
-            // The node numbers the bits from the highest one; the message numbers them from the lowest one of each byte.
+            // The node numbers the bits from the highest one, the message from the lowest one of each byte.
             body.extend(bits.to_be_bytes().map(u8::reverse_bits));
         }
         self.outputs.push(Output::PeerMessage(number, body));
--- a/src/program/views.rs
+++ b/src/program/views.rs
@@ -89,8 +89,8 @@
         }
     }
 
-    /// The machines on the exchange list and the gateways, in the order of their exchanges. The appliance fills in the
-    /// metrics of set-ups.
+    /// The machines on the exchange list and the gateways, in the order of their exchanges. The appliance fills in
+    /// the metrics of set-ups.
     pub fn exchanges(&self) -> Vec<Exchange> {
         let loads = self.site_load();
         let circuits: BTreeMap<ExchangeId, _> = self.ledger.administrative_state().group_circuits().collect();
