--- a/crates/standin/src/exchange.rs
+++ b/crates/standin/src/exchange.rs
@@ -12,7 +12,7 @@
 
 /// What kind of exchange it is.
 #[derive(Clone, Copy, Debug)]
-pub struct Traits {
+pub struct ExchangeConfig {
     /// Circuits of the group toward the controller.
     pub circuits: u32,
     /// How long a set-up takes.
@@ -25,7 +25,7 @@
 
 #[derive(Debug)]
 struct Shared {
-    traits: Traits,
+    traits: ExchangeConfig,
     busy: AtomicU64,
     set_ups: AtomicU64,
     /// Takes set-ups and answers none.
@@ -47,7 +47,7 @@
     ///
     /// # Errors
     /// If the address can't be had.
-    pub fn start(address: Option<SocketAddr>, traits: Traits) -> io::Result<Exchange> {
+    pub fn start(address: Option<SocketAddr>, traits: ExchangeConfig) -> io::Result<Exchange> {
         let listener = TcpListener::bind(address.unwrap_or_else(|| ([127, 0, 0, 1], 0).into()))?;
         let address = listener.local_addr()?;
         let shared = Arc::new(Shared {
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -8,5 +8,5 @@
 mod host;
 
 pub use callers::{Callers, Load, Table};
-pub use exchange::{Exchange, Traits};
+pub use exchange::{Exchange, ExchangeConfig};
 pub use host::Host;
--- a/src/program/demo.rs
+++ b/src/program/demo.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 use walnuthatch_control::client::Connection;
 use walnuthatch_control::frames::Operation;
-use walnuthatch_standin::{Callers, Exchange, Load, Table, Traits};
+use walnuthatch_standin::{Callers, Exchange, ExchangeConfig, Load, Table};
 
 /// The controller is up by then, or never.
 const START: Duration = Duration::from_secs(10);
@@ -122,7 +122,7 @@
     let exchanges = (1..=args.exchanges)
         .map(|n| {
             let (delay, seed) = (Duration::from_millis(15), args.seed + u64::from(n));
-            Exchange::start(None, Traits { circuits, delay, hold: HOLD, seed })
+            Exchange::start(None, ExchangeConfig { circuits, delay, hold: HOLD, seed })
         })
         .collect::<Result<Vec<_>, _>>()
         .map_err(io("a stand-in exchange"))?;
--- a/tests/appliance.rs
+++ b/tests/appliance.rs
@@ -15,7 +15,7 @@
 use walnuthatch_control::client::{ClientError, Connection};
 use walnuthatch_control::frames::{AtLimit, Body, Operation, Topic, TOPICS};
 use walnuthatch_control::views::{Drain, Event, Status};
-use walnuthatch_standin::{Callers, Exchange, Load, Table, Traits};
+use walnuthatch_standin::{Callers, Exchange, ExchangeConfig, Load, Table};
 
 /// A site: exchanges, a folder, and the appliance's file for it.
 struct Site {
@@ -33,7 +33,7 @@
         let folder = std::env::temp_dir().join(format!("wha-{}-{n}", std::process::id()));
         drop(fs::remove_dir_all(&folder));
         fs::create_dir_all(&folder).unwrap();
-        let traits = |n| Traits { circuits: 400, delay: Duration::from_millis(5), hold, seed: n };
+        let traits = |n| ExchangeConfig { circuits: 400, delay: Duration::from_millis(5), hold, seed: n };
         let exchanges: Vec<Exchange> =
             (1..=exchanges).map(|n| Exchange::start(None, traits(n.into())).unwrap()).collect();
         let place = |name: &str| folder.join(name).display().to_string();
--- a/tests/gossip.rs
+++ b/tests/gossip.rs
@@ -15,7 +15,7 @@
 use walnuthatch_gossip::node::{Config, Node, Output};
 use walnuthatch_gossip::seal::Ring;
 use walnuthatch_gossip::{Exchange as Number, MemberId};
-use walnuthatch_standin::{Callers, Exchange, Load, Table, Traits};
+use walnuthatch_standin::{Callers, Exchange, ExchangeConfig, Load, Table};
 
 fn keys(digit: char) -> String {
     format!("[[key]]\nid = 1\nsecret = \"{}\"\nseals = true\n", digit.to_string().repeat(64))
@@ -88,7 +88,7 @@
 }
 
 fn exchanges(n: u64) -> Vec<Exchange> {
-    let traits = |seed| Traits {
+    let traits = |seed| ExchangeConfig {
         circuits: 500,
         delay: Duration::from_millis(5),
         hold: Duration::from_millis(300),
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -9,7 +9,7 @@
 use std::io::Write;
 use std::thread;
 use std::time::Duration;
-use walnuthatch_standin::{Exchange, Traits};
+use walnuthatch_standin::{Exchange, ExchangeConfig};
 
 /// Rounds, and connections of a round: about what a controller gets in a fault trial.
 const ROUNDS: u32 = 20;
@@ -30,7 +30,7 @@
 #[test]
 fn twenty_rounds_of_connections_and_calls_leave_neither_memory_nor_descriptors() {
     let (delay, hold) = (Duration::from_millis(1), Duration::from_millis(100));
-    let exchange = Exchange::start(None, Traits { circuits: 2_000, delay, hold, seed: 7 }).unwrap();
+    let exchange = Exchange::start(None, ExchangeConfig { circuits: 2_000, delay, hold, seed: 7 }).unwrap();
     let member = member("s-1", exchange.address(), 1, "up");
     let all = config(json!({"known": {"index": 3, "updates": [update(3, true, &[member])]}}));
     let program = Program::start(&[("--config", &file("config.json", &all.to_string()))], &[]);
