--- a/crates/standin/src/callers.rs
+++ b/crates/standin/src/callers.rs
@@ -33,7 +33,7 @@
 
 /// What came of it.
 #[derive(Clone, Debug)]
-pub struct Table {
+pub struct LoadReport {
     /// Calls offered.
     pub offered: u64,
     /// Calls that stood.
@@ -52,7 +52,7 @@
     pub answers: Histogram<u64>,
 }
 
-impl fmt::Display for Table {
+impl fmt::Display for LoadReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let ms = |q| self.answers.value_at_quantile(q) as f64 / 1000.0;
         writeln!(f, "offered stood refused failed late unanswered doubled p50_ms p99_ms p99.9_ms")?;
@@ -83,7 +83,7 @@
 }
 
 struct Books {
-    table: Table,
+    table: LoadReport,
     /// Calls that wait for their answer.
     open: HashMap<String, Open>,
     standing: u64,
@@ -112,7 +112,7 @@
     /// If the controller can't be reached.
     pub fn start(to: SocketAddr, load: Load) -> io::Result<Callers> {
         let answers = Histogram::new_with_bounds(1, 60_000_000, 3).map_err(io::Error::other)?;
-        let table = Table {
+        let table = LoadReport {
             offered: 0,
             stood: 0,
             late: 0,
@@ -138,7 +138,7 @@
     }
 
     /// What came of it so far.
-    pub fn so_far(&self) -> Table {
+    pub fn so_far(&self) -> LoadReport {
         lock(&self.books).table.clone()
     }
 
@@ -148,7 +148,7 @@
     }
 
     /// Waits until all calls are offered and answered, or given up.
-    pub fn finish(self) -> Table {
+    pub fn finish(self) -> LoadReport {
         drop(self.pace.join());
         let end = Instant::now() + self.patience;
         while Instant::now() < end && !lock(&self.books).open.is_empty() {
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -7,6 +7,6 @@
 pub mod faulty;
 mod host;
 
-pub use callers::{Callers, Load, Table};
+pub use callers::{Callers, Load, LoadReport};
 pub use exchange::{Exchange, ExchangeConfig};
 pub use host::Host;
--- a/src/program/demo.rs
+++ b/src/program/demo.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 use walnuthatch_control::client::Connection;
 use walnuthatch_control::frames::Operation;
-use walnuthatch_standin::{Callers, Exchange, ExchangeConfig, Load, Table};
+use walnuthatch_standin::{Callers, Exchange, ExchangeConfig, Load, LoadReport};
 
 /// The controller is up by then, or never.
 const START: Duration = Duration::from_secs(10);
@@ -110,7 +110,7 @@
     }
 }
 
-fn run(args: &Args) -> Result<Option<Table>, DemoError> {
+fn run(args: &Args) -> Result<Option<LoadReport>, DemoError> {
     let folder = args
         .folder
         .clone()
--- a/tests/appliance.rs
+++ b/tests/appliance.rs
@@ -15,7 +15,7 @@
 use walnuthatch_control::client::{ClientError, Connection};
 use walnuthatch_control::frames::{AtLimit, Body, Operation, Topic, TOPICS};
 use walnuthatch_control::views::{Drain, Event, Status};
-use walnuthatch_standin::{Callers, Exchange, ExchangeConfig, Load, Table};
+use walnuthatch_standin::{Callers, Exchange, ExchangeConfig, Load, LoadReport};
 
 /// A site: exchanges, a folder, and the appliance's file for it.
 struct Site {
@@ -133,7 +133,7 @@
 }
 
 /// Each call has its one answer, in time.
-fn all_answered(t: &Table) {
+fn all_answered(t: &LoadReport) {
     assert!(t.unanswered == 0 && t.doubled == 0 && t.failed == 0, "{t}");
 }
 
--- a/tests/gossip.rs
+++ b/tests/gossip.rs
@@ -15,7 +15,7 @@
 use walnuthatch_gossip::node::{Config, Node, Output};
 use walnuthatch_gossip::seal::Ring;
 use walnuthatch_gossip::{Exchange as Number, MemberId};
-use walnuthatch_standin::{Callers, Exchange, ExchangeConfig, Load, Table};
+use walnuthatch_standin::{Callers, Exchange, ExchangeConfig, Load, LoadReport};
 
 fn keys(digit: char) -> String {
     format!("[[key]]\nid = 1\nsecret = \"{}\"\nseals = true\n", digit.to_string().repeat(64))
@@ -139,7 +139,7 @@
     let sent = exchanges[0].set_ups() - before;
     assert!(sent <= 20, "{sent} by all three");
     exchanges[0].hang(false);
-    let answered = |t: &Table| assert!(t.unanswered + t.doubled + t.failed == 0, "{t}");
+    let answered = |t: &LoadReport| assert!(t.unanswered + t.doubled + t.failed == 0, "{t}");
     answered(&tried.finish());
     busy.into_iter().for_each(|b| answered(&b.finish()));
     let quiet = quiet.finish();
