--- a/crates/standin/src/callers.rs
+++ b/crates/standin/src/callers.rs
@@ -16,15 +16,15 @@
     /// Calls a second.
     pub rate: f64,
     /// For how long.
-    pub span: Duration,
+    pub duration: Duration,
     /// Exchanges that calls go to, in turn.
     pub destinations: Vec<u16>,
     /// The class, by its name.
     pub class: String,
     /// How long a caller waits.
-    pub patience: Duration,
+    pub client_timeout: Duration,
     /// A call that stands later than this is late.
-    pub aim: Duration,
+    pub latency_objective: Duration,
     /// Connections that the calls are spread over.
     pub connections: usize,
     /// For the calls' names.
@@ -129,10 +129,10 @@
         }
         let pens: Pens = Arc::new(streams);
         for n in 0..pens.len() {
-            let (pens, books, aim) = (pens.clone(), books.clone(), load.aim);
+            let (pens, books, aim) = (pens.clone(), books.clone(), load.latency_objective);
             std::thread::spawn(move || keep(to, &pens[n], n, &books, aim));
         }
-        let (mine, shared, patience) = (pens.clone(), books.clone(), load.patience);
+        let (mine, shared, patience) = (pens.clone(), books.clone(), load.client_timeout);
         let pace = std::thread::spawn(move || offer(&mine, &shared, &load));
         Ok(Callers { books, pens, pace, patience })
     }
@@ -200,13 +200,13 @@
 
 fn offer(pens: &[Mutex<TcpStream>], books: &Mutex<Books>, load: &Load) {
     let mut rng = fastrand::Rng::with_seed(load.seed);
-    let (start, calls) = (Instant::now(), (load.rate * load.span.as_secs_f64()) as u64);
+    let (start, calls) = (Instant::now(), (load.rate * load.duration.as_secs_f64()) as u64);
     for n in 0..calls {
         let due = start + Duration::from_secs_f64(n as f64 / load.rate);
         std::thread::sleep(due.saturating_duration_since(Instant::now()));
         let sid = format!("{:016x}", rng.u64(1..));
         let to = load.destinations[n as usize % load.destinations.len()];
-        let attrs = json!({"class": load.class, "left": load.patience.as_millis().to_string(),
+        let attrs = json!({"class": load.class, "left": load.client_timeout.as_millis().to_string(),
             "extras": format!("dest:{to};width:1;via:-1")});
         let text = format!("{sid}\r\nc=IN IP4 127.0.0.1\r\nm=audio 31000 RTP/AVP 0\r\n");
         let line = format!("{}\n", json!({"msg": "open", "sid": sid, "attrs": attrs, "text": text}));
--- a/examples/console_cost.rs
+++ b/examples/console_cost.rs
@@ -144,11 +144,11 @@
     }
     let load = |seconds| Load {
         rate,
-        span: Duration::from_secs(seconds),
+        duration: Duration::from_secs(seconds),
         destinations: vec![1, 2, 3, 4],
         class: "status-report".into(),
-        patience: Duration::from_secs(3),
-        aim: Duration::from_millis(1200),
+        client_timeout: Duration::from_secs(3),
+        latency_objective: Duration::from_millis(1200),
         connections: 8,
         seed: 7,
     };
--- a/src/program/demo.rs
+++ b/src/program/demo.rs
@@ -130,11 +130,11 @@
     let usual = if args.headless { 5 } else { 3600 };
     let load = Load {
         rate: args.rate,
-        span: Duration::from_secs(args.seconds.unwrap_or(usual).into()),
+        duration: Duration::from_secs(args.seconds.unwrap_or(usual).into()),
         destinations: (1..=args.exchanges).collect(),
         class: "status-report".to_owned(),
-        patience: Duration::from_secs(3),
-        aim: Duration::from_millis(1200),
+        client_timeout: Duration::from_secs(3),
+        latency_objective: Duration::from_millis(1200),
         connections: 8,
         seed: args.seed,
     };
--- a/tests/appliance.rs
+++ b/tests/appliance.rs
@@ -90,11 +90,11 @@
 fn load(rate: f64, seconds: u64, destinations: &[u16]) -> Load {
     Load {
         rate,
-        span: Duration::from_secs(seconds),
+        duration: Duration::from_secs(seconds),
         destinations: destinations.to_vec(),
         class: "status-report".into(),
-        patience: Duration::from_secs(3),
-        aim: Duration::from_millis(1200),
+        client_timeout: Duration::from_secs(3),
+        latency_objective: Duration::from_millis(1200),
         connections: 4,
         seed: 5,
     }
