--- a/crates/standin/src/callers.rs
+++ b/crates/standin/src/callers.rs
@@ -37,7 +37,7 @@
     /// Calls offered.
     pub offered: u64,
     /// Calls that stood.
-    pub stood: u64,
+    pub established: u64,
     /// Those of them that stood later than the aim.
     pub late: u64,
     /// Refused.
@@ -47,25 +47,25 @@
     /// Not answered before the caller gave up.
     pub unanswered: u64,
     /// Second final answers to one call.
-    pub doubled: u64,
+    pub duplicate_answers: u64,
     /// How long answers took (µs).
-    pub answers: Histogram<u64>,
+    pub answer_times: Histogram<u64>,
 }
 
 impl fmt::Display for LoadReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let ms = |q| self.answers.value_at_quantile(q) as f64 / 1000.0;
+        let ms = |q| self.answer_times.value_at_quantile(q) as f64 / 1000.0;
         writeln!(f, "offered stood refused failed late unanswered doubled p50_ms p99_ms p99.9_ms")?;
         write!(
             f,
             "{:7} {:5} {:7} {:6} {:4} {:10} {:7} {:6.1} {:6.1} {:8.1}",
             self.offered,
-            self.stood,
+            self.established,
             self.refused,
             self.failed,
             self.late,
             self.unanswered,
-            self.doubled,
+            self.duplicate_answers,
             ms(0.5),
             ms(0.99),
             ms(0.999)
@@ -111,16 +111,16 @@
     /// # Errors
     /// If the controller can't be reached.
     pub fn start(to: SocketAddr, load: Load) -> io::Result<Callers> {
-        let answers = Histogram::new_with_bounds(1, 60_000_000, 3).map_err(io::Error::other)?;
+        let answer_times = Histogram::new_with_bounds(1, 60_000_000, 3).map_err(io::Error::other)?;
         let table = LoadReport {
             offered: 0,
-            stood: 0,
+            established: 0,
             late: 0,
             refused: 0,
             failed: 0,
             unanswered: 0,
-            doubled: 0,
-            answers,
+            duplicate_answers: 0,
+            answer_times,
         };
         let books = Books { table, open: HashMap::new(), standing: 0, over: false };
         let (books, mut streams) = (Arc::new(Mutex::new(books)), Vec::new());
@@ -234,10 +234,10 @@
         match b.open.remove(&sid) {
             Some(open) => {
                 let took = open.since.elapsed();
-                b.table.answers.saturating_record(took.as_micros() as u64);
+                b.table.answer_times.saturating_record(took.as_micros() as u64);
                 match m["code"].as_u64() {
                     _ if ready => {
-                        b.table.stood += 1;
+                        b.table.established += 1;
                         b.table.late += u64::from(took > aim);
                         b.standing += 1;
                     }
@@ -245,7 +245,7 @@
                     _ => b.table.failed += 1,
                 }
             }
-            None if ready => b.table.doubled += 1,
+            None if ready => b.table.duplicate_answers += 1,
             None => {
                 b.standing = b.standing.saturating_sub(1);
                 drop(guard);
--- a/examples/console_cost.rs
+++ b/examples/console_cost.rs
@@ -156,7 +156,7 @@
     let cpu_before = cpu_time(child.0.id())?;
     let table = Callers::start(caller_address, load(args.seconds))?.finish();
     let cpu_used = cpu_time(child.0.id())? - cpu_before;
-    let ms = |q| table.answers.value_at_quantile(q) as f64 / 1000.0;
+    let ms = |q| table.answer_times.value_at_quantile(q) as f64 / 1000.0;
     println!(
         "| {} | {rate} | {consoles}{} | {:.0} | {:.1}% | {:.2} | {:.2} | {:.2} | {} | {:.1} |",
         args.label,
--- a/src/program/demo.rs
+++ b/src/program/demo.rs
@@ -76,7 +76,7 @@
         Ok(Some(table)) => {
             print(&table.to_string());
             // A call without an answer, or with two, is never to be.
-            if table.unanswered + table.doubled > 0 {
+            if table.unanswered + table.duplicate_answers > 0 {
                 Exit::Failed
             } else {
                 Exit::Done
--- a/tests/appliance.rs
+++ b/tests/appliance.rs
@@ -134,7 +134,7 @@
 
 /// Each call has its one answer, in time.
 fn all_answered(t: &LoadReport) {
-    assert!(t.unanswered == 0 && t.doubled == 0 && t.failed == 0, "{t}");
+    assert!(t.unanswered == 0 && t.duplicate_answers == 0 && t.failed == 0, "{t}");
 }
 
 fn memory_kb(p: &Program) -> u64 {
@@ -161,7 +161,7 @@
     let before = memory_kb(&program);
     let table = callers.finish();
     all_answered(&table);
-    assert!(table.late == 0 && table.stood == 1000, "{table}");
+    assert!(table.late == 0 && table.established == 1000, "{table}");
     let after = memory_kb(&program);
     assert!(after < before + 4096, "{before} KB, then {after} KB");
     drop(frozen);
@@ -412,7 +412,7 @@
     until("the alarm is raised", || status(&mut c).worst.contains("would not survive").then_some(()));
     let table = Callers::start(at, load(50.0, 1, &[2])).unwrap().finish();
     all_answered(&table);
-    assert_eq!(table.stood, table.offered, "{table}");
+    assert_eq!(table.established, table.offered, "{table}");
     drop(program);
 }
 
--- a/tests/gossip.rs
+++ b/tests/gossip.rs
@@ -139,12 +139,12 @@
     let sent = exchanges[0].set_ups() - before;
     assert!(sent <= 20, "{sent} by all three");
     exchanges[0].hang(false);
-    let answered = |t: &LoadReport| assert!(t.unanswered + t.doubled + t.failed == 0, "{t}");
+    let answered = |t: &LoadReport| assert!(t.unanswered + t.duplicate_answers + t.failed == 0, "{t}");
     answered(&tried.finish());
     busy.into_iter().for_each(|b| answered(&b.finish()));
     let quiet = quiet.finish();
     answered(&quiet);
-    assert_eq!(quiet.stood, quiet.offered, "{quiet}");
+    assert_eq!(quiet.established, quiet.offered, "{quiet}");
     until("nobody suspects it any more", || all.iter().all(|i| i.suspects().is_empty()).then_some(()));
 }
 
@@ -215,7 +215,7 @@
         }
     });
     for table in callers.into_iter().map(Callers::finish) {
-        assert!(table.stood == table.offered && table.late == 0, "{table}");
+        assert!(table.established == table.offered && table.late == 0, "{table}");
     }
     flood.join().unwrap();
     let seconds = begun.elapsed().as_secs_f64();
