--- a/crates/standin/src/callers.rs
+++ b/crates/standin/src/callers.rs
@@ -138,12 +138,12 @@
     }
 
     /// What came of it so far.
-    pub fn so_far(&self) -> LoadReport {
+    pub fn report(&self) -> LoadReport {
         lock(&self.books).table.clone()
     }
 
     /// Calls that stand.
-    pub fn standing(&self) -> u64 {
+    pub fn established_calls(&self) -> u64 {
         lock(&self.books).standing
     }
 
--- a/tests/appliance.rs
+++ b/tests/appliance.rs
@@ -327,8 +327,8 @@
     let mut site = Site::new(2, Duration::from_secs(30), "");
     let (_program, at) = site.up();
     let callers = Callers::start(at, load(40.0, 1, &[1])).unwrap();
-    until("calls stand there", || (callers.standing() > 20).then_some(()));
-    let table = callers.so_far();
+    until("calls stand there", || (callers.established_calls() > 20).then_some(()));
+    let table = callers.report();
     assert_eq!(table.failed, 0);
     let mut c = site.operator();
     c.request("d", drain("exchange:1")).unwrap();
@@ -342,7 +342,7 @@
     let site = Site::new(2, Duration::from_secs(60), "[drains]\nown_grace_ms = 300\n");
     let (_program, at) = site.up();
     let callers = Callers::start(at, load(50.0, 1, &[1, 2])).unwrap();
-    until("calls stand", || (callers.standing() == 50).then_some(()));
+    until("calls stand", || (callers.established_calls() == 50).then_some(()));
     let mut c = site.operator();
     let cut = |target: &str| Operation::Drain {
         target: target.into(),
@@ -353,7 +353,7 @@
     };
     c.request("a", cut("exchange:1")).unwrap();
     until("it is empty", || (state(&mut c, "exchange:1") == "empty").then_some(()));
-    until("the callers heard it", || (callers.standing() == 25).then_some(()));
+    until("the callers heard it", || (callers.established_calls() == 25).then_some(()));
     c.request("b", cut("controller")).unwrap();
     until("it is drained", || (status(&mut c).state == "drained").then_some(()));
     let refused = Callers::start(at, load(50.0, 1, &[2])).unwrap().finish();
