--- a/crates/standin/src/callers.rs
+++ b/crates/standin/src/callers.rs
@@ -1,4 +1,4 @@
-//! Stand-in callers: offer calls at an even rate, and write down when each was answered and how.
+//! Load generator: offers calls at a constant rate and counts the answers and their times.
 
 use hdrhistogram::Histogram;
 use serde_json::{json, Value};
@@ -10,45 +10,45 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// What is offered.
+/// The load that [`Callers`] offer.
 #[derive(Clone, Debug)]
 pub struct Load {
-    /// Calls a second.
+    /// Call rate (calls per second).
     pub rate: f64,
-    /// For how long.
+    /// How long calls are offered.
     pub duration: Duration,
-    /// Exchanges that calls go to, in turn.
+    /// Destination exchanges, used in round-robin order.
     pub destinations: Vec<u16>,
-    /// The class, by its name.
+    /// Name of the calls' class.
     pub class: String,
-    /// How long a caller waits.
+    /// How long a caller waits for an answer.
     pub client_timeout: Duration,
-    /// A call that stands later than this is late.
+    /// A call that is established later than this after its request counts as late.
     pub latency_objective: Duration,
-    /// Connections that the calls are spread over.
+    /// Number of connections, which the calls use in round-robin order.
     pub connections: usize,
-    /// For the calls' names.
+    /// Seed of the call identifiers.
     pub seed: u64,
 }
 
-/// What came of it.
+/// Counts and answer times of the calls offered so far.
 #[derive(Clone, Debug)]
 pub struct LoadReport {
     /// Calls offered.
     pub offered: u64,
-    /// Calls that stood.
+    /// Calls established.
     pub established: u64,
-    /// Those of them that stood later than the aim.
+    /// Established calls that missed the latency objective.
     pub late: u64,
-    /// Refused.
+    /// Calls refused.
     pub refused: u64,
-    /// Failed.
+    /// Calls failed.
     pub failed: u64,
-    /// Not answered before the caller gave up.
+    /// Calls without an answer when their client timeout had passed.
     pub unanswered: u64,
-    /// Second final answers to one call.
+    /// Further final answers to calls that were already answered.
     pub duplicate_answers: u64,
-    /// How long answers took (µs).
+    /// Time from request to final answer (µs).
     pub answer_times: Histogram<u64>,
 }
 
@@ -73,46 +73,46 @@
     }
 }
 
-struct Open {
-    since: Instant,
-    /// The connection that it was sent on.
-    pen: usize,
+struct PendingCall {
+    sent: Instant,
+    /// Index of the connection that carries the request.
+    stream_index: usize,
     line: String,
-    /// A set-up that crosses the end of its connection is sent again, once.
-    again: bool,
+    /// A request that is unanswered when its connection ends is sent again, once.
+    resent: bool,
 }
 
-struct Books {
-    table: LoadReport,
-    /// Calls that wait for their answer.
-    open: HashMap<String, Open>,
-    standing: u64,
-    over: bool,
+struct State {
+    report: LoadReport,
+    /// Calls without a final answer, by call identifier.
+    pending: HashMap<String, PendingCall>,
+    established: u64,
+    finished: bool,
 }
 
-type Pens = Arc<Vec<Mutex<TcpStream>>>;
+type Streams = Arc<Vec<Mutex<TcpStream>>>;
 
-/// Callers at work.
+/// A running load generator.
 pub struct Callers {
-    books: Arc<Mutex<Books>>,
-    pens: Pens,
-    pace: JoinHandle<()>,
-    patience: Duration,
+    state: Arc<Mutex<State>>,
+    streams: Streams,
+    offering: JoinHandle<()>,
+    client_timeout: Duration,
 }
 
-fn lock<T>(of: &Mutex<T>) -> MutexGuard<'_, T> {
-    // What a thread that panicked has written is counts still.
-    of.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    // Counters and pending calls stay valid when another thread panics while it holds the lock.
+    mutex.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
 impl Callers {
-    /// Starts to offer calls.
+    /// Connects to the controller and starts to offer calls.
     ///
     /// # Errors
-    /// If the controller can't be reached.
-    pub fn start(to: SocketAddr, load: Load) -> io::Result<Callers> {
+    /// If a connection to the controller fails.
+    pub fn start(controller: SocketAddr, load: Load) -> io::Result<Callers> {
         let answer_times = Histogram::new_with_bounds(1, 60_000_000, 3).map_err(io::Error::other)?;
-        let table = LoadReport {
+        let report = LoadReport {
             offered: 0,
             established: 0,
             late: 0,
@@ -122,135 +122,142 @@
             duplicate_answers: 0,
             answer_times,
         };
-        let books = Books { table, open: HashMap::new(), standing: 0, over: false };
-        let (books, mut streams) = (Arc::new(Mutex::new(books)), Vec::new());
+        let state = State { report, pending: HashMap::new(), established: 0, finished: false };
+        let (state, mut streams) = (Arc::new(Mutex::new(state)), Vec::new());
         for _ in 0..load.connections.max(1) {
-            streams.push(Mutex::new(connect(to)?));
+            streams.push(Mutex::new(connect(controller)?));
         }
-        let pens: Pens = Arc::new(streams);
-        for n in 0..pens.len() {
-            let (pens, books, aim) = (pens.clone(), books.clone(), load.latency_objective);
-            std::thread::spawn(move || keep(to, &pens[n], n, &books, aim));
+        let streams: Streams = Arc::new(streams);
+        for index in 0..streams.len() {
+            let (streams, state, latency_objective) =
+                (streams.clone(), state.clone(), load.latency_objective);
+            std::thread::spawn(move || {
+                keep_connected(controller, &streams[index], index, &state, latency_objective)
+            });
         }
-        let (mine, shared, patience) = (pens.clone(), books.clone(), load.client_timeout);
-        let pace = std::thread::spawn(move || offer(&mine, &shared, &load));
-        Ok(Callers { books, pens, pace, patience })
+        let (offer_streams, offer_state, client_timeout) =
+            (streams.clone(), state.clone(), load.client_timeout);
+        let offering = std::thread::spawn(move || offer_calls(&offer_streams, &offer_state, &load));
+        Ok(Callers { state, streams, offering, client_timeout })
     }
 
-    /// What came of it so far.
+    /// Returns the counts and answer times so far.
     pub fn report(&self) -> LoadReport {
-        lock(&self.books).table.clone()
+        lock(&self.state).report.clone()
     }
 
-    /// Calls that stand.
+    /// Returns the number of calls that are established at present.
     pub fn established_calls(&self) -> u64 {
-        lock(&self.books).standing
+        lock(&self.state).established
     }
 
-    /// Waits until all calls are offered and answered, or given up.
+    /// Waits until all calls are offered and answered or timed out, closes the connections and returns the report.
     pub fn finish(self) -> LoadReport {
-        drop(self.pace.join());
-        let end = Instant::now() + self.patience;
-        while Instant::now() < end && !lock(&self.books).open.is_empty() {
+        drop(self.offering.join());
+        let end = Instant::now() + self.client_timeout;
+        while Instant::now() < end && !lock(&self.state).pending.is_empty() {
             std::thread::sleep(Duration::from_millis(5));
         }
-        let mut books = lock(&self.books);
-        books.table.unanswered += books.open.len() as u64;
-        books.open.clear();
-        books.over = true;
-        let table = books.table.clone();
-        drop(books);
-        self.pens.iter().for_each(|p| drop(lock(p).shutdown(Shutdown::Both)));
-        table
+        let mut state = lock(&self.state);
+        state.report.unanswered += state.pending.len() as u64;
+        state.pending.clear();
+        state.finished = true;
+        let report = state.report.clone();
+        drop(state);
+        self.streams.iter().for_each(|p| drop(lock(p).shutdown(Shutdown::Both)));
+        report
     }
 }
 
-fn connect(to: SocketAddr) -> io::Result<TcpStream> {
-    let stream = TcpStream::connect(to)?;
+fn connect(controller: SocketAddr) -> io::Result<TcpStream> {
+    let stream = TcpStream::connect(controller)?;
     stream.set_nodelay(true)?;
     Ok(stream)
 }
 
-/// Listens on one connection, and on the next one when it has ended.
-fn keep(
-    to: SocketAddr,
-    pen: &Mutex<TcpStream>,
-    n: usize,
-    books: &Mutex<Books>,
-    aim: Duration,
+/// Reads answers from a connection, and replaces the connection each time it ends.
+fn keep_connected(
+    controller: SocketAddr,
+    shared_stream: &Mutex<TcpStream>,
+    index: usize,
+    state: &Mutex<State>,
+    latency_objective: Duration,
 ) -> io::Result<()> {
     loop {
         let (reader, writer) = {
-            let stream = lock(pen);
+            let stream = lock(shared_stream);
             (stream.try_clone()?, stream.try_clone()?)
         };
-        listen(reader, writer, books, aim);
-        let mut stream = lock(pen);
-        let mut b = lock(books);
-        if b.over {
+        read_answers(reader, writer, state, latency_objective);
+        let mut stream = lock(shared_stream);
+        let mut state = lock(state);
+        if state.finished {
             return Ok(());
         }
-        *stream = connect(to)?;
-        for open in b.open.values_mut().filter(|o| o.pen == n && !o.again) {
-            open.again = true;
-            drop(stream.write_all(open.line.as_bytes()));
+        *stream = connect(controller)?;
+        for call in state.pending.values_mut().filter(|c| c.stream_index == index && !c.resent) {
+            call.resent = true;
+            drop(stream.write_all(call.line.as_bytes()));
         }
     }
 }
 
-fn offer(pens: &[Mutex<TcpStream>], books: &Mutex<Books>, load: &Load) {
+fn offer_calls(streams: &[Mutex<TcpStream>], state: &Mutex<State>, load: &Load) {
     let mut rng = fastrand::Rng::with_seed(load.seed);
     let (start, calls) = (Instant::now(), (load.rate * load.duration.as_secs_f64()) as u64);
     for n in 0..calls {
         let due = start + Duration::from_secs_f64(n as f64 / load.rate);
         std::thread::sleep(due.saturating_duration_since(Instant::now()));
         let sid = format!("{:016x}", rng.u64(1..));
-        let to = load.destinations[n as usize % load.destinations.len()];
+        let destination = load.destinations[n as usize % load.destinations.len()];
         let attrs = json!({"class": load.class, "left": load.client_timeout.as_millis().to_string(),
-            "extras": format!("dest:{to};width:1;via:-1")});
+            "extras": format!("dest:{destination};width:1;via:-1")});
         let text = format!("{sid}\r\nc=IN IP4 127.0.0.1\r\nm=audio 31000 RTP/AVP 0\r\n");
         let line = format!("{}\n", json!({"msg": "open", "sid": sid, "attrs": attrs, "text": text}));
-        let pen = n as usize % pens.len();
-        let mut stream = lock(&pens[pen]);
-        let mut b = lock(books);
-        b.table.offered += 1;
-        b.open.insert(sid, Open { since: Instant::now(), pen, line: line.clone(), again: false });
-        drop(b);
-        // One that does not leave goes out on the next connection.
+        let stream_index = n as usize % streams.len();
+        let mut stream = lock(&streams[stream_index]);
+        let mut state = lock(state);
+        state.report.offered += 1;
+        state.pending.insert(
+            sid,
+            PendingCall { sent: Instant::now(), stream_index, line: line.clone(), resent: false },
+        );
+        drop(state);
+        // If this write fails, `keep_connected` sends the request on the next connection.
         drop(stream.write_all(line.as_bytes()));
     }
 }
 
-fn listen(reader: TcpStream, mut writer: TcpStream, books: &Mutex<Books>, aim: Duration) {
+fn read_answers(reader: TcpStream, mut writer: TcpStream, state: &Mutex<State>, latency_objective: Duration) {
     for line in BufReader::new(reader).lines().map_while(Result::ok) {
-        let Ok(m) = serde_json::from_str::<Value>(&line) else { continue };
-        let sid = m["sid"].as_str().unwrap_or_default().to_owned();
-        let ready = m["msg"] == "ready";
-        if !ready && m["msg"] != "close" {
+        let Ok(message) = serde_json::from_str::<Value>(&line) else { continue };
+        let sid = message["sid"].as_str().unwrap_or_default().to_owned();
+        let ready = message["msg"] == "ready";
+        if !ready && message["msg"] != "close" {
             continue;
         }
-        let mut guard = lock(books);
-        let b = &mut *guard;
-        match b.open.remove(&sid) {
-            Some(open) => {
-                let took = open.since.elapsed();
-                b.table.answer_times.saturating_record(took.as_micros() as u64);
-                match m["code"].as_u64() {
+        let mut guard = lock(state);
+        let state = &mut *guard;
+        match state.pending.remove(&sid) {
+            Some(call) => {
+                let answer_time = call.sent.elapsed();
+                state.report.answer_times.saturating_record(answer_time.as_micros() as u64);
+                match message["code"].as_u64() {
                     _ if ready => {
-                        b.table.established += 1;
-                        b.table.late += u64::from(took > aim);
-                        b.standing += 1;
+                        state.report.established += 1;
+                        state.report.late += u64::from(answer_time > latency_objective);
+                        state.established += 1;
                     }
-                    Some(34 | 42 | 102) => b.table.refused += 1,
-                    _ => b.table.failed += 1,
+                    Some(34 | 42 | 102) => state.report.refused += 1,
+                    _ => state.report.failed += 1,
                 }
             }
-            None if ready => b.table.duplicate_answers += 1,
+            None if ready => state.report.duplicate_answers += 1,
             None => {
-                b.standing = b.standing.saturating_sub(1);
+                state.established = state.established.saturating_sub(1);
                 drop(guard);
-                let heard = format!("{}\n", json!({"msg": "closed", "sid": sid, "attrs": {}}));
-                drop(writer.write_all(heard.as_bytes()));
+                let reply = format!("{}\n", json!({"msg": "closed", "sid": sid, "attrs": {}}));
+                drop(writer.write_all(reply.as_bytes()));
             }
         }
     }
--- a/crates/standin/src/exchange.rs
+++ b/crates/standin/src/exchange.rs
@@ -1,5 +1,5 @@
-//! A stand-in exchange: takes set-ups, answers after a delay, holds calls for a while and ends them, on as many
-//! circuits as it has.
+//! A stand-in exchange with a limited number of circuits: answers set-ups after a delay and releases calls after a
+//! holding time.
 
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, HashSet};
@@ -10,32 +10,32 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// What kind of exchange it is.
+/// Configuration of an [`Exchange`].
 #[derive(Clone, Copy, Debug)]
 pub struct ExchangeConfig {
-    /// Circuits of the group toward the controller.
+    /// Number of circuits in the trunk group to the controller.
     pub circuits: u32,
-    /// How long a set-up takes.
+    /// Mean time from a set-up to its answer; each delay is drawn between half and one and a half times this.
     pub delay: Duration,
-    /// How long a call stands, on average.
+    /// Mean holding time of a call, drawn in the same way.
     pub hold: Duration,
-    /// For delays and holds.
+    /// Seed of the delays and holding times.
     pub seed: u64,
 }
 
 #[derive(Debug)]
 struct Shared {
-    traits: ExchangeConfig,
+    config: ExchangeConfig,
     busy: AtomicU64,
     set_ups: AtomicU64,
-    /// Takes set-ups and answers none.
-    hangs: AtomicBool,
-    gone: AtomicBool,
-    last: Mutex<Option<Instant>>,
+    /// Set-ups are accepted but not answered.
+    hanging: AtomicBool,
+    stopped: AtomicBool,
+    last_set_up: Mutex<Option<Instant>>,
     streams: Mutex<Vec<TcpStream>>,
 }
 
-/// A running one; it ends when this is dropped.
+/// A running exchange, stopped on drop.
 #[derive(Debug)]
 pub struct Exchange {
     address: SocketAddr,
@@ -43,64 +43,64 @@
 }
 
 impl Exchange {
-    /// Starts one at a free port of loopback, or at `address`.
+    /// Starts an exchange at `address`, or at a free loopback port if that is `None`.
     ///
     /// # Errors
-    /// If the address can't be had.
-    pub fn start(address: Option<SocketAddr>, traits: ExchangeConfig) -> io::Result<Exchange> {
+    /// If the address can't be bound.
+    pub fn start(address: Option<SocketAddr>, config: ExchangeConfig) -> io::Result<Exchange> {
         let listener = TcpListener::bind(address.unwrap_or_else(|| ([127, 0, 0, 1], 0).into()))?;
         let address = listener.local_addr()?;
         let shared = Arc::new(Shared {
-            traits,
+            config,
             busy: AtomicU64::new(0),
             set_ups: AtomicU64::new(0),
-            hangs: AtomicBool::new(false),
-            gone: AtomicBool::new(false),
-            last: Mutex::default(),
+            hanging: AtomicBool::new(false),
+            stopped: AtomicBool::new(false),
+            last_set_up: Mutex::default(),
             streams: Mutex::default(),
         });
-        let here = shared.clone();
+        let accept_shared = shared.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                if here.gone.load(Ordering::SeqCst) {
+                if accept_shared.stopped.load(Ordering::SeqCst) {
                     return;
                 }
-                let shared = here.clone();
+                let shared = accept_shared.clone();
                 std::thread::spawn(move || drop(serve(stream, &shared)));
             }
         });
         Ok(Exchange { address, shared })
     }
 
-    /// Where it listens.
+    /// Returns the listen address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Set-ups that came.
+    /// Returns the number of set-ups received.
     pub fn set_ups(&self) -> u64 {
         self.shared.set_ups.load(Ordering::SeqCst)
     }
 
-    /// When the last one came.
+    /// Returns the time of the last set-up received.
     pub fn last_set_up(&self) -> Option<Instant> {
-        self.shared.last.lock().ok().and_then(|l| *l)
+        self.shared.last_set_up.lock().ok().and_then(|l| *l)
     }
 
-    /// Calls that stand or are being set up.
+    /// Returns the number of circuits in use by established calls and pending set-ups.
     pub fn busy(&self) -> u64 {
         self.shared.busy.load(Ordering::SeqCst)
     }
 
-    /// From now on it takes set-ups and answers none, or no longer.
+    /// While `on`, set-ups are accepted but never answered.
     pub fn hang(&self, on: bool) {
-        self.shared.hangs.store(on, Ordering::SeqCst);
+        self.shared.hanging.store(on, Ordering::SeqCst);
     }
 }
 
 impl Drop for Exchange {
     fn drop(&mut self) {
-        self.shared.gone.store(true, Ordering::SeqCst);
+        self.shared.stopped.store(true, Ordering::SeqCst);
         drop(TcpStream::connect(self.address));
         if let Ok(streams) = self.shared.streams.lock() {
             streams.iter().for_each(|s| drop(s.shutdown(Shutdown::Both)));
@@ -108,8 +108,8 @@
     }
 }
 
-/// What falls due on a connection.
-enum Due {
+/// A scheduled event of a session.
+enum Event {
     Answer(String, String),
     End(String),
 }
@@ -124,47 +124,53 @@
     std::thread::spawn(move || {
         reader.lines().map_while(Result::ok).for_each(|l| drop(lines.send(l)));
     });
-    let mut line =
-        Line { stream, shared, calls: HashSet::new(), dues: BTreeMap::new(), next: 0, told: u64::MAX };
-    let ran = line.run(&inbox);
-    shared.busy.fetch_sub(line.calls.len() as u64, Ordering::SeqCst);
-    ran
+    let mut session = Session {
+        stream,
+        shared,
+        calls: HashSet::new(),
+        events: BTreeMap::new(),
+        next_id: 0,
+        last_reported: u64::MAX,
+    };
+    let result = session.run(&inbox);
+    shared.busy.fetch_sub(session.calls.len() as u64, Ordering::SeqCst);
+    result
 }
 
-struct Line<'a> {
+struct Session<'a> {
     stream: TcpStream,
     shared: &'a Shared,
     calls: HashSet<String>,
-    dues: BTreeMap<(Instant, u64), Due>,
-    next: u64,
-    told: u64,
+    events: BTreeMap<(Instant, u64), Event>,
+    next_id: u64,
+    last_reported: u64,
 }
 
-impl Line<'_> {
+impl Session<'_> {
     fn run(&mut self, inbox: &Receiver<String>) -> io::Result<()> {
-        let mut rng = fastrand::Rng::with_seed(self.shared.traits.seed);
-        let mut status = Instant::now();
+        let mut rng = fastrand::Rng::with_seed(self.shared.config.seed);
+        let mut next_report = Instant::now();
         loop {
-            if Instant::now() >= status {
-                self.tell_group()?;
-                status = Instant::now() + Duration::from_millis(100);
+            if Instant::now() >= next_report {
+                self.report_group()?;
+                next_report = Instant::now() + Duration::from_millis(100);
             }
-            let next = self.dues.keys().next().map_or(status, |k| k.0.min(status));
+            let next = self.events.keys().next().map_or(next_report, |k| k.0.min(next_report));
             match inbox.recv_timeout(next.saturating_duration_since(Instant::now())) {
-                Ok(text) => self.heard(&text, &mut rng)?,
+                Ok(text) => self.handle_message(&text, &mut rng)?,
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return Ok(()),
             }
-            while let Some(due) = self.dues.first_entry().filter(|e| e.key().0 <= Instant::now()) {
-                match due.remove() {
-                    Due::Answer(sid, text) if self.calls.contains(&sid) => {
-                        self.say(&json!({"msg": "ready", "sid": sid, "attrs": {}, "text": text}))?;
-                        let hold = self.shared.traits.hold.mul_f64(0.5 + rng.f64());
-                        self.later(hold, Due::End(sid));
+            while let Some(event) = self.events.first_entry().filter(|e| e.key().0 <= Instant::now()) {
+                match event.remove() {
+                    Event::Answer(sid, text) if self.calls.contains(&sid) => {
+                        self.send(&json!({"msg": "ready", "sid": sid, "attrs": {}, "text": text}))?;
+                        let hold = self.shared.config.hold.mul_f64(0.5 + rng.f64());
+                        self.schedule(hold, Event::End(sid));
                     }
-                    Due::End(sid) if self.calls.contains(&sid) => {
-                        self.end(&sid);
-                        self.say(&json!({"msg": "close", "sid": sid, "attrs": {}, "code": 16}))?;
+                    Event::End(sid) if self.calls.contains(&sid) => {
+                        self.end_call(&sid);
+                        self.send(&json!({"msg": "close", "sid": sid, "attrs": {}, "code": 16}))?;
                     }
                     _ => {}
                 }
@@ -172,67 +178,68 @@
         }
     }
 
-    fn heard(&mut self, text: &str, rng: &mut fastrand::Rng) -> io::Result<()> {
-        let Ok(m) = serde_json::from_str::<Value>(text) else { return Ok(()) };
-        let sid = m["sid"].as_str().unwrap_or_default().to_owned();
-        match m["msg"].as_str() {
+    fn handle_message(&mut self, text: &str, rng: &mut fastrand::Rng) -> io::Result<()> {
+        let Ok(message) = serde_json::from_str::<Value>(text) else { return Ok(()) };
+        let sid = message["sid"].as_str().unwrap_or_default().to_owned();
+        match message["msg"].as_str() {
             Some("open") => {
                 self.shared.set_ups.fetch_add(1, Ordering::SeqCst);
-                if let Ok(mut last) = self.shared.last.lock() {
-                    *last = Some(Instant::now());
+                if let Ok(mut last_set_up) = self.shared.last_set_up.lock() {
+                    *last_set_up = Some(Instant::now());
                 }
-                if self.shared.busy.load(Ordering::SeqCst) >= self.shared.traits.circuits.into() {
+                if self.shared.busy.load(Ordering::SeqCst) >= self.shared.config.circuits.into() {
                     let attrs = json!({"note": "no_path", "load": self.load()});
-                    return self.say(&json!({"msg": "close", "sid": sid, "attrs": attrs, "code": 34}));
+                    return self.send(&json!({"msg": "close", "sid": sid, "attrs": attrs, "code": 34}));
                 }
                 self.shared.busy.fetch_add(1, Ordering::SeqCst);
                 self.calls.insert(sid.clone());
-                if !self.shared.hangs.load(Ordering::SeqCst) {
-                    let delay = self.shared.traits.delay.mul_f64(0.5 + rng.f64());
-                    let text = m["text"].as_str().unwrap_or_default().to_owned();
-                    self.later(delay, Due::Answer(sid, text));
+                if !self.shared.hanging.load(Ordering::SeqCst) {
+                    let delay = self.shared.config.delay.mul_f64(0.5 + rng.f64());
+                    let text = message["text"].as_str().unwrap_or_default().to_owned();
+                    self.schedule(delay, Event::Answer(sid, text));
                 }
             }
             Some("close") => {
-                self.end(&sid);
-                self.say(&json!({"msg": "closed", "sid": sid, "attrs": {}}))?;
+                self.end_call(&sid);
+                self.send(&json!({"msg": "closed", "sid": sid, "attrs": {}}))?;
             }
             Some("probe") => {
                 let attrs = json!({"load": self.load()});
-                self.say(&json!({"msg": "probed", "sid": sid, "attrs": attrs, "code": 1}))?;
+                self.send(&json!({"msg": "probed", "sid": sid, "attrs": attrs, "code": 1}))?;
             }
             _ => {}
         }
         Ok(())
     }
 
-    fn end(&mut self, sid: &str) {
+    fn end_call(&mut self, sid: &str) {
         if self.calls.remove(sid) {
             self.shared.busy.fetch_sub(1, Ordering::SeqCst);
         }
     }
 
-    fn later(&mut self, after: Duration, due: Due) {
-        self.next += 1;
-        self.dues.insert((Instant::now() + after, self.next), due);
+    fn schedule(&mut self, after: Duration, event: Event) {
+        self.next_id += 1;
+        self.events.insert((Instant::now() + after, self.next_id), event);
     }
 
     fn load(&self) -> String {
-        let (all, busy) = (u64::from(self.shared.traits.circuits), self.shared.busy.load(Ordering::SeqCst));
-        format!("x0:{};x1:{all};latency_ms:5;qps:-1", all.saturating_sub(busy))
+        let (circuits, busy) =
+            (u64::from(self.shared.config.circuits), self.shared.busy.load(Ordering::SeqCst));
+        format!("x0:{};x1:{circuits};latency_ms:5;qps:-1", circuits.saturating_sub(busy))
     }
 
-    /// Tells of the group: first of all, and ten times a second while it changes.
-    fn tell_group(&mut self) -> io::Result<()> {
+    /// Reports the state of the trunk group. Sends nothing while the group was idle at the last report and still is.
+    fn report_group(&mut self) -> io::Result<()> {
         let busy = self.shared.busy.load(Ordering::SeqCst);
-        if std::mem::replace(&mut self.told, busy) == busy && busy == 0 {
+        if std::mem::replace(&mut self.last_reported, busy) == busy && busy == 0 {
             return Ok(());
         }
         let attrs = json!({"load": self.load()});
-        self.say(&json!({"msg": "status", "sid": "", "attrs": attrs}))
+        self.send(&json!({"msg": "status", "sid": "", "attrs": attrs}))
     }
 
-    fn say(&mut self, message: &Value) -> io::Result<()> {
+    fn send(&mut self, message: &Value) -> io::Result<()> {
         self.stream.write_all(format!("{message}\n").as_bytes())
     }
 }
--- a/crates/standin/src/faulty/path.rs
+++ b/crates/standin/src/faulty/path.rs
@@ -98,7 +98,7 @@
     pub fn unshut(&self) {
         self.shut.set(self.shut.get().saturating_sub(1));
         if let Some(host) = self.host.borrow_mut().as_mut().filter(|_| self.shut.get() == 0) {
-            host.come_back().expect("loopback can be listened on");
+            host.restore().expect("loopback can be listened on");
         }
     }
 
--- a/crates/standin/src/host.rs
+++ b/crates/standin/src/host.rs
@@ -1,4 +1,4 @@
-//! A listening host that can vanish: its open connections stay open and silent, and new ones never come up.
+//! A TCP listener whose host can become unreachable: connection attempts then time out instead of being refused.
 
 use socket2::{Domain, Protocol, SockRef, Socket, Type};
 use std::io;
@@ -6,27 +6,28 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Connections that may wait to be accepted while the host is there.
+/// Accept backlog while the host is reachable.
 const BACKLOG: i32 = 128;
-/// Connections that fill the system's queue of one while the host is gone.
+/// Connections that fill the accept queue, whose length is 1, while the host is unreachable.
 const FILLERS: usize = 4;
-/// How often a waiting accept looks again.
-const POLL: Duration = Duration::from_millis(1);
+/// Interval between two polls of a blocking accept.
+const POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// A listener whose host can vanish and come back.
+/// A listener whose host can become unreachable and be restored.
 #[derive(Debug)]
 pub struct Host {
     listener: TcpListener,
     address: SocketAddr,
-    /// While it is gone: connections of its own that fill the system's queue, so that no other comes up.
+    /// Connections to the listener itself that fill the accept queue while the host is unreachable, so that the
+    /// kernel drops other connection attempts.
     fillers: Vec<Socket>,
 }
 
 impl Host {
-    /// Listens at this address of loopback.
+    /// Listens at a loopback address.
     ///
     /// # Errors
-    /// If the address can't be had.
+    /// If the address can't be bound.
     pub fn listen(address: SocketAddr) -> io::Result<Host> {
         let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
         socket.set_reuse_address(true)?;
@@ -38,15 +39,15 @@
         Ok(Host { listener, address, fillers: Vec::new() })
     }
 
-    /// Where it listens.
+    /// Returns the listen address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// A connection that has come up, if there is one.
+    /// Accepts a connection if one is pending.
     ///
     /// # Errors
-    /// If accepting fails for another reason than that none waits.
+    /// If accepting fails.
     pub fn poll_accept(&self) -> io::Result<Option<TcpStream>> {
         match self.listener.accept() {
             Ok((stream, _)) => {
@@ -59,12 +60,12 @@
         }
     }
 
-    /// Waits for a connection to come up.
+    /// Waits for a connection and accepts it.
     ///
     /// # Errors
-    /// If none does within `limit`, or accepting fails.
-    pub fn accept(&self, limit: Duration) -> io::Result<TcpStream> {
-        let end = Instant::now() + limit;
+    /// If none is pending within `timeout`, or accepting fails.
+    pub fn accept(&self, timeout: Duration) -> io::Result<TcpStream> {
+        let end = Instant::now() + timeout;
         loop {
             if let Some(stream) = self.poll_accept()? {
                 return Ok(stream);
@@ -72,33 +73,33 @@
             if Instant::now() >= end {
                 return Err(io::ErrorKind::TimedOut.into());
             }
-            thread::sleep(POLL);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// From here on no new connection comes up. What came up and was not accepted is reset. Open connections are
-    /// the caller's to keep silent.
+    /// Makes the host unreachable for new connections and resets connections that are not accepted yet. Accepted
+    /// connections stay open; the caller must stop to read and write them.
     ///
     /// # Errors
-    /// If the system's queue can't be filled.
+    /// If the accept queue can't be filled.
     pub fn vanish(&mut self) -> io::Result<()> {
         while self.poll_accept()?.is_some() {}
         SockRef::from(&self.listener).listen(0)?;
         for _ in 0..FILLERS {
             let socket = Socket::new(Domain::for_address(self.address), Type::STREAM, Some(Protocol::TCP))?;
             socket.set_nonblocking(true)?;
-            // Those that find the queue full never come up; that is what they are for.
+            // Connection attempts that find the queue full never complete, as intended.
             let _ = socket.connect(&self.address.into());
             self.fillers.push(socket);
         }
         Ok(())
     }
 
-    /// New connections come up again.
+    /// Makes the host reachable again.
     ///
     /// # Errors
-    /// If the system refuses to listen.
-    pub fn come_back(&mut self) -> io::Result<()> {
+    /// If the backlog can't be set.
+    pub fn restore(&mut self) -> io::Result<()> {
         self.fillers.clear();
         while self.poll_accept()?.is_some() {}
         SockRef::from(&self.listener).listen(BACKLOG)
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,5 +1,5 @@
-//! Stand-in exchanges and callers on loopback, from the protocol's page only: for the demonstration, tests and
-//! measurements. They are as small as these need; no rule of the controller is in here.
+//! Stand-in exchanges and callers on loopback for the demonstration, tests and measurements. They implement the
+//! protocol from its specification and share no code with the controller.
 #![forbid(unsafe_code)]
 
 mod callers;
--- a/tests/incident_75a3cb.rs
+++ b/tests/incident_75a3cb.rs
@@ -103,7 +103,7 @@
     let since = site.vanish();
     // The coordinator is silent; the replacement knows nothing of the call.
     thread::sleep(Duration::from_millis(2_500));
-    site.host.come_back().unwrap();
+    site.host.restore().unwrap();
     let _replacement = talking(&site.host);
     told_in_time(&mut site.caller, &sid(11), since);
 }
