--- a/crates/standin/src/faulty/client.rs
+++ b/crates/standin/src/faulty/client.rs
@@ -2,8 +2,8 @@
 
 use super::connection::{Connection, Input};
 use super::path::Network;
-use super::record::{Answer, What};
-use super::Lab;
+use super::record::{Answer, EventKind};
+use super::Testbed;
 use async_io::{Async, Timer};
 use serde_json::{json, Value};
 use std::cell::{Cell, RefCell};
@@ -24,11 +24,11 @@
 /// A connection that carries no call is ended after this.
 const RESTING: Duration = Duration::from_secs(4);
 /// Times that a refused request is made anew by a client that repeats too often.
-const REPEATS: u32 = 5;
+const MAX_REDIALS: u32 = 5;
 
 /// What a client does.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Manners {
+pub struct ClientBehavior {
     /// Requests a second.
     pub rate: f64,
     /// The class of its requests, by its name, and how long it waits (ms).
@@ -36,18 +36,18 @@
     /// How long it waits for an answer (ms).
     pub left_ms: u64,
     /// Requests given up before their time, in percent.
-    pub gives_up: u64,
+    pub early_cancel_percent: u64,
     /// It makes a refused request anew at once.
-    pub repeats: bool,
+    pub redials: bool,
     /// It writes in pieces.
-    pub in_pieces: bool,
+    pub fragmented: bool,
     /// It answers no release, and ends its connection now and then while answers are on their way.
-    pub hangs_up: u64,
+    pub disconnect_percent: u64,
 }
 
 /// Something that a bad client does once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mischief {
+pub enum Misbehavior {
     /// It sends what is no message.
     Garbage,
     /// It stops within a message.
@@ -66,7 +66,7 @@
     sent: Instant,
     left_ms: u64,
     again: bool,
-    repeats: u32,
+    redials: u32,
     /// It was given up by its client: no answer is owed.
     given_up: bool,
     /// Its last byte has been written.
@@ -74,7 +74,7 @@
 }
 
 /// Calls that stand at a controller's clients: a release may come on the connection of any of them.
-pub type Standing = Rc<RefCell<BTreeSet<String>>>;
+pub type EstablishedCalls = Rc<RefCell<BTreeSet<String>>>;
 
 /// The controller that clients are of.
 #[derive(Clone)]
@@ -86,14 +86,14 @@
     /// Exchanges that there are.
     pub exchanges: usize,
     /// Its clients' calls.
-    pub standing: Standing,
+    pub standing: EstablishedCalls,
 }
 
 /// A client.
 pub struct Client {
-    lab: Lab,
+    testbed: Testbed,
     server: Server,
-    manners: Manners,
+    behavior: ClientBehavior,
     network: Rc<Network>,
     connection: RefCell<Option<Rc<Connection>>>,
     pending: RefCell<BTreeMap<String, Pending>>,
@@ -106,15 +106,15 @@
 
 impl Client {
     /// Starts a client of this controller.
-    pub fn start(lab: &Lab, server: &Server, manners: Manners) -> Rc<Client> {
+    pub fn start(testbed: &Testbed, server: &Server, behavior: ClientBehavior) -> Rc<Client> {
         let (connection, pending, answered, over, left, network) = Default::default();
         let network: Rc<Network> = network;
-        network.pieces.set(manners.in_pieces);
-        let lab = lab.clone();
+        network.pieces.set(behavior.fragmented);
+        let testbed = testbed.clone();
         let client = Rc::new(Client {
-            lab,
+            testbed,
             server: server.clone(),
-            manners,
+            behavior,
             network,
             connection,
             pending,
@@ -122,8 +122,8 @@
             over,
             left,
         });
-        client.lab.spawn(client.clone().keep_connected());
-        client.lab.spawn(client.clone().make_requests());
+        client.testbed.spawn(client.clone().keep_connected());
+        client.testbed.spawn(client.clone().make_requests());
         client
     }
 
@@ -161,7 +161,7 @@
                 Timer::after(AGAIN).await;
                 continue;
             };
-            let connection = Connection::new(self.lab.below(u64::MAX), stream, self.network.clone());
+            let connection = Connection::new(self.testbed.below(u64::MAX), stream, self.network.clone());
             *self.connection.borrow_mut() = Some(connection.clone());
             self.send_crossed(&connection);
             let here = self.clone();
@@ -182,7 +182,7 @@
             let crossed = p.written && p.sent.elapsed() <= CROSSED && !p.again;
             if !crossed && !p.given_up && p.written {
                 let after_us = p.sent.elapsed().as_micros() as u64;
-                self.lab.recorder.note(What::Broken { sid: sid.clone(), after_us });
+                self.testbed.recorder.record(EventKind::Broken { sid: sid.clone(), after_us });
             }
             crossed
         });
@@ -191,7 +191,7 @@
     /// A refused connection proves that nothing ran.
     fn refused(&self) {
         for (sid, _) in std::mem::take(&mut *self.pending.borrow_mut()) {
-            self.lab.recorder.note(What::RefusedConnection { sid });
+            self.testbed.recorder.record(EventKind::RefusedConnection { sid });
         }
     }
 
@@ -199,17 +199,17 @@
         for (sid, pending) in self.pending.borrow_mut().iter_mut() {
             (pending.again, pending.connection) = (true, connection.number);
             let (sid, number) = (sid.clone(), connection.number);
-            self.lab.recorder.note(What::RequestSentAgain { sid, connection: number });
+            self.testbed.recorder.record(EventKind::RequestSentAgain { sid, connection: number });
             connection.send_raw(pending.line.clone().into_bytes());
         }
     }
 
     async fn make_requests(self: Rc<Self>) {
         while !self.over.get() {
-            let gap = 2.0 * self.lab.below(1_000) as f64 / 1_000.0 / self.manners.rate.max(0.1);
+            let gap = 2.0 * self.testbed.below(1_000) as f64 / 1_000.0 / self.behavior.rate.max(0.1);
             Timer::after(Duration::from_secs_f64(gap)).await;
             self.clone().request(0);
-            if self.lab.chance(self.manners.hangs_up) {
+            if self.testbed.chance(self.behavior.disconnect_percent) {
                 if let Some(connection) = &*self.connection.borrow() {
                     self.pending.borrow_mut().values_mut().for_each(|p| p.given_up = true);
                     connection.close();
@@ -218,21 +218,21 @@
         }
     }
 
-    fn request(self: Rc<Self>, repeats: u32) {
+    fn request(self: Rc<Self>, redials: u32) {
         let Some(connection) = self.connection.borrow().clone().filter(|c| !c.ended()) else { return };
-        let sid = format!("{:016x}", self.lab.below(u64::MAX));
+        let sid = format!("{:016x}", self.testbed.below(u64::MAX));
         let line = format!(
             "{}\n",
-            set_up(&sid, self.lab.below(self.server.exchanges as u64) + 1, &self.manners, repeats)
+            set_up(&sid, self.testbed.below(self.server.exchanges as u64) + 1, &self.behavior, redials)
         );
-        let left_ms = self.manners.left_ms;
+        let left_ms = self.behavior.left_ms;
         let pending = Pending {
             line: line.clone(),
             connection: connection.number,
             sent: Instant::now(),
             left_ms,
             again: false,
-            repeats,
+            redials,
             given_up: false,
             written: false,
         };
@@ -243,14 +243,20 @@
 
     /// The last byte of a request is written: its time counts from here.
     fn written(self: Rc<Self>, sid: String, connection: u64) {
-        let (controller, left_ms) = (self.server.controller, self.manners.left_ms);
+        let (controller, left_ms) = (self.server.controller, self.behavior.left_ms);
         if let Some(pending) = self.pending.borrow_mut().get_mut(&sid) {
             (pending.written, pending.sent) = (true, Instant::now());
         }
-        self.lab.recorder.note(What::RequestSent { sid: sid.clone(), controller, connection, left_ms });
-        let early = self.lab.chance(self.manners.gives_up).then(|| self.lab.below(left_ms / 2));
+        self.testbed.recorder.record(EventKind::RequestSent {
+            sid: sid.clone(),
+            controller,
+            connection,
+            left_ms,
+        });
+        let early =
+            self.testbed.chance(self.behavior.early_cancel_percent).then(|| self.testbed.below(left_ms / 2));
         let here = self.clone();
-        self.lab.spawn(async move { here.wait_for_answer(sid, early).await });
+        self.testbed.spawn(async move { here.wait_for_answer(sid, early).await });
     }
 
     async fn wait_for_answer(&self, sid: String, early_ms: Option<u64>) {
@@ -258,7 +264,7 @@
             Timer::after(Duration::from_millis(ms)).await;
             if let Some(pending) = self.pending.borrow_mut().get_mut(&sid) {
                 pending.given_up = true;
-                self.lab.recorder.note(What::GivenUp { sid: sid.clone() });
+                self.testbed.recorder.record(EventKind::GivenUp { sid: sid.clone() });
                 self.say(&json!({"msg": "close", "sid": sid, "attrs": {}, "code": 16}));
             }
         }
@@ -278,7 +284,7 @@
         }
         if let Some(pending) = self.pending.borrow_mut().remove(&sid) {
             if !pending.given_up {
-                self.lab.recorder.note(What::Unanswered { sid: sid.clone() });
+                self.testbed.recorder.record(EventKind::Unanswered { sid: sid.clone() });
                 self.say(&json!({"msg": "close", "sid": sid, "attrs": {}, "code": 16}));
             }
         }
@@ -293,7 +299,7 @@
     fn heard(self: Rc<Self>, connection: &Rc<Connection>, line: &str) {
         let Ok(message) = serde_json::from_str::<Value>(line) else {
             let (controller, line) = (self.server.controller, line.to_owned());
-            return self.lab.recorder.note(What::Unreadable { controller, line });
+            return self.testbed.recorder.record(EventKind::Unreadable { controller, line });
         };
         let sid = message["sid"].as_str().unwrap_or_default().to_owned();
         let code = message["code"].as_u64().unwrap_or_default();
@@ -303,7 +309,7 @@
                 self.final_answer(connection, sid, Answer::Stands(text), line);
             }
             Some("close") if self.server.standing.borrow_mut().remove(&sid) => {
-                self.lab.recorder.note(What::Told { sid: sid.clone(), code });
+                self.testbed.recorder.record(EventKind::Told { sid: sid.clone(), code });
                 connection.send(&json!({"msg": "closed", "sid": sid, "attrs": {}}));
             }
             Some("close") if self.pending.borrow().contains_key(&sid) => {
@@ -319,32 +325,32 @@
 
     fn final_answer(self: Rc<Self>, connection: &Rc<Connection>, sid: String, answer: Answer, line: &str) {
         if !self.answered.borrow_mut().insert(sid.clone()) {
-            return self.lab.recorder.note(What::AnsweredTwice { sid, message: line.to_owned() });
+            return self.testbed.recorder.record(EventKind::AnsweredTwice { sid, message: line.to_owned() });
         }
         let pending = self.pending.borrow_mut().remove(&sid);
         let stands = matches!(answer, Answer::Stands(_));
         let refused = matches!(answer, Answer::Refused(_));
-        self.lab.recorder.note(What::Answered { sid: sid.clone(), answer });
+        self.testbed.recorder.record(EventKind::Answered { sid: sid.clone(), answer });
         let wanted = pending.as_ref().is_some_and(|p| !p.given_up);
         if stands && wanted {
             self.server.standing.borrow_mut().insert(sid);
         } else if stands {
             // It crossed the giving up.
-            self.lab.recorder.note(What::ClientReleased { sid: sid.clone() });
+            self.testbed.recorder.record(EventKind::ClientReleased { sid: sid.clone() });
             connection.send(&json!({"msg": "close", "sid": sid, "attrs": {}, "code": 16}));
-        } else if let Some(p) =
-            pending.filter(|p| refused && self.manners.repeats && p.repeats < REPEATS && !self.over.get())
+        } else if let Some(p) = pending
+            .filter(|p| refused && self.behavior.redials && p.redials < MAX_REDIALS && !self.over.get())
         {
-            self.request(p.repeats + 1);
+            self.request(p.redials + 1);
         }
     }
 }
 
-fn set_up(sid: &str, to: u64, manners: &Manners, repeats: u32) -> Value {
-    let mut attrs = json!({"class": manners.class, "left": manners.left_ms.to_string(),
+fn set_up(sid: &str, to: u64, behavior: &ClientBehavior, redials: u32) -> Value {
+    let mut attrs = json!({"class": behavior.class, "left": behavior.left_ms.to_string(),
         "extras": format!("dest:{to};width:1;via:-1")});
-    if repeats > 0 {
-        attrs["retry"] = json!(repeats.to_string());
+    if redials > 0 {
+        attrs["retry"] = json!(redials.to_string());
     }
     json!({"msg": "open", "sid": sid, "attrs": attrs, "text": format!("{sid}\r\nc=IN IP4 127.0.0.1\r\n")})
 }
@@ -353,35 +359,35 @@
 ///
 /// # Errors
 /// If it can't be reached, or ends the connection.
-pub async fn misbehave(lab: Lab, address: SocketAddr, what: Mischief) -> io::Result<()> {
+pub async fn misbehave(testbed: Testbed, address: SocketAddr, what: Misbehavior) -> io::Result<()> {
     use futures_lite::AsyncWriteExt;
     let mut stream = Async::<TcpStream>::connect(address).await?;
-    let manners = Manners { class: "call", left_ms: 2_000, ..Manners::default() };
-    let sid = format!("{:016x}", lab.below(u64::MAX));
-    let line = format!("{}\n", set_up(&sid, 1, &manners, 0));
+    let behavior = ClientBehavior { class: "call", left_ms: 2_000, ..ClientBehavior::default() };
+    let sid = format!("{:016x}", testbed.below(u64::MAX));
+    let line = format!("{}\n", set_up(&sid, 1, &behavior, 0));
     match what {
-        Mischief::Garbage => stream.write_all(b"\x00\xff nonsense {\n").await?,
-        Mischief::HalfMessage => stream.write_all(&line.as_bytes()[..line.len() / 2]).await?,
-        Mischief::SameName => stream.write_all(format!("{line}{line}").as_bytes()).await?,
-        Mischief::SlowWriter => {
+        Misbehavior::Garbage => stream.write_all(b"\x00\xff nonsense {\n").await?,
+        Misbehavior::HalfMessage => stream.write_all(&line.as_bytes()[..line.len() / 2]).await?,
+        Misbehavior::SameName => stream.write_all(format!("{line}{line}").as_bytes()).await?,
+        Misbehavior::SlowWriter => {
             for byte in line.as_bytes() {
                 stream.write_all(&[*byte]).await?;
                 Timer::after(Duration::from_millis(12)).await;
             }
         }
-        Mischief::Mute => {}
+        Misbehavior::Mute => {}
     }
     Timer::after(Duration::from_secs(3)).await;
     Ok(())
 }
 
 /// A crowd: so many connections at once, each with one request.
-pub fn crowd(lab: &Lab, server: &Server, size: usize) -> Vec<Rc<Client>> {
-    let manners = Manners { rate: 0.2, class: "call", left_ms: 2_500, ..Manners::default() };
+pub fn start_flash_crowd(testbed: &Testbed, server: &Server, size: usize) -> Vec<Rc<Client>> {
+    let behavior = ClientBehavior { rate: 0.2, class: "call", left_ms: 2_500, ..ClientBehavior::default() };
     let one = |_| {
-        let client = Client::start(lab, server, manners);
+        let client = Client::start(testbed, server, behavior);
         let first = client.clone();
-        lab.spawn(async move {
+        testbed.spawn(async move {
             while first.connection.borrow().is_none() && !first.over.get() {
                 Timer::after(Duration::from_millis(5)).await;
             }
--- a/crates/standin/src/faulty/coordinator.rs
+++ b/crates/standin/src/faulty/coordinator.rs
@@ -1,7 +1,7 @@
 //! A coordinator that can refuse, hang, fall silent, be slow and end in the middle of an event.
 
-use super::record::What;
-use super::Lab;
+use super::record::EventKind;
+use super::Testbed;
 use crate::host::Host;
 use async_io::{Async, Timer};
 use event_listener::Event;
@@ -56,7 +56,7 @@
 
 /// The coordinator.
 pub struct Coordinator {
-    lab: Lab,
+    testbed: Testbed,
     mode: Cell<Mode>,
     /// The next event ends in the middle.
     cuts: Cell<bool>,
@@ -77,7 +77,7 @@
     /// # Errors
     /// If an address can't be had.
     pub fn start(
-        lab: &Lab,
+        testbed: &Testbed,
         addresses: Vec<Vec<SocketAddr>>,
         exchanges: Vec<Vec<SocketAddr>>,
     ) -> io::Result<Rc<Coordinator>> {
@@ -85,12 +85,21 @@
         let listeners = addresses.iter().map(|places| places.iter().map(listen).collect());
         let listeners = listeners.collect::<io::Result<Vec<Vec<_>>>>()?;
         let (mode, cuts, members, changes, news) = Default::default();
-        let lab = lab.clone();
-        let here =
-            Rc::new(Coordinator { lab, mode, cuts, members, changes, exchanges, addresses, listeners, news });
+        let testbed = testbed.clone();
+        let here = Rc::new(Coordinator {
+            testbed,
+            mode,
+            cuts,
+            members,
+            changes,
+            exchanges,
+            addresses,
+            listeners,
+            news,
+        });
         for (controller, places) in here.listeners.iter().enumerate() {
             for place in 0..places.len() {
-                here.lab.spawn(here.clone().accept(controller, place));
+                here.testbed.spawn(here.clone().accept(controller, place));
             }
         }
         Ok(here)
@@ -102,7 +111,7 @@
         if reachable(mode) != reachable(self.mode.get()) {
             for controller in 0..self.listeners.len() {
                 let reachable = reachable(mode);
-                self.lab.recorder.note(What::CoordinatorReachable { controller, reachable });
+                self.testbed.recorder.record(EventKind::CoordinatorReachable { controller, reachable });
             }
         }
         self.mode.set(mode);
@@ -144,7 +153,7 @@
         } else {
             self.members.borrow_mut().insert(id.clone(), member.clone());
         }
-        self.lab.recorder.note(What::Listed { index, member: id, exchange, phase });
+        self.testbed.recorder.record(EventKind::Listed { index, member: id, exchange, phase });
         self.changes.borrow_mut().push(Change { index, member });
         self.news.notify(usize::MAX);
     }
@@ -166,7 +175,7 @@
             let Some(Ok(Some(stream))) = accepted else { continue };
             let Ok(stream) = Async::new(stream) else { continue };
             let here = self.clone();
-            self.lab.spawn(async move {
+            self.testbed.spawn(async move {
                 let ended = async {
                     here.until(|m| matches!(m, Mode::Refuses | Mode::Hangs)).await;
                     // One that hangs still holds its connections.
@@ -255,7 +264,7 @@
             return Err(io::ErrorKind::ConnectionAborted.into());
         }
         stream.write_all(&bytes).await?;
-        self.lab.recorder.note(What::ListTold { controller, index });
+        self.testbed.recorder.record(EventKind::ListTold { controller, index });
         Ok(index)
     }
 }
--- a/crates/standin/src/faulty/mod.rs
+++ b/crates/standin/src/faulty/mod.rs
@@ -16,7 +16,7 @@
 
 /// What all stand-ins of a trial share.
 #[derive(Clone)]
-pub struct Lab {
+pub struct Testbed {
     /// Runs their tasks.
     pub executor: Rc<LocalExecutor<'static>>,
     /// Writes down what they see.
@@ -24,11 +24,11 @@
     random: Rc<RefCell<ChaCha8Rng>>,
 }
 
-impl Lab {
+impl Testbed {
     /// A lab whose random numbers follow from the seed.
-    pub fn new(seed: u64) -> Lab {
+    pub fn new(seed: u64) -> Testbed {
         let random = Rc::new(RefCell::new(ChaCha8Rng::seed_from_u64(seed)));
-        Lab { executor: Rc::new(LocalExecutor::new()), recorder: Recorder::start(), random }
+        Testbed { executor: Rc::new(LocalExecutor::new()), recorder: Recorder::start(), random }
     }
 
     /// A random number below `end`.
--- a/crates/standin/src/faulty/path.rs
+++ b/crates/standin/src/faulty/path.rs
@@ -1,7 +1,7 @@
 //! The way that one controller has to one place, with a listener of its own for that place.
 
 use super::connection::Connection;
-use super::Lab;
+use super::Testbed;
 use crate::host::Host;
 use async_io::{Async, Timer};
 use event_listener::Event;
@@ -117,7 +117,7 @@
     }
 
     /// Takes connections for as long as the lab runs.
-    pub async fn accept(self: Rc<Self>, lab: Lab, take: impl Fn(Rc<Connection>)) {
+    pub async fn accept(self: Rc<Self>, testbed: Testbed, take: impl Fn(Rc<Connection>)) {
         loop {
             Timer::after(POLL).await;
             if self.shut.get() > 0 || self.hangs.get() {
@@ -127,7 +127,7 @@
             let Some(Ok(Some(stream))) = accepted else { continue };
             let Ok(stream) = Async::new(stream) else { continue };
             self.next.set(self.next.get() + 1);
-            let number = lab.below(u64::MAX) ^ self.next.get();
+            let number = testbed.below(u64::MAX) ^ self.next.get();
             let connection = Connection::new(number, stream, self.network.clone());
             self.connections.borrow_mut().push(connection.clone());
             take(connection);
--- a/crates/trials/src/check/calls.rs
+++ b/crates/trials/src/check/calls.rs
@@ -2,32 +2,32 @@
 
 use super::history::{Attempt, History, Request};
 use super::{Rule, Violation, SLACK};
-use walnuthatch_standin::faulty::record::{At, CallEnd, SetUpEnd};
+use walnuthatch_standin::faulty::record::{CallEnd, Micros, SetUpEnd};
 
 /// No attempt so soon after an unclear end (µs).
-const QUIET: At = 500_000;
+const QUIET: Micros = 500_000;
 /// What waited while a way was closed may come for this long after (µs).
-const BACKLOG: At = 2_000_000;
+const BACKLOG: Micros = 2_000_000;
 /// The end of a call is told within this after its release (µs).
-const TOLD_AFTER_RELEASE: At = 1_000_000;
+const TOLD_AFTER_RELEASE: Micros = 1_000_000;
 /// The same where no release could be sent (µs).
-const TOLD_AFTER_END: At = 8_000_000;
+const TOLD_AFTER_END: Micros = 8_000_000;
 
 pub fn check(history: &History) -> Vec<Violation> {
     let mut found = Vec::new();
     for (sid, attempts) in &history.attempts {
         for pair in attempts.windows(2) {
-            if let Some((rule, what)) = pair_rule(history, &pair[0], &pair[1]) {
-                found.push(Violation { rule, at: pair[1].came, what, sid: Some(sid.clone()) });
+            if let Some((rule, description)) = pair_rule(history, &pair[0], &pair[1]) {
+                found.push(Violation { rule, at: pair[1].came, description, sid: Some(sid.clone()) });
             }
         }
         let Some(request) = history.requests.get(sid) else { continue };
         let stood = request.stood.is_some() && request.released.is_none();
         for attempt in attempts.iter().filter(|_| stood) {
-            found.extend(end_told(history, request, attempt).map(|(at, what)| Violation {
+            found.extend(end_told(history, request, attempt).map(|(at, description)| Violation {
                 rule: Rule::EndNotTold,
                 at,
-                what,
+                description,
                 sid: Some(sid.clone()),
             }));
         }
@@ -47,7 +47,7 @@
         return None;
     }
     let out_until = first.answered.as_ref().map(|a| a.0).or(first.ended.map(|e| e.0));
-    let text = |what: &str| format!("{what}: x{} then x{}", first.exchange, second.exchange);
+    let text = |description: &str| format!("{description}: x{} then x{}", first.exchange, second.exchange);
     if out_until.is_none_or(|end| end > second.came + SLACK) {
         return Some((Rule::TwoAttempts, text("two attempts out")));
     }
@@ -60,7 +60,7 @@
 }
 
 /// When a call's end ought to have been told, if it was not.
-fn end_told(history: &History, request: &Request, attempt: &Attempt) -> Option<(At, String)> {
+fn end_told(history: &History, request: &Request, attempt: &Attempt) -> Option<(Micros, String)> {
     let (ended, end) = attempt.call_ended?;
     let (controller, exchange) = (attempt.controller, attempt.exchange);
     let limit = match end {
--- a/crates/trials/src/check/exchanges.rs
+++ b/crates/trials/src/check/exchanges.rs
@@ -2,23 +2,23 @@
 
 use super::history::{Attempt, Change, History};
 use super::{Rule, Violation, SLACK};
-use walnuthatch_standin::faulty::record::At;
+use walnuthatch_standin::faulty::record::Micros;
 
 /// A change counts as told this long after the coordinator has it (µs).
-const TOLD: At = 7_000_000;
+const TOLD: Micros = 7_000_000;
 /// The same, since a coordinator that could not be reached can be.
-const TOLD_AFTER_OUTAGE: At = 6_000_000;
+const TOLD_AFTER_OUTAGE: Micros = 6_000_000;
 /// Set-ups to an exchange that drains must end within this (µs).
-const DRAIN: At = 250_000;
+const DRAIN: Micros = 250_000;
 /// A new exchange is connected to this long after it is told, at the latest (µs): connections are tried again at
 /// growing waits of up to a second.
-const CONNECTED: At = 2_500_000;
+const CONNECTED: Micros = 2_500_000;
 /// The settings of the trials: a cold exchange falls when pushed for this long (µs), by this multiple of its
 /// capacity, which grows from this share to the whole in this time (µs).
-const FALL: At = 2_000_000;
+const FALL: Micros = 2_000_000;
 const OVERLOAD: f64 = 2.5;
 const COLD_FROM: f64 = 0.35;
-const COLD: At = 15_000_000;
+const COLD: Micros = 15_000_000;
 /// A warm exchange takes this multiple of what it gets on average.
 const CAPACITY: f64 = 1.5;
 
@@ -30,7 +30,7 @@
 }
 
 /// When a change counts as told to a controller.
-fn told(history: &History, controller: usize, change: &Change) -> At {
+fn told(history: &History, controller: usize, change: &Change) -> Micros {
     let reach = history.reachable_from(change.at);
     let rule = if reach == change.at { change.at + TOLD } else { reach.saturating_add(TOLD_AFTER_OUTAGE) };
     let told = history.told.get(&(controller, change.index)).copied();
@@ -56,16 +56,21 @@
         let limit = told.saturating_add(DRAIN + SLACK);
         if attempt.came > limit && history.open(controller, exchange, told, attempt.came) {
             let late = (attempt.came - told) / 1000;
-            let what =
+            let description =
                 format!("n{controller} sent to x{exchange} ({}) {late} ms after it was told", first.phase);
-            found.push(Violation { rule: Rule::Drain, at: attempt.came, what, sid: Some(sid.clone()) });
+            found.push(Violation {
+                rule: Rule::Drain,
+                at: attempt.came,
+                description,
+                sid: Some(sid.clone()),
+            });
         }
     }
     found
 }
 
 /// When the member of a change was last listed as up before it.
-fn last_up(history: &History, change: &Change) -> At {
+fn last_up(history: &History, change: &Change) -> Micros {
     let up = |c: &&Change| c.member == change.member && c.phase == "up" && c.at <= change.at;
     history.changes.iter().rev().find(up).map_or(0, |c| c.at)
 }
@@ -79,7 +84,7 @@
             history.changes.iter().find(|c| c.exchange == exchange && c.phase == "up" && c.at >= started);
         let knows = |a: &Attempt| listed.is_some_and(|c| a.came >= told(history, a.controller, c));
         let to = |a: &&Attempt| a.exchange == exchange && a.came >= started && a.came < started + COLD;
-        let mut sent: Vec<(At, bool)> =
+        let mut sent: Vec<(Micros, bool)> =
             history.attempts.values().flatten().filter(to).map(|a| (a.came, knows(a))).collect();
         sent.sort_unstable();
         for (first, &(from, _)) in sent.iter().enumerate() {
@@ -90,8 +95,8 @@
             let allowed = OVERLOAD * CAPACITY * history.mean_rate * share * (FALL as f64 / 1e6);
             let most = allowed + 2.0 * allowed.sqrt() + 2.0;
             if all as f64 > most && 3 * known > 2 * all {
-                let what = format!("x{exchange} got {all} set-ups in 2 s, {most:.0} at most");
-                found.push(Violation { rule: Rule::ColdOverload, at: from, what, sid: None });
+                let description = format!("x{exchange} got {all} set-ups in 2 s, {most:.0} at most");
+                found.push(Violation { rule: Rule::ColdOverload, at: from, description, sid: None });
                 break;
             }
         }
@@ -115,8 +120,9 @@
             let times = history.connected.get(&(controller, change.exchange));
             let connected = times.into_iter().flatten().any(|&t| t + SLACK >= change.at && t <= due);
             if steady && !gone && !connected {
-                let what = format!("n{controller} did not follow {} at x{}", change.member, change.exchange);
-                found.push(Violation { rule: Rule::NewsMissed, at: due, what, sid: None });
+                let description =
+                    format!("n{controller} did not follow {} at x{}", change.member, change.exchange);
+                found.push(Violation { rule: Rule::NewsMissed, at: due, description, sid: None });
             }
         }
     }
--- a/crates/trials/src/check/mod.rs
+++ b/crates/trials/src/check/mod.rs
@@ -11,10 +11,10 @@
 use history::History;
 use serde::Serialize;
 use std::fmt;
-use walnuthatch_standin::faulty::record::{At, What};
+use walnuthatch_standin::faulty::record::{EventKind, Micros};
 
 /// Every limit of sockets is longer by this (µs).
-pub const SLACK: At = 50_000;
+pub const SLACK: Micros = 50_000;
 /// Timers of a trial that ran later than this show that the machine stood still (µs).
 const STOOD_STILL: u64 = 150_000;
 
@@ -57,16 +57,17 @@
     /// Which.
     pub rule: Rule,
     /// When.
-    pub at: At,
+    pub at: Micros,
     /// What happened.
-    pub what: String,
+    #[serde(rename = "what")]
+    pub description: String,
     /// The request that it is about.
     pub sid: Option<String>,
 }
 
 impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:8.3} {:?}: {}", self.at as f64 / 1e6, self.rule, self.what)?;
+        write!(f, "{:8.3} {:?}: {}", self.at as f64 / 1e6, self.rule, self.description)?;
         self.sid.as_ref().map_or(Ok(()), |sid| write!(f, " [{sid}]"))
     }
 }
@@ -94,13 +95,13 @@
     violations.extend(exchanges::check(&history));
     violations.extend(processes::check(&history));
     violations.sort_by_key(|v| v.at);
-    let late = |w: &What| matches!(w, What::Clock { late_us } if *late_us > STOOD_STILL);
-    let held = record.events.iter().filter_map(|e| match &e.what {
-        What::Resources { rss_kb, descriptors, .. } => Some((*rss_kb, *descriptors)),
+    let late = |w: &EventKind| matches!(w, EventKind::Clock { late_us } if *late_us > STOOD_STILL);
+    let held = record.events.iter().filter_map(|e| match &e.kind {
+        EventKind::Resources { rss_kb, descriptors, .. } => Some((*rss_kb, *descriptors)),
         _ => None,
     });
     Verdict {
-        judged: !record.events.iter().any(|e| late(&e.what)),
+        judged: !record.events.iter().any(|e| late(&e.kind)),
         violations,
         requests: history.requests.len(),
         stood: history.requests.values().filter(|r| r.stood.is_some()).count(),
--- a/crates/trials/src/check/processes.rs
+++ b/crates/trials/src/check/processes.rs
@@ -2,16 +2,16 @@
 
 use super::history::{History, Life};
 use super::{Rule, Violation};
-use walnuthatch_standin::faulty::record::At;
+use walnuthatch_standin::faulty::record::Micros;
 
 /// A controller is ready this long after its start (µs).
-const READY: At = 10_000_000;
+const READY: Micros = 10_000_000;
 /// What a controller may hold at the end of a trial: memory (KiB), and descriptors.
 const HOLDS: (u64, u64) = (32 * 1024, 64);
 
 pub fn check(history: &History) -> Vec<Violation> {
     let mut found = Vec::new();
-    let mut add = |rule, at, what| found.push(Violation { rule, at, what, sid: None });
+    let mut add = |rule, at, description| found.push(Violation { rule, at, description, sid: None });
     for (controller, lives) in history.lives.iter().enumerate() {
         for life in lives {
             if let Some((at, why)) = crashed(life) {
@@ -27,19 +27,19 @@
     }
     for &(at, controller, memory, descriptors) in &history.resources {
         if memory > HOLDS.0 || descriptors > HOLDS.1 {
-            let what = format!("n{controller} holds {memory} KiB and {descriptors} descriptors");
-            add(Rule::Resources, at, what);
+            let description = format!("n{controller} holds {memory} KiB and {descriptors} descriptors");
+            add(Rule::Resources, at, description);
         }
     }
     // Calls at clients whose controller was started anew may be known to nobody: their ends are judged one by one.
     if let Some((at, (requests, _, busy))) = history.left.filter(|l| (l.1 .0, l.1 .2) != (0, 0)) {
-        let what = format!("{requests} requests at clients, {busy} calls at exchanges");
-        add(Rule::LeftOver, at, what);
+        let description = format!("{requests} requests at clients, {busy} calls at exchanges");
+        add(Rule::LeftOver, at, description);
     }
     found
 }
 
-fn crashed(life: &Life) -> Option<(At, String)> {
+fn crashed(life: &Life) -> Option<(Micros, String)> {
     let (at, code) = life.exited?;
     match (life.term, life.kill, code) {
         (_, Some(_), None) | (Some(_), _, Some(0)) => None,
--- a/crates/trials/src/check/requests.rs
+++ b/crates/trials/src/check/requests.rs
@@ -10,7 +10,8 @@
 pub fn check(history: &History) -> Vec<Violation> {
     let mut found = Vec::new();
     for (sid, request) in &history.requests {
-        let mut add = |rule, at, what| found.push(Violation { rule, at, what, sid: Some(sid.clone()) });
+        let mut add =
+            |rule, at, description| found.push(Violation { rule, at, description, sid: Some(sid.clone()) });
         if let Some((at, why)) = request.no_answer.filter(|_| !excused(history, request)) {
             let after = (at - request.sent) as f64 / 1e6;
             add(Rule::Lost, at, format!("n{}: {why}, {after:.3} s after it was sent", request.controller));
@@ -27,8 +28,8 @@
         }
     }
     let unreadable = |(at, line): &(u64, String)| {
-        let what = format!("a client got {line:?}");
-        Violation { rule: Rule::Unreadable, at: *at, what, sid: None }
+        let description = format!("a client got {line:?}");
+        Violation { rule: Rule::Unreadable, at: *at, description, sid: None }
     };
     found.extend(history.unreadable.iter().map(unreadable));
     found
--- a/crates/trials/src/file.rs
+++ b/crates/trials/src/file.rs
@@ -4,7 +4,7 @@
 use std::fs;
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
-use walnuthatch_standin::faulty::record::{Event, What};
+use walnuthatch_standin::faulty::record::{Event, EventKind};
 
 /// A record and the schedule that it is of.
 #[derive(Clone, Debug)]
@@ -75,7 +75,7 @@
         for (number, line) in lines {
             events.push(serde_json::from_str::<Event>(line).map_err(bad(number + 1))?);
         }
-        if events.last().is_none_or(|e| e.what != What::End) {
+        if events.last().is_none_or(|e| e.kind != EventKind::End) {
             return Err(RecordError::CutShort { path: path.to_owned(), events: events.len() });
         }
         Ok(Record { schedule, events })
--- a/crates/trials/src/main.rs
+++ b/crates/trials/src/main.rs
@@ -6,7 +6,7 @@
 use std::io;
 use std::path::PathBuf;
 use std::process::{Command, ExitCode};
-use walnuthatch_standin::faulty::record::{Event, What};
+use walnuthatch_standin::faulty::record::{Event, EventKind};
 use walnuthatch_trials::check::{check, Verdict};
 use walnuthatch_trials::file::{Record, RecordError};
 use walnuthatch_trials::schedule::{schedule, Schedule};
@@ -210,7 +210,7 @@
         let record = Record::read(&self.file(seed))?;
         println!("{}", record.schedule);
         for event in &record.events {
-            let text = format!("{:?}", event.what);
+            let text = format!("{:?}", event.kind);
             if call.is_some_and(|c| text.contains(c)) || call.is_none() && !about_a_call(event) {
                 println!("{:9.3} {text}", event.at as f64 / 1e6);
             }
@@ -246,18 +246,18 @@
 
 fn about_a_call(event: &Event) -> bool {
     matches!(
-        event.what,
-        What::RequestSent { .. }
-            | What::RequestSentAgain { .. }
-            | What::Answered { .. }
-            | What::GivenUp { .. }
-            | What::RefusedConnection { .. }
-            | What::Told { .. }
-            | What::ClientReleased { .. }
-            | What::SetUpCame { .. }
-            | What::SetUpAnswered { .. }
-            | What::SetUpEnded { .. }
-            | What::CallEnded { .. }
+        event.kind,
+        EventKind::RequestSent { .. }
+            | EventKind::RequestSentAgain { .. }
+            | EventKind::Answered { .. }
+            | EventKind::GivenUp { .. }
+            | EventKind::RefusedConnection { .. }
+            | EventKind::Told { .. }
+            | EventKind::ClientReleased { .. }
+            | EventKind::SetUpCame { .. }
+            | EventKind::SetUpAnswered { .. }
+            | EventKind::SetUpEnded { .. }
+            | EventKind::CallEnded { .. }
     )
 }
 
--- a/crates/trials/src/trial.rs
+++ b/crates/trials/src/trial.rs
@@ -13,12 +13,14 @@
 use std::path::Path as FilePath;
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use walnuthatch_standin::faulty::client::{crowd, misbehave, Client, Manners, Mischief, Server, Standing};
+use walnuthatch_standin::faulty::client::{
+    misbehave, start_flash_crowd, Client, ClientBehavior, EstablishedCalls, Misbehavior, Server,
+};
 use walnuthatch_standin::faulty::coordinator::{Coordinator, Member, Mode};
-use walnuthatch_standin::faulty::exchange::{Exchange, Habits};
+use walnuthatch_standin::faulty::exchange::{Exchange, FaultRates};
 use walnuthatch_standin::faulty::path::Path;
-use walnuthatch_standin::faulty::record::What;
-use walnuthatch_standin::faulty::Lab;
+use walnuthatch_standin::faulty::record::EventKind;
+use walnuthatch_standin::faulty::Testbed;
 
 /// Circuits of an exchange.
 const CIRCUITS: usize = 60;
@@ -56,7 +58,7 @@
 }
 
 struct Trial {
-    lab: Lab,
+    testbed: Testbed,
     schedule: Schedule,
     controllers: Vec<RefCell<Controller>>,
     /// A controller is being restarted.
@@ -90,15 +92,15 @@
 /// If an address can't be had, a file can't be written, or the program can't be started.
 pub fn play(schedule: &Schedule, program: &FilePath, folder: &FilePath, job: u8) -> io::Result<Record> {
     let trial = Rc::new(Trial::new(schedule, program, folder, job)?);
-    let executor = trial.lab.executor.clone();
+    let executor = trial.testbed.executor.clone();
     async_io::block_on(executor.run(trial.clone().run()))?;
-    trial.lab.recorder.note(What::End);
-    Ok(Record { schedule: schedule.clone(), events: trial.lab.recorder.events() })
+    trial.testbed.recorder.record(EventKind::End);
+    Ok(Record { schedule: schedule.clone(), events: trial.testbed.recorder.events() })
 }
 
 impl Trial {
     fn new(schedule: &Schedule, program: &FilePath, folder: &FilePath, job: u8) -> io::Result<Trial> {
-        let lab = Lab::new(schedule.seed);
+        let testbed = Testbed::new(schedule.seed);
         let mut addresses = Addresses { job, next: 0 };
         let mut some = |n: usize| (0..n).map(|_| addresses.next()).collect::<Vec<_>>();
         let listens = some(schedule.controllers);
@@ -107,24 +109,24 @@
         let mut places = Vec::new();
         for number in 0..schedule.exchanges {
             let paths = exchanges.iter().map(|of| Path::new(of[number])).collect::<io::Result<Vec<_>>>()?;
-            let exchange = Exchange::start(&lab, number, CIRCUITS, paths);
+            let exchange = Exchange::start(&testbed, number, CIRCUITS, paths);
             let member = RefCell::new(format!("s-{number}"));
             places.push(Place { exchange, member, replaced: Cell::default(), taken: Cell::default() });
         }
-        let coordinator = Coordinator::start(&lab, coordinators.clone(), exchanges)?;
+        let coordinator = Coordinator::start(&testbed, coordinators.clone(), exchanges)?;
         let controller = |(number, listen): (usize, &SocketAddr)| {
             let places = Places { listen: *listen, coordinator: coordinators[number].clone() };
             RefCell::new(Controller::new(number, places, folder, program, schedule.give_up))
         };
         let controllers = listens.iter().enumerate().map(controller).collect();
         let server = |(controller, &address): (usize, &SocketAddr)| {
-            let (exchanges, standing) = (schedule.exchanges, Standing::default());
+            let (exchanges, standing) = (schedule.exchanges, EstablishedCalls::default());
             Server { controller, address, exchanges, standing }
         };
         let servers = listens.iter().enumerate().map(server).collect();
         Ok(Trial {
             restarting: listens.iter().map(|_| Cell::default()).collect(),
-            lab,
+            testbed,
             schedule: schedule.clone(),
             controllers,
             servers,
@@ -138,22 +140,22 @@
 
     async fn run(self: Rc<Self>) -> io::Result<()> {
         let worst = Rc::new(Cell::new(0));
-        self.lab.spawn(measure_clock(worst.clone()));
+        self.testbed.spawn(measure_clock(worst.clone()));
         for number in 0..self.places.len() {
             self.list(number, "up", 0);
         }
         for number in 0..self.controllers.len() {
             self.start(number)?;
         }
-        self.lab.spawn(self.clone().watch());
+        self.testbed.spawn(self.clone().watch());
         self.until_all_passed().await?;
         self.start_clients();
         for planned in self.schedule.planned.clone() {
             let here = self.clone();
-            self.lab.spawn(async move {
+            self.testbed.spawn(async move {
                 sleep(planned.at).await;
                 let text = format!("{:?}", planned.fault);
-                here.lab.recorder.note(What::Fault { text });
+                here.testbed.recorder.record(EventKind::Fault { text });
                 here.happen(planned.fault).await;
             });
         }
@@ -162,26 +164,30 @@
         self.settle().await;
         self.note_resources("settled");
         self.stop_all().await;
-        self.lab.recorder.note(What::Clock { late_us: worst.get() });
+        self.testbed.recorder.record(EventKind::Clock { late_us: worst.get() });
         Ok(())
     }
 
     fn start_clients(&self) {
-        let manners = Manners {
+        let behavior = ClientBehavior {
             rate: self.schedule.rate as f64,
             class: "call",
             left_ms: self.schedule.left,
-            ..Manners::default()
+            ..ClientBehavior::default()
         };
         for server in &self.servers {
             for n in 0..CLIENTS {
-                let manners = match n {
-                    0 => Manners { gives_up: self.schedule.give_up_early, repeats: true, ..manners },
-                    1 => Manners { in_pieces: true, ..manners },
-                    2 => Manners { hangs_up: self.schedule.hang_up, ..manners },
-                    _ => manners,
+                let behavior = match n {
+                    0 => ClientBehavior {
+                        early_cancel_percent: self.schedule.give_up_early,
+                        redials: true,
+                        ..behavior
+                    },
+                    1 => ClientBehavior { fragmented: true, ..behavior },
+                    2 => ClientBehavior { disconnect_percent: self.schedule.hang_up, ..behavior },
+                    _ => behavior,
                 };
-                let client = Client::start(&self.lab, server, manners);
+                let client = Client::start(&self.testbed, server, behavior);
                 self.clients.borrow_mut().push(client);
             }
         }
@@ -192,11 +198,11 @@
     fn start(&self, number: usize) -> io::Result<()> {
         self.configure(number)?;
         let pid = self.controllers[number].borrow_mut().start()?;
-        self.lab.recorder.note(What::Started { controller: number, pid });
-        let (lab, address) = (self.lab.clone(), self.servers[number].address);
-        self.lab.spawn(async move {
+        self.testbed.recorder.record(EventKind::Started { controller: number, pid });
+        let (testbed, address) = (self.testbed.clone(), self.servers[number].address);
+        self.testbed.spawn(async move {
             if test_until_passed(address).await {
-                lab.recorder.note(What::Ready { controller: number });
+                testbed.recorder.record(EventKind::Ready { controller: number });
             }
         });
         Ok(())
@@ -204,7 +210,7 @@
 
     fn configure(&self, number: usize) -> io::Result<()> {
         let known = self.coordinator.known(number);
-        let seed = self.lab.below(u64::MAX);
+        let seed = self.testbed.below(u64::MAX);
         self.controllers[number].borrow().configure(self.coordinator_at.get(), &known, seed)
     }
 
@@ -213,12 +219,12 @@
         let end = Instant::now() + Duration::from_millis(FIRST_START);
         loop {
             sleep(LOOK).await;
-            let events = self.lab.recorder.events();
-            let passed = events.iter().filter(|e| matches!(e.what, What::Ready { .. })).count();
+            let events = self.testbed.recorder.events();
+            let passed = events.iter().filter(|e| matches!(e.kind, EventKind::Ready { .. })).count();
             if passed == self.controllers.len() {
                 return Ok(());
             }
-            let ended = events.iter().any(|e| matches!(e.what, What::Exited { .. }));
+            let ended = events.iter().any(|e| matches!(e.kind, EventKind::Exited { .. }));
             if ended || Instant::now() >= end {
                 let why = self.controllers.iter().map(|c| c.borrow().last_words()).collect::<Vec<_>>();
                 return Err(io::Error::other(format!("the program does not start: {}", why.join("; "))));
@@ -232,7 +238,7 @@
             sleep(LOOK).await;
             for (controller, process) in self.controllers.iter().enumerate() {
                 if let Some(status) = process.borrow_mut().ended() {
-                    self.lab.recorder.note(What::Exited { controller, code: status.code() });
+                    self.testbed.recorder.record(EventKind::Exited { controller, code: status.code() });
                 }
             }
         }
@@ -240,7 +246,7 @@
 
     fn signal(&self, controller: usize, signal: Signal, name: &str) {
         if self.controllers[controller].borrow_mut().signal(signal) {
-            self.lab.recorder.note(What::Signal { controller, signal: name.to_owned() });
+            self.testbed.recorder.record(EventKind::Signal { controller, signal: name.to_owned() });
         }
     }
 
@@ -263,7 +269,9 @@
         self.until_ended(controller, STOPPING).await;
         sleep(down).await;
         if let Err(why) = self.start(controller) {
-            self.lab.recorder.note(What::Fault { text: format!("n{controller} can't be started: {why}") });
+            self.testbed
+                .recorder
+                .record(EventKind::Fault { text: format!("n{controller} can't be started: {why}") });
         }
         self.restarting[controller].set(false);
     }
@@ -276,7 +284,7 @@
                     self.signal(number, Signal::HUP, "HUP");
                 }
             }
-            sleep(self.lab.below(150)).await;
+            sleep(self.testbed.below(150)).await;
         }
     }
 
@@ -289,7 +297,7 @@
 
     fn open_paths(&self, exchange: usize, open: bool) {
         for controller in 0..self.controllers.len() {
-            self.lab.recorder.note(What::PathOpen { controller, exchange, open });
+            self.testbed.recorder.record(EventKind::PathOpen { controller, exchange, open });
         }
     }
 
@@ -351,18 +359,18 @@
 
     async fn habit(&self, number: usize, habit: Habit, span: Millis) {
         let exchange = &self.places[number].exchange;
-        let mut habits = exchange.habits.get();
+        let mut fault_rates = exchange.fault_rates.get();
         match habit {
-            Habit::Loses(share) => habits.loses = share,
-            Habit::Doubles(share) => habits.doubles = share,
-            Habit::Spoils(share) => habits.spoils = share,
-            Habit::Fails(share) => habits.fails = share,
-            Habit::Resets(share) => habits.resets = share,
-            Habit::Slower(ms) => habits.slower = ms,
+            Habit::Loses(share) => fault_rates.lost = share,
+            Habit::Doubles(share) => fault_rates.duplicated = share,
+            Habit::Spoils(share) => fault_rates.garbled = share,
+            Habit::Fails(share) => fault_rates.failed = share,
+            Habit::Resets(share) => fault_rates.reset = share,
+            Habit::Slower(ms) => fault_rates.extra_delay_ms = ms,
         }
-        exchange.habits.set(habits);
+        exchange.fault_rates.set(fault_rates);
         sleep(span).await;
-        exchange.habits.set(Habits::default());
+        exchange.fault_rates.set(FaultRates::default());
     }
 
     /// Changes what is behind an exchange's address, unless another fault does so at the time.
@@ -404,13 +412,13 @@
             return;
         }
         let path = self.places[exchange].exchange.path(controller);
-        self.lab.recorder.note(What::PathOpen { controller, exchange, open: false });
+        self.testbed.recorder.record(EventKind::PathOpen { controller, exchange, open: false });
         path.shut();
         path.network.cut(cut);
         sleep(span).await;
         path.network.cut(false);
         path.unshut();
-        self.lab.recorder.note(What::PathOpen { controller, exchange, open: true });
+        self.testbed.recorder.record(EventKind::PathOpen { controller, exchange, open: true });
         self.places[exchange].taken.set(false);
     }
 
@@ -442,15 +450,15 @@
             }
             Fault::ResetPath { controller, exchange } => self.places[exchange].exchange.reset(controller),
             Fault::Bad { controller, misdeed } => {
-                let what = match misdeed {
-                    Misdeed::Garbage => Mischief::Garbage,
-                    Misdeed::HalfMessage => Mischief::HalfMessage,
-                    Misdeed::SameName => Mischief::SameName,
-                    Misdeed::SlowWriter => Mischief::SlowWriter,
-                    Misdeed::Mute => Mischief::Mute,
+                let kind = match misdeed {
+                    Misdeed::Garbage => Misbehavior::Garbage,
+                    Misdeed::HalfMessage => Misbehavior::HalfMessage,
+                    Misdeed::SameName => Misbehavior::SameName,
+                    Misdeed::SlowWriter => Misbehavior::SlowWriter,
+                    Misdeed::Mute => Misbehavior::Mute,
                 };
                 // The controller may well end its connection.
-                let _ = misbehave(self.lab.clone(), self.servers[controller].address, what).await;
+                let _ = misbehave(self.testbed.clone(), self.servers[controller].address, kind).await;
             }
             Fault::CutClient { controller, client, span } => {
                 let client = self.clients.borrow().get(controller * CLIENTS + client).cloned();
@@ -460,7 +468,7 @@
                 client.cut(false);
             }
             Fault::Crowd { controller, size } => {
-                let all = crowd(&self.lab, &self.servers[controller], size);
+                let all = start_flash_crowd(&self.testbed, &self.servers[controller], size);
                 self.clients.borrow_mut().extend(all);
             }
         }
@@ -480,14 +488,19 @@
             sleep(LOOK).await;
         }
         let (requests, calls, exchanges_busy) = self.left();
-        self.lab.recorder.note(What::Left { requests, calls, exchanges_busy });
+        self.testbed.recorder.record(EventKind::Left { requests, calls, exchanges_busy });
     }
 
     fn note_resources(&self, moment: &str) {
         for (controller, process) in self.controllers.iter().enumerate() {
             if let Some((rss_kb, descriptors)) = process.borrow().resources() {
                 let moment = moment.to_owned();
-                self.lab.recorder.note(What::Resources { controller, rss_kb, descriptors, moment });
+                self.testbed.recorder.record(EventKind::Resources {
+                    controller,
+                    rss_kb,
+                    descriptors,
+                    moment,
+                });
             }
         }
     }
