--- a/crates/standin/src/faulty/client.rs
+++ b/crates/standin/src/faulty/client.rs
@@ -109,7 +109,7 @@
     pub fn start(testbed: &Testbed, server: &Server, behavior: ClientBehavior) -> Rc<Client> {
         let (connection, pending, answered, over, left, network) = Default::default();
         let network: Rc<Network> = network;
-        network.pieces.set(behavior.fragmented);
+        network.fragmented.set(behavior.fragmented);
         let testbed = testbed.clone();
         let client = Rc::new(Client {
             testbed,
@@ -134,7 +134,7 @@
 
     /// Cuts its way to the controller, or opens it again.
     pub fn cut(&self, cut: bool) {
-        self.network.cut(cut);
+        self.network.set_partitioned(cut);
     }
 
     /// Requests that wait for an answer.
@@ -167,7 +167,7 @@
             let here = self.clone();
             let served = connection.serve(move |connection, input| match input {
                 Input::Line(line) => here.clone().heard(connection, line),
-                Input::Down => {}
+                Input::Closed => {}
             });
             served.await;
             *self.connection.borrow_mut() = None;
@@ -238,7 +238,7 @@
         };
         self.pending.borrow_mut().insert(sid.clone(), pending);
         let number = connection.number;
-        connection.send_then(line.into_bytes(), move || self.written(sid, number));
+        connection.send_with_callback(line.into_bytes(), move || self.written(sid, number));
     }
 
     /// The last byte of a request is written: its time counts from here.
@@ -277,9 +277,9 @@
             }
             Timer::at(due).await;
         }
-        if self.network.is_cut() {
+        if self.network.is_partitioned() {
             // The answer may be on its way.
-            self.network.until_open().await;
+            self.network.wait_until_healed().await;
             Timer::after(AFTER_CUT).await;
         }
         if let Some(pending) = self.pending.borrow_mut().remove(&sid) {
--- a/crates/standin/src/faulty/coordinator.rs
+++ b/crates/standin/src/faulty/coordinator.rs
@@ -1,4 +1,5 @@
-//! A coordinator that can refuse, hang, fall silent, be slow and end in the middle of an event.
+//! A coordinator with fault injection: it can refuse connections, hang, fall silent, respond slowly and truncate an
+//! event.
 
 use super::record::EventKind;
 use super::Testbed;
@@ -14,98 +15,98 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How often a stream shows that it lives.
-const COMMENT: Duration = Duration::from_secs(1);
-/// How often a listener looks for a new connection.
-const POLL: Duration = Duration::from_millis(2);
+/// Interval of the comments that keep an idle stream alive.
+const COMMENT_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval between two polls of a listener.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// What the coordinator does at present.
+/// The coordinator's state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Mode {
-    /// It serves.
+    /// Serves normally.
     #[default]
     Up,
-    /// Nobody listens, and its streams have ended.
+    /// Refuses connections; open streams are closed.
     Refuses,
-    /// It accepts and never answers; its streams have ended.
+    /// Accepts connections and never answers them; open streams are closed.
     Hangs,
-    /// Its streams stay open and bring nothing; new ones are never answered.
+    /// Keeps streams open without sending anything; new requests are not answered.
     Silent,
-    /// Its answers come this many milliseconds late.
+    /// Delays each response and event by this many milliseconds.
     Slow(u64),
 }
 
-/// A member of the list.
+/// A member of the coordinator's list.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// Its name.
+    /// Name of the member.
     pub id: String,
-    /// The exchange that it serves, from 0.
+    /// Number of the exchange that it serves, from 0.
     pub exchange: usize,
     /// `up`, `draining` or `removed`.
     pub phase: &'static str,
-    /// The Unix time of a late start (ms), or 0.
+    /// Unix time of its start (ms), or 0 if it is not cold.
     pub up_since_ms: u64,
 }
 
-/// A change of one member.
+/// A change of one member, with its index in the list.
 struct Change {
     index: u64,
     member: Member,
 }
 
-/// The coordinator.
+/// A coordinator with fault injection.
 pub struct Coordinator {
     testbed: Testbed,
     mode: Cell<Mode>,
-    /// The next event ends in the middle.
-    cuts: Cell<bool>,
+    /// The next event is truncated.
+    truncate_next: Cell<bool>,
     members: RefCell<BTreeMap<String, Member>>,
     changes: RefCell<Vec<Change>>,
-    /// Where each controller finds each exchange.
+    /// Address of each exchange, by controller.
     exchanges: Vec<Vec<SocketAddr>>,
-    /// Where it listens for each controller: several places, between which a reload moves.
+    /// Listen addresses, by controller; a reload switches between the addresses of a controller.
     addresses: Vec<Vec<SocketAddr>>,
     listeners: Vec<Vec<RefCell<Option<Host>>>>,
-    news: Event,
+    changed: Event,
 }
 
 impl Coordinator {
-    /// A coordinator that listens for each controller at each of these addresses, and knows where each controller
-    /// finds each exchange.
+    /// Starts a coordinator that listens at these `addresses` of each controller and lists the `exchanges` under the
+    /// addresses by which each controller reaches them.
     ///
     /// # Errors
-    /// If an address can't be had.
+    /// If an address can't be bound.
     pub fn start(
         testbed: &Testbed,
         addresses: Vec<Vec<SocketAddr>>,
         exchanges: Vec<Vec<SocketAddr>>,
     ) -> io::Result<Rc<Coordinator>> {
         let listen = |address: &SocketAddr| Ok(RefCell::new(Some(Host::listen(*address)?)));
-        let listeners = addresses.iter().map(|places| places.iter().map(listen).collect());
+        let listeners = addresses.iter().map(|addresses| addresses.iter().map(listen).collect());
         let listeners = listeners.collect::<io::Result<Vec<Vec<_>>>>()?;
-        let (mode, cuts, members, changes, news) = Default::default();
+        let (mode, truncate_next, members, changes, changed) = Default::default();
         let testbed = testbed.clone();
         let here = Rc::new(Coordinator {
             testbed,
             mode,
-            cuts,
+            truncate_next,
             members,
             changes,
             exchanges,
             addresses,
             listeners,
-            news,
+            changed,
         });
-        for (controller, places) in here.listeners.iter().enumerate() {
-            for place in 0..places.len() {
-                here.testbed.spawn(here.clone().accept(controller, place));
+        for (controller, listeners) in here.listeners.iter().enumerate() {
+            for address_index in 0..listeners.len() {
+                here.testbed.spawn(here.clone().accept(controller, address_index));
             }
         }
         Ok(here)
     }
 
-    /// What it does from now on.
+    /// Changes the state, and records whether the coordinator becomes reachable or unreachable by that.
     pub fn set_mode(&self, mode: Mode) {
         let reachable = |m: Mode| matches!(m, Mode::Up | Mode::Slow(_));
         if reachable(mode) != reachable(self.mode.get()) {
@@ -115,9 +116,9 @@
             }
         }
         self.mode.set(mode);
-        for (places, addresses) in self.listeners.iter().zip(&self.addresses) {
-            for (place, address) in places.iter().zip(addresses) {
-                let mut host = place.borrow_mut();
+        for (listeners, addresses) in self.listeners.iter().zip(&self.addresses) {
+            for (listener, address) in listeners.iter().zip(addresses) {
+                let mut host = listener.borrow_mut();
                 if mode == Mode::Refuses {
                     *host = None;
                 } else if host.is_none() {
@@ -125,16 +126,16 @@
                 }
             }
         }
-        self.news.notify(usize::MAX);
+        self.changed.notify(usize::MAX);
     }
 
-    /// The next event that is sent ends in the middle, and its stream with it.
-    pub fn cut_next_event(&self) {
-        self.cuts.set(true);
+    /// Truncates the next event and closes its stream.
+    pub fn truncate_next_event(&self) {
+        self.truncate_next.set(true);
     }
 
-    /// The number of the last change, and the whole list for a controller as one event.
-    pub fn known(&self, controller: usize) -> (u64, Value) {
+    /// Returns the index of the last change and the complete list for a controller as one event.
+    pub fn snapshot(&self, controller: usize) -> (u64, Value) {
         let index = self.last_index();
         let members: Vec<Member> = self.members.borrow().values().cloned().collect();
         (index, self.event(controller, index, true, &members))
@@ -144,8 +145,8 @@
         self.changes.borrow().last().map_or(0, |c| c.index)
     }
 
-    /// Something has changed: this member is listed like this now.
-    pub fn list(&self, member: Member) {
+    /// Adds, changes or removes a member and publishes the change.
+    pub fn publish(&self, member: Member) {
         let index = self.last_index() + 1;
         let (id, phase, exchange) = (member.id.clone(), member.phase.to_owned(), member.exchange);
         if member.phase == "removed" {
@@ -155,7 +156,7 @@
         }
         self.testbed.recorder.record(EventKind::Listed { index, member: id, exchange, phase });
         self.changes.borrow_mut().push(Change { index, member });
-        self.news.notify(usize::MAX);
+        self.changed.notify(usize::MAX);
     }
 
     fn event(&self, controller: usize, index: u64, complete: bool, members: &[Member]) -> Value {
@@ -168,41 +169,41 @@
         json!({"index": index, "endpoints": {"revision": index, "complete": complete, "members": members}})
     }
 
-    async fn accept(self: Rc<Self>, controller: usize, place: usize) {
+    async fn accept(self: Rc<Self>, controller: usize, address_index: usize) {
         loop {
-            Timer::after(POLL).await;
-            let accepted = self.listeners[controller][place].borrow().as_ref().map(Host::poll_accept);
+            Timer::after(POLL_INTERVAL).await;
+            let accepted = self.listeners[controller][address_index].borrow().as_ref().map(Host::poll_accept);
             let Some(Ok(Some(stream))) = accepted else { continue };
             let Ok(stream) = Async::new(stream) else { continue };
             let here = self.clone();
             self.testbed.spawn(async move {
                 let ended = async {
-                    here.until(|m| matches!(m, Mode::Refuses | Mode::Hangs)).await;
-                    // One that hangs still holds its connections.
+                    here.wait_for_mode(|m| matches!(m, Mode::Refuses | Mode::Hangs)).await;
+                    // A hanging coordinator keeps its connections open.
                     if here.mode.get() == Mode::Hangs {
-                        here.until(|m| m != Mode::Hangs).await;
+                        here.wait_for_mode(|m| m != Mode::Hangs).await;
                     }
                     Ok(())
                 };
-                // A stream that breaks is asked for again.
+                // Errors are ignored, since the controller requests a broken stream again.
                 drop(future::or(ended, here.serve(controller, &stream)).await);
             });
         }
     }
 
-    async fn until(&self, holds: impl Fn(Mode) -> bool) {
+    async fn wait_for_mode(&self, condition: impl Fn(Mode) -> bool) {
         loop {
-            let listener = self.news.listen();
-            if holds(self.mode.get()) {
+            let listener = self.changed.listen();
+            if condition(self.mode.get()) {
                 return;
             }
             listener.await;
         }
     }
 
-    /// Waits as long as its mode asks for.
-    async fn pause(&self) {
-        self.until(|m| matches!(m, Mode::Up | Mode::Slow(_))).await;
+    /// Waits until the mode allows a response, then for the delay of [`Mode::Slow`].
+    async fn delay_response(&self) {
+        self.wait_for_mode(|m| matches!(m, Mode::Up | Mode::Slow(_))).await;
         if let Mode::Slow(ms) = self.mode.get() {
             Timer::after(Duration::from_millis(ms)).await;
         }
@@ -220,38 +221,38 @@
         let head = String::from_utf8_lossy(&head).to_lowercase();
         let last = head.lines().find_map(|l| l.strip_prefix("last-event-id:")).unwrap_or("0");
         let mut last: u64 = last.trim().parse().unwrap_or(0);
-        self.pause().await;
+        self.delay_response().await;
         stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n\r\n").await?;
         if last == 0 {
-            let (index, whole) = self.known(controller);
-            last = self.tell(controller, stream, index, &whole).await?;
+            let (index, snapshot) = self.snapshot(controller);
+            last = self.write_event(controller, stream, index, &snapshot).await?;
         }
         loop {
-            let listener = self.news.listen();
+            let listener = self.changed.listen();
             let next =
                 self.changes.borrow().iter().find(|c| c.index > last).map(|c| (c.index, c.member.clone()));
             if let Some((index, member)) = next {
-                self.pause().await;
+                self.delay_response().await;
                 let event = self.event(controller, index, false, &[member]);
-                last = self.tell(controller, stream, index, &event).await?;
+                last = self.write_event(controller, stream, index, &event).await?;
                 continue;
             }
             let comment = async {
-                Timer::after(COMMENT).await;
+                Timer::after(COMMENT_INTERVAL).await;
                 true
             };
-            let changed = async {
+            let change = async {
                 listener.await;
                 false
             };
-            if future::or(comment, changed).await {
-                self.pause().await;
+            if future::or(comment, change).await {
+                self.delay_response().await;
                 stream.write_all(b": still here\n\n").await?;
             }
         }
     }
 
-    async fn tell(
+    async fn write_event(
         &self,
         controller: usize,
         mut stream: &Async<TcpStream>,
@@ -259,7 +260,7 @@
         event: &Value,
     ) -> io::Result<u64> {
         let bytes = format!("id: {index}\ndata: {event}\n\n").into_bytes();
-        if self.cuts.take() {
+        if self.truncate_next.take() {
             stream.write_all(&bytes[..bytes.len() / 2]).await?;
             return Err(io::ErrorKind::ConnectionAborted.into());
         }
--- a/crates/standin/src/faulty/mod.rs
+++ b/crates/standin/src/faulty/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins that can fail, as tasks of one thread, with a record of all that they saw.
+//! Stand-ins with fault injection. They run as tasks on one thread and record the events that they observe.
 
 pub mod client;
 pub mod connection;
@@ -14,34 +14,34 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// What all stand-ins of a trial share.
+/// The executor, recorder and random numbers that all stand-ins of a trial share.
 #[derive(Clone)]
 pub struct Testbed {
-    /// Runs their tasks.
+    /// Runs the stand-ins' tasks.
     pub executor: Rc<LocalExecutor<'static>>,
-    /// Writes down what they see.
+    /// Records the events that the stand-ins observe.
     pub recorder: Recorder,
     random: Rc<RefCell<ChaCha8Rng>>,
 }
 
 impl Testbed {
-    /// A lab whose random numbers follow from the seed.
+    /// Creates a testbed whose random numbers are derived from `seed`.
     pub fn new(seed: u64) -> Testbed {
         let random = Rc::new(RefCell::new(ChaCha8Rng::seed_from_u64(seed)));
         Testbed { executor: Rc::new(LocalExecutor::new()), recorder: Recorder::start(), random }
     }
 
-    /// A random number below `end`.
+    /// Draws a random number below `end`.
     pub fn below(&self, end: u64) -> u64 {
         self.random.borrow_mut().next_u64() % end.max(1)
     }
 
-    /// Whether something of this chance, in percent, happens now.
+    /// Draws whether an event with this probability, in percent, happens.
     pub fn chance(&self, percent: u64) -> bool {
         self.below(100) < percent
     }
 
-    /// Starts a task that runs until it ends or the lab does.
+    /// Starts a task that runs until it completes or the executor is dropped.
     pub fn spawn(&self, task: impl std::future::Future<Output = ()> + 'static) {
         self.executor.spawn(task).detach();
     }
--- a/crates/standin/src/faulty/path.rs
+++ b/crates/standin/src/faulty/path.rs
@@ -1,4 +1,4 @@
-//! The way that one controller has to one place, with a listener of its own for that place.
+//! The network path from one controller to one exchange, with a listener of its own.
 
 use super::connection::Connection;
 use super::Testbed;
@@ -11,38 +11,38 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How often a listener looks for a new connection.
-const POLL: Duration = Duration::from_millis(2);
+/// Interval between two polls of the listener.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// How a network treats what passes it.
+/// Faults that the network injects into the traffic of a path.
 #[derive(Default)]
 pub struct Network {
-    /// Nothing passes.
-    cut: Cell<bool>,
-    /// Each message comes this much later.
+    /// No bytes are delivered.
+    partitioned: Cell<bool>,
+    /// Delay added to each message.
     pub delay: Cell<Duration>,
-    /// Messages come in pieces.
-    pub pieces: Cell<bool>,
+    /// Messages are written in fragments.
+    pub fragmented: Cell<bool>,
     changed: Event,
 }
 
 impl Network {
-    /// Has nothing pass, or everything again.
-    pub fn cut(&self, cut: bool) {
-        self.cut.set(cut);
+    /// Starts or ends a partition, during which no bytes are delivered.
+    pub fn set_partitioned(&self, partitioned: bool) {
+        self.partitioned.set(partitioned);
         self.changed.notify(usize::MAX);
     }
 
-    /// Whether nothing passes.
-    pub fn is_cut(&self) -> bool {
-        self.cut.get()
+    /// Returns whether the network is partitioned.
+    pub fn is_partitioned(&self) -> bool {
+        self.partitioned.get()
     }
 
-    /// Waits until something passes.
-    pub async fn until_open(&self) {
+    /// Waits until the network is not partitioned.
+    pub async fn wait_until_healed(&self) {
         loop {
             let listener = self.changed.listen();
-            if !self.cut.get() {
+            if !self.partitioned.get() {
                 return;
             }
             listener.await;
@@ -50,87 +50,87 @@
     }
 }
 
-/// The way to a place.
+/// The network path from one controller to one exchange.
 pub struct Path {
     address: SocketAddr,
     host: RefCell<Option<Host>>,
-    /// How its network treats what passes.
+    /// Faults of the network on this path.
     pub network: Rc<Network>,
-    /// The process there does not take connections that came up.
-    pub hangs: Cell<bool>,
-    /// Reasons for which new connections do not come up.
-    shut: Cell<u32>,
+    /// The exchange's process does not accept connections that the kernel has established.
+    pub accept_paused: Cell<bool>,
+    /// Number of faults that block new connections at present.
+    block_count: Cell<u32>,
     connections: RefCell<Vec<Rc<Connection>>>,
-    next: Cell<u64>,
+    accepted_count: Cell<u64>,
 }
 
 impl Path {
-    /// A way to a place that listens at this address.
+    /// Creates a path whose listener is bound to `address`.
     ///
     /// # Errors
-    /// If the address can't be had.
+    /// If the address can't be bound.
     pub fn new(address: SocketAddr) -> io::Result<Rc<Path>> {
         let host = RefCell::new(Some(Host::listen(address)?));
-        let (network, hangs, shut, connections, next) = Default::default();
-        Ok(Rc::new(Path { address, host, network, hangs, shut, connections, next }))
+        let (network, accept_paused, block_count, connections, accepted_count) = Default::default();
+        Ok(Rc::new(Path { address, host, network, accept_paused, block_count, connections, accepted_count }))
     }
 
-    /// Where it listens.
+    /// Returns the listen address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The connections that are up.
+    /// Returns the open connections.
     pub fn connections(&self) -> Vec<Rc<Connection>> {
         self.connections.borrow_mut().retain(|c| !c.ended());
         self.connections.borrow().clone()
     }
 
-    /// New connections do not come up, for one reason more.
-    pub fn shut(&self) {
-        self.shut.set(self.shut.get() + 1);
-        if let Some(host) = self.host.borrow_mut().as_mut().filter(|_| self.shut.get() == 1) {
-            host.vanish().expect("loopback can be listened on");
+    /// Blocks new connections until `unblock` was called as often as this.
+    pub fn block(&self) {
+        self.block_count.set(self.block_count.get() + 1);
+        if let Some(host) = self.host.borrow_mut().as_mut().filter(|_| self.block_count.get() == 1) {
+            host.vanish().expect("the listener's backlog can be changed");
         }
     }
 
-    /// One reason less.
-    pub fn unshut(&self) {
-        self.shut.set(self.shut.get().saturating_sub(1));
-        if let Some(host) = self.host.borrow_mut().as_mut().filter(|_| self.shut.get() == 0) {
-            host.restore().expect("loopback can be listened on");
+    /// Reverts one call of `block`.
+    pub fn unblock(&self) {
+        self.block_count.set(self.block_count.get().saturating_sub(1));
+        if let Some(host) = self.host.borrow_mut().as_mut().filter(|_| self.block_count.get() == 0) {
+            host.restore().expect("the listener's backlog can be changed");
         }
     }
 
-    /// Nobody listens, or somebody again.
-    pub fn refuse(&self, refuse: bool) {
+    /// Closes the listener, so that connections are refused, or opens it again.
+    pub fn set_refusing(&self, refusing: bool) {
         let mut host = self.host.borrow_mut();
-        if refuse {
+        if refusing {
             *host = None;
         } else if host.is_none() {
-            let mut new = Host::listen(self.address).expect("the address was had before");
-            if self.shut.get() > 0 {
-                new.vanish().expect("loopback can be listened on");
+            let mut new = Host::listen(self.address).expect("the address was bound before");
+            if self.block_count.get() > 0 {
+                new.vanish().expect("the listener's backlog can be changed");
             }
             *host = Some(new);
         }
     }
 
-    /// Takes connections for as long as the lab runs.
-    pub async fn accept(self: Rc<Self>, testbed: Testbed, take: impl Fn(Rc<Connection>)) {
+    /// Accepts connections for as long as the testbed runs.
+    pub async fn accept(self: Rc<Self>, testbed: Testbed, on_connection: impl Fn(Rc<Connection>)) {
         loop {
-            Timer::after(POLL).await;
-            if self.shut.get() > 0 || self.hangs.get() {
+            Timer::after(POLL_INTERVAL).await;
+            if self.block_count.get() > 0 || self.accept_paused.get() {
                 continue;
             }
             let accepted = self.host.borrow().as_ref().map(Host::poll_accept);
             let Some(Ok(Some(stream))) = accepted else { continue };
             let Ok(stream) = Async::new(stream) else { continue };
-            self.next.set(self.next.get() + 1);
-            let number = testbed.below(u64::MAX) ^ self.next.get();
+            self.accepted_count.set(self.accepted_count.get() + 1);
+            let number = testbed.below(u64::MAX) ^ self.accepted_count.get();
             let connection = Connection::new(number, stream, self.network.clone());
             self.connections.borrow_mut().push(connection.clone());
-            take(connection);
+            on_connection(connection);
         }
     }
 }
--- a/crates/trials/src/trial.rs
+++ b/crates/trials/src/trial.rs
@@ -209,7 +209,7 @@
     }
 
     fn configure(&self, number: usize) -> io::Result<()> {
-        let known = self.coordinator.known(number);
+        let known = self.coordinator.snapshot(number);
         let seed = self.testbed.below(u64::MAX);
         self.controllers[number].borrow().configure(self.coordinator_at.get(), &known, seed)
     }
@@ -292,7 +292,7 @@
 
     fn list(&self, number: usize, phase: &'static str, up_since_ms: u64) {
         let id = self.places[number].member.borrow().clone();
-        self.coordinator.list(Member { id, exchange: number, phase, up_since_ms });
+        self.coordinator.publish(Member { id, exchange: number, phase, up_since_ms });
     }
 
     fn open_paths(&self, exchange: usize, open: bool) {
@@ -318,7 +318,7 @@
             self.rename(number);
         }
         sleep(span).await;
-        exchange.come_back(true);
+        exchange.restore(true);
         self.open_paths(number, true);
         self.list(number, "up", unix_ms());
     }
@@ -328,7 +328,7 @@
         self.open_paths(number, false);
         exchange.die();
         sleep(span).await;
-        exchange.come_back(false);
+        exchange.restore(false);
         self.open_paths(number, true);
         self.list(number, "up", unix_ms());
     }
@@ -350,9 +350,9 @@
         self.open_paths(number, false);
         exchange.hang(true);
         let paths = || (0..self.controllers.len()).map(|c| exchange.path(c));
-        paths().for_each(|p| p.network.cut(true));
+        paths().for_each(|p| p.network.set_partitioned(true));
         sleep(span).await;
-        paths().for_each(|p| p.network.cut(false));
+        paths().for_each(|p| p.network.set_partitioned(false));
         exchange.hang(false);
         self.open_paths(number, true);
     }
@@ -413,11 +413,11 @@
         }
         let path = self.places[exchange].exchange.path(controller);
         self.testbed.recorder.record(EventKind::PathOpen { controller, exchange, open: false });
-        path.shut();
-        path.network.cut(cut);
+        path.block();
+        path.network.set_partitioned(cut);
         sleep(span).await;
-        path.network.cut(false);
-        path.unshut();
+        path.network.set_partitioned(false);
+        path.unblock();
         self.testbed.recorder.record(EventKind::PathOpen { controller, exchange, open: true });
         self.places[exchange].taken.set(false);
     }
@@ -428,27 +428,29 @@
             Fault::Kill { controller, down } => self.restart(controller, down, false).await,
             Fault::Reload { times } => self.reload(times).await,
             Fault::Coordinator { outage, span } => self.outage(outage, span).await,
-            Fault::CutEvent => self.coordinator.cut_next_event(),
+            Fault::CutEvent => self.coordinator.truncate_next_event(),
             Fault::Hang { exchange, .. }
             | Fault::Vanish { exchange, .. }
             | Fault::Die { exchange, .. }
             | Fault::Drain { exchange, .. } => self.change_process(exchange, fault).await,
             Fault::Habit { exchange, habit, span } => self.habit(exchange, habit, span).await,
-            Fault::CloseResting { exchange } => self.places[exchange].exchange.close_resting(),
+            Fault::CloseResting { exchange } => self.places[exchange].exchange.close_idle_connections(),
             Fault::Cut { controller, exchange, span } => self.cut(controller, exchange, span, true).await,
             Fault::Late { controller, exchange, span } => {
-                self.places[exchange].exchange.reset(controller);
+                self.places[exchange].exchange.reset_connections(controller);
                 self.cut(controller, exchange, span, false).await;
             }
             Fault::Pieces { controller, exchange, delay, span } => {
                 let network = &self.places[exchange].exchange.path(controller).network;
                 network.delay.set(Duration::from_millis(delay));
-                network.pieces.set(true);
+                network.fragmented.set(true);
                 sleep(span).await;
                 network.delay.set(Duration::ZERO);
-                network.pieces.set(false);
+                network.fragmented.set(false);
+            }
+            Fault::ResetPath { controller, exchange } => {
+                self.places[exchange].exchange.reset_connections(controller)
             }
-            Fault::ResetPath { controller, exchange } => self.places[exchange].exchange.reset(controller),
             Fault::Bad { controller, misdeed } => {
                 let kind = match misdeed {
                     Misdeed::Garbage => Misbehavior::Garbage,
