--- a/crates/trials/src/trial.rs
+++ b/crates/trials/src/trial.rs
@@ -120,8 +120,8 @@
         };
         let controllers = listens.iter().enumerate().map(controller).collect();
         let server = |(controller, &address): (usize, &SocketAddr)| {
-            let (exchanges, standing) = (schedule.exchanges, EstablishedCalls::default());
-            Server { controller, address, exchanges, standing }
+            let (exchanges, established_calls) = (schedule.exchanges, EstablishedCalls::default());
+            Server { controller, address, exchanges, established_calls }
         };
         let servers = listens.iter().enumerate().map(server).collect();
         Ok(Trial {
@@ -172,7 +172,7 @@
         let behavior = ClientBehavior {
             rate: self.schedule.rate as f64,
             class: "call",
-            left_ms: self.schedule.left,
+            client_timeout_ms: self.schedule.left,
             ..ClientBehavior::default()
         };
         for server in &self.servers {
@@ -465,9 +465,9 @@
             Fault::CutClient { controller, client, span } => {
                 let client = self.clients.borrow().get(controller * CLIENTS + client).cloned();
                 let Some(client) = client else { return };
-                client.cut(true);
+                client.set_partitioned(true);
                 sleep(span).await;
-                client.cut(false);
+                client.set_partitioned(false);
             }
             Fault::Crowd { controller, size } => {
                 let all = start_flash_crowd(&self.testbed, &self.servers[controller], size);
@@ -479,8 +479,8 @@
     // ---- The end ----
 
     fn left(&self) -> (usize, usize, usize) {
-        let requests = self.clients.borrow().iter().map(|c| c.waiting()).sum();
-        let calls = self.servers.iter().map(|s| s.standing.borrow().len()).sum();
+        let requests = self.clients.borrow().iter().map(|c| c.pending_requests()).sum();
+        let calls = self.servers.iter().map(|s| s.established_calls.borrow().len()).sum();
         (requests, calls, self.places.iter().map(|p| p.exchange.busy()).sum())
     }
 
