--- a/crates/trials/src/main.rs
+++ b/crates/trials/src/main.rs
@@ -229,9 +229,9 @@
             return Ok(true);
         }
         let mut at = 0;
-        while at < least.planned.len() {
+        while at < least.faults.len() {
             let mut less = least.clone();
-            let left_out = less.planned.remove(at);
+            let left_out = less.faults.remove(at);
             if fails(&less)? {
                 println!("fails without {:?}", left_out.fault);
                 least = less;
--- a/crates/trials/src/schedule.rs
+++ b/crates/trials/src/schedule.rs
@@ -1,171 +1,182 @@
-//! What happens when in a trial: a pure function of its seed.
+//! Schedules of fault trials, derived from a seed alone.
+//!
+//! Schedules are part of a trial's record: names of variants and of the serialized fields are part of its format.
+//! Variant names also appear in tables and in the output of `walnuthatch-trials`. The order of the random draws
+//! determines the schedule of a seed.
 
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A span in milliseconds.
+/// A time or duration (ms).
 pub type Millis = u64;
 
-/// What the coordinator does wrong.
+/// A failure of the coordinator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outage {
-    /// It refuses.
+    /// It refuses connections.
     Refuses,
-    /// It accepts and never answers.
+    /// It accepts connections and never answers.
     Hangs,
-    /// Its open streams fall silent, and new ones are never answered.
+    /// Its open streams fall silent, and new requests are not answered.
     Silent,
-    /// It answers this late.
+    /// Its responses are delayed by this much.
     Slow(Millis),
 }
 
-/// What an exchange does wrong with some of its set-ups, in percent.
+/// A fault that an exchange injects into some of its set-ups, in percent of the set-ups.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Habit {
+pub enum ExchangeFault {
     /// Answers are lost.
     Loses(u64),
-    /// Answers come twice.
+    /// Answers are sent twice.
     Doubles(u64),
-    /// Answers can't be read.
+    /// Answers are not valid JSON.
     Spoils(u64),
     /// Set-ups fail.
     Fails(u64),
-    /// Connections are reset under set-ups.
+    /// The set-up's connection is reset in place of an answer.
     Resets(u64),
-    /// Answers come this much later.
+    /// All answers are delayed by this much.
     Slower(Millis),
 }
 
-/// What a bad client does.
+/// A protocol violation by a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Misdeed {
-    /// It sends what is no message.
+pub enum ClientFault {
+    /// It sends a line that is not a message.
     Garbage,
-    /// It stops within a message.
+    /// It stops in the middle of a message.
     HalfMessage,
-    /// It uses one name twice.
+    /// It sends two requests with the same identifier.
     SameName,
-    /// It writes a byte at a time.
+    /// It writes one byte at a time.
     SlowWriter,
-    /// It says nothing.
+    /// It sends nothing.
     Mute,
 }
 
-/// A fault. Controllers and exchanges are numbered from 0; a `span` is how long it lasts.
+/// A fault. Controllers and exchanges are numbered from 0; `span` is the duration of the fault and `down` the time
+/// until a process is started again.
 #[allow(missing_docs, reason = "the fields' names say what they hold")]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Fault {
-    /// SIGTERM, SIGKILL at the earliest, and a new start.
+    /// A controller is restarted: SIGTERM, SIGKILL at the earliest permitted time if it still runs, and a new start.
     Restart { controller: usize, down: Millis },
-    /// SIGKILL, and a new start.
+    /// A controller is killed by SIGKILL and started again.
     Kill { controller: usize, down: Millis },
-    /// The coordinator is found at another place: every controller's configuration changes so many times in a row.
+    /// The coordinator's address changes this many times in a row, by a reload of every controller's configuration.
     Reload { times: u64 },
     /// The coordinator fails.
     Coordinator { outage: Outage, span: Millis },
-    /// Its next event ends in the middle.
+    /// The coordinator's next event is truncated.
     CutEvent,
-    /// An exchange takes nothing in.
+    /// An exchange hangs: it neither reads nor answers.
     Hang { exchange: usize, span: Millis },
-    /// Its machine vanishes; `replaced`: another one takes its address.
+    /// An exchange's host becomes unreachable; if `replaced`, another host takes over its address.
     Vanish { exchange: usize, span: Millis, replaced: bool },
-    /// Its process dies and is started again.
+    /// An exchange's process dies and is started again.
     Die { exchange: usize, span: Millis },
-    /// It drains; `replaced`: it goes, and another one takes its address.
+    /// An exchange drains; if `replaced`, it is then removed and another process takes over its address.
     Drain { exchange: usize, span: Millis, replaced: bool },
-    /// It does something wrong with some set-ups.
-    Habit { exchange: usize, habit: Habit, span: Millis },
-    /// It closes resting connections.
+    /// An exchange injects a fault into some of its set-ups.
+    Habit { exchange: usize, habit: ExchangeFault, span: Millis },
+    /// An exchange closes its idle connections.
     CloseResting { exchange: usize },
-    /// The way from a controller to an exchange is cut.
+    /// The network path from a controller to an exchange is partitioned.
     Cut { controller: usize, exchange: usize, span: Millis },
-    /// New connections on it come up late.
+    /// Connections of a path are reset, and new ones are established only after `span`.
     Late { controller: usize, exchange: usize, span: Millis },
-    /// Messages on it come late and in pieces.
+    /// Messages to a controller are delayed and fragmented.
     Pieces { controller: usize, exchange: usize, delay: Millis, span: Millis },
-    /// Its connections are reset.
+    /// The connections of a path are reset.
     ResetPath { controller: usize, exchange: usize },
-    /// The way of one of a controller's clients is cut.
+    /// A client is partitioned from its controller.
     CutClient { controller: usize, client: usize, span: Millis },
-    /// A bad client comes.
-    Bad { controller: usize, misdeed: Misdeed },
-    /// So many clients come at once.
+    /// A client that violates the protocol connects.
+    Bad { controller: usize, misdeed: ClientFault },
+    /// This many clients connect at once.
     Crowd { controller: usize, size: usize },
 }
 
 impl Fault {
-    /// Its kind, for tables.
+    /// Returns the kind of the fault as it is shown in tables.
     pub fn kind(&self) -> String {
         let text = format!("{self:?}");
         let kind = text.split([' ', '{']).next().unwrap_or_default();
         match self {
-            Fault::Coordinator { outage, .. } => format!("{kind}:{}", first_word(outage)),
-            Fault::Habit { habit, .. } => format!("{kind}:{}", first_word(habit)),
+            Fault::Coordinator { outage, .. } => format!("{kind}:{}", variant_name(outage)),
+            Fault::Habit { habit, .. } => format!("{kind}:{}", variant_name(habit)),
             Fault::Bad { misdeed, .. } => format!("{kind}:{misdeed:?}"),
             _ => kind.to_owned(),
         }
     }
 }
 
-fn first_word(of: &impl fmt::Debug) -> String {
-    format!("{of:?}").split('(').next().unwrap_or_default().to_owned()
+fn variant_name(value: &impl fmt::Debug) -> String {
+    format!("{value:?}").split('(').next().unwrap_or_default().to_owned()
 }
 
-/// A fault and when it begins.
+/// A fault and the time at which it begins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Planned {
-    /// Since the clients came.
+pub struct PlannedFault {
+    /// Time since the start of the clients.
     pub at: Millis,
-    /// What.
+    /// The fault.
     pub fault: Fault,
 }
 
-/// A trial.
+/// The plan of a trial.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Schedule {
-    /// From which it follows.
+    /// The seed that it is derived from.
     pub seed: u64,
-    /// Controllers.
+    /// Number of controllers.
     pub controllers: usize,
-    /// Exchanges.
+    /// Number of exchanges.
     pub exchanges: usize,
-    /// How long clients make requests.
-    pub span: Millis,
-    /// How long callers go on trying: the longest deadline.
-    pub give_up: Millis,
-    /// How long clients wait for an answer.
-    pub left: Millis,
-    /// Requests a second of each client; there are four of each controller.
+    /// Time for which clients make requests.
+    #[serde(rename = "span")]
+    pub duration: Millis,
+    /// The client timeout in the controllers' settings (`giveUp`), which bounds every deadline.
+    #[serde(rename = "give_up")]
+    pub client_timeout: Millis,
+    /// The remaining time that clients state in their requests, for which they wait for an answer.
+    #[serde(rename = "left")]
+    pub remaining_time: Millis,
+    /// Request rate of each client (requests per second); each controller has four clients.
     pub rate: u64,
-    /// Requests given up early, in percent.
-    pub give_up_early: u64,
-    /// Connections that clients end with answers on their way, in percent of requests.
-    pub hang_up: u64,
-    /// What happens.
-    pub planned: Vec<Planned>,
+    /// Requests that clients cancel before their timeout, in percent.
+    #[serde(rename = "give_up_early")]
+    pub early_cancel_percent: u64,
+    /// Requests after which a client closes its connection without waiting for answers, in percent.
+    #[serde(rename = "hang_up")]
+    pub disconnect_percent: u64,
+    /// The planned faults, ordered by time.
+    #[serde(rename = "planned")]
+    pub faults: Vec<PlannedFault>,
 }
 
 impl fmt::Display for Schedule {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "seed {}: {} controllers, {} exchanges, ", self.seed, self.controllers, self.exchanges)?;
-        write!(f, "{} ms, deadline {} ms;", self.span, self.give_up)?;
-        for Planned { at, fault } in &self.planned {
+        write!(f, "{} ms, deadline {} ms;", self.duration, self.client_timeout)?;
+        for PlannedFault { at, fault } in &self.faults {
             write!(f, " {:.1} {}", *at as f64 / 1000.0, fault.kind())?;
         }
         Ok(())
     }
 }
 
-struct Draw(ChaCha8Rng);
+struct ScheduleRng(ChaCha8Rng);
 
-impl Draw {
+impl ScheduleRng {
     fn below(&mut self, end: u64) -> u64 {
         self.0.next_u64() % end.max(1)
     }
 
-    fn within(&mut self, from: u64, to: u64) -> u64 {
+    fn in_range(&mut self, from: u64, to: u64) -> u64 {
         from + self.below(to - from + 1)
     }
 
@@ -173,71 +184,88 @@
         self.below(end as u64) as usize
     }
 
-    fn coin(&mut self) -> bool {
+    fn coin_flip(&mut self) -> bool {
         self.below(2) == 0
     }
 
-    fn pick<T: Copy>(&mut self, from: &[T]) -> T {
+    fn choose<T: Copy>(&mut self, from: &[T]) -> T {
         from[self.index(from.len())]
     }
 }
 
-/// The trial of this seed.
+/// Derives the schedule of a trial from its seed.
 pub fn schedule(seed: u64) -> Schedule {
-    let mut draw = Draw(ChaCha8Rng::seed_from_u64(seed));
-    let (controllers, exchanges) = (draw.within(2, 5) as usize, draw.within(3, 7) as usize);
-    let span = draw.within(15_000, 22_000);
-    let give_up = draw.pick(&[9_000, 9_000, 3_000, 1_200, 600]);
-    let left = give_up.min(draw.within(1_000, 2_500));
-    let mut planned = restarts(&mut draw, controllers, span, give_up);
-    for _ in 0..draw.within(6, 14) {
-        let at = draw.within(800, span - 3_000);
-        let fault = fault(&mut draw, controllers, exchanges);
-        planned.push(Planned { at, fault });
+    let mut rng = ScheduleRng(ChaCha8Rng::seed_from_u64(seed));
+    let (controllers, exchanges) = (rng.in_range(2, 5) as usize, rng.in_range(3, 7) as usize);
+    let duration = rng.in_range(15_000, 22_000);
+    let client_timeout = rng.choose(&[9_000, 9_000, 3_000, 1_200, 600]);
+    let remaining_time = client_timeout.min(rng.in_range(1_000, 2_500));
+    let mut faults = restarts(&mut rng, controllers, duration, client_timeout);
+    for _ in 0..rng.in_range(6, 14) {
+        let at = rng.in_range(800, duration - 3_000);
+        let fault = random_fault(&mut rng, controllers, exchanges);
+        faults.push(PlannedFault { at, fault });
     }
-    if draw.below(4) == 0 {
-        let crowd = Fault::Crowd { controller: draw.index(controllers), size: draw.within(60, 200) as usize };
-        planned.push(Planned { at: draw.within(1_000, span - 4_000), fault: crowd });
+    if rng.below(4) == 0 {
+        let crowd = Fault::Crowd { controller: rng.index(controllers), size: rng.in_range(60, 200) as usize };
+        faults.push(PlannedFault { at: rng.in_range(1_000, duration - 4_000), fault: crowd });
     }
-    for _ in 0..draw.below(3) {
-        let (controller, client) = (draw.index(controllers), draw.index(4));
-        let cut = Fault::CutClient { controller, client, span: draw.within(300, 4_000) };
-        planned.push(Planned { at: draw.within(1_000, span - 4_000), fault: cut });
+    for _ in 0..rng.below(3) {
+        let (controller, client) = (rng.index(controllers), rng.index(4));
+        let cut = Fault::CutClient { controller, client, span: rng.in_range(300, 4_000) };
+        faults.push(PlannedFault { at: rng.in_range(1_000, duration - 4_000), fault: cut });
+    }
+    faults.sort_by_key(|p| p.at);
+    let (rate, early_cancel_percent, disconnect_percent) =
+        (rng.in_range(5, 12), rng.choose(&[0, 0, 5, 20]), rng.choose(&[0, 0, 0, 1, 3]));
+    Schedule {
+        seed,
+        controllers,
+        exchanges,
+        duration,
+        client_timeout,
+        remaining_time,
+        rate,
+        early_cancel_percent,
+        disconnect_percent,
+        faults,
     }
-    planned.sort_by_key(|p| p.at);
-    let (rate, give_up_early, hang_up) =
-        (draw.within(5, 12), draw.pick(&[0, 0, 5, 20]), draw.pick(&[0, 0, 0, 1, 3]));
-    Schedule { seed, controllers, exchanges, span, give_up, left, rate, give_up_early, hang_up, planned }
 }
 
-/// A series of restarts, one controller after the other, with a kill now and then.
-fn restarts(draw: &mut Draw, controllers: usize, span: Millis, give_up: Millis) -> Vec<Planned> {
-    let mut all = Vec::new();
-    let mut at = draw.within(1_000, 4_000);
+/// Plans one restart or, with a probability of 1 in 5, one kill of each controller in turn, as far as the duration
+/// permits.
+fn restarts(
+    rng: &mut ScheduleRng,
+    controllers: usize,
+    duration: Millis,
+    client_timeout: Millis,
+) -> Vec<PlannedFault> {
+    let mut faults = Vec::new();
+    let mut at = rng.in_range(1_000, 4_000);
     for controller in 0..controllers {
-        let down = draw.within(50, 700);
-        let fault = match draw.below(5) {
+        let down = rng.in_range(50, 700);
+        let fault = match rng.below(5) {
             0 => Fault::Kill { controller, down },
             _ => Fault::Restart { controller, down },
         };
-        all.push(Planned { at, fault });
-        at += give_up.min(3_000) + 700 + down + draw.within(100, 1_500);
-        if at + 5_000 > span {
+        faults.push(PlannedFault { at, fault });
+        at += client_timeout.min(3_000) + 700 + down + rng.in_range(100, 1_500);
+        if at + 5_000 > duration {
             break;
         }
     }
-    all
+    faults
 }
 
-fn fault(draw: &mut Draw, controllers: usize, exchanges: usize) -> Fault {
-    let (controller, exchange) = (draw.index(controllers), draw.index(exchanges));
-    let (span, replaced) = (draw.within(300, 9_000), draw.coin());
-    let delay = draw.within(1, 40);
-    match draw.below(20) {
-        0 | 1 => Fault::Reload { times: draw.within(1, 5) },
+fn random_fault(rng: &mut ScheduleRng, controllers: usize, exchanges: usize) -> Fault {
+    let (controller, exchange) = (rng.index(controllers), rng.index(exchanges));
+    let (span, replaced) = (rng.in_range(300, 9_000), rng.coin_flip());
+    let delay = rng.in_range(1, 40);
+    match rng.below(20) {
+        0 | 1 => Fault::Reload { times: rng.in_range(1, 5) },
         2..=4 => {
-            let slow = Outage::Slow(draw.within(200, 2_000));
-            let outage = draw.pick(&[Outage::Refuses, Outage::Hangs, Outage::Silent, slow]);
+            let slow = Outage::Slow(rng.in_range(200, 2_000));
+            let outage = rng.choose(&[Outage::Refuses, Outage::Hangs, Outage::Silent, slow]);
             Fault::Coordinator { outage, span }
         }
         5 => Fault::CutEvent,
@@ -246,16 +274,16 @@
         10 => Fault::Die { exchange, span: span / 3 },
         11 | 12 => Fault::Drain { exchange, span, replaced },
         13 | 14 => {
-            let share = draw.within(5, 40);
+            let share = rng.in_range(5, 40);
             let all = [
-                Habit::Loses(share),
-                Habit::Doubles(share),
-                Habit::Spoils(share / 3 + 1),
-                Habit::Fails(share),
-                Habit::Resets(share / 3 + 1),
-                Habit::Slower(share * 20),
+                ExchangeFault::Loses(share),
+                ExchangeFault::Doubles(share),
+                ExchangeFault::Spoils(share / 3 + 1),
+                ExchangeFault::Fails(share),
+                ExchangeFault::Resets(share / 3 + 1),
+                ExchangeFault::Slower(share * 20),
             ];
-            Fault::Habit { exchange, habit: draw.pick(&all), span }
+            Fault::Habit { exchange, habit: rng.choose(&all), span }
         }
         15 => Fault::CloseResting { exchange },
         16 => Fault::Cut { controller, exchange, span: span.min(7_000) },
@@ -266,13 +294,13 @@
         18 => Fault::ResetPath { controller, exchange },
         _ => {
             let all = [
-                Misdeed::Garbage,
-                Misdeed::HalfMessage,
-                Misdeed::SameName,
-                Misdeed::SlowWriter,
-                Misdeed::Mute,
+                ClientFault::Garbage,
+                ClientFault::HalfMessage,
+                ClientFault::SameName,
+                ClientFault::SlowWriter,
+                ClientFault::Mute,
             ];
-            Fault::Bad { controller, misdeed: draw.pick(&all) }
+            Fault::Bad { controller, misdeed: rng.choose(&all) }
         }
     }
 }
--- a/crates/trials/src/table.rs
+++ b/crates/trials/src/table.rs
@@ -47,7 +47,7 @@
             of.0 += 1;
             of.1.insert(schedule.seed);
         }
-        for kind in schedule.planned.iter().map(|p| p.fault.kind()).collect::<BTreeSet<_>>() {
+        for kind in schedule.faults.iter().map(|p| p.fault.kind()).collect::<BTreeSet<_>>() {
             let of = self.by_fault.entry(kind).or_default();
             of.0 += 1;
             of.1 += usize::from(broke);
--- a/crates/trials/src/trial.rs
+++ b/crates/trials/src/trial.rs
@@ -3,7 +3,7 @@
 
 use crate::controller::{Controller, Places};
 use crate::file::Record;
-use crate::schedule::{Fault, Habit, Millis, Misdeed, Outage, Schedule};
+use crate::schedule::{ClientFault, ExchangeFault, Fault, Millis, Outage, Schedule};
 use async_io::Timer;
 use futures_lite::future;
 use rustix::process::Signal;
@@ -116,7 +116,7 @@
         let coordinator = Coordinator::start(&testbed, coordinators.clone(), exchanges)?;
         let controller = |(number, listen): (usize, &SocketAddr)| {
             let places = Places { listen: *listen, coordinator: coordinators[number].clone() };
-            RefCell::new(Controller::new(number, places, folder, program, schedule.give_up))
+            RefCell::new(Controller::new(number, places, folder, program, schedule.client_timeout))
         };
         let controllers = listens.iter().enumerate().map(controller).collect();
         let server = |(controller, &address): (usize, &SocketAddr)| {
@@ -150,7 +150,7 @@
         self.testbed.spawn(self.clone().watch());
         self.until_all_passed().await?;
         self.start_clients();
-        for planned in self.schedule.planned.clone() {
+        for planned in self.schedule.faults.clone() {
             let here = self.clone();
             self.testbed.spawn(async move {
                 sleep(planned.at).await;
@@ -159,7 +159,7 @@
                 here.happen(planned.fault).await;
             });
         }
-        sleep(self.schedule.span).await;
+        sleep(self.schedule.duration).await;
         self.clients.borrow().iter().for_each(|c| c.finish());
         self.settle().await;
         self.note_resources("settled");
@@ -172,19 +172,19 @@
         let behavior = ClientBehavior {
             rate: self.schedule.rate as f64,
             class: "call",
-            client_timeout_ms: self.schedule.left,
+            client_timeout_ms: self.schedule.remaining_time,
             ..ClientBehavior::default()
         };
         for server in &self.servers {
             for n in 0..CLIENTS {
                 let behavior = match n {
                     0 => ClientBehavior {
-                        early_cancel_percent: self.schedule.give_up_early,
+                        early_cancel_percent: self.schedule.early_cancel_percent,
                         redials: true,
                         ..behavior
                     },
                     1 => ClientBehavior { fragmented: true, ..behavior },
-                    2 => ClientBehavior { disconnect_percent: self.schedule.hang_up, ..behavior },
+                    2 => ClientBehavior { disconnect_percent: self.schedule.disconnect_percent, ..behavior },
                     _ => behavior,
                 };
                 let client = Client::start(&self.testbed, server, behavior);
@@ -263,7 +263,8 @@
         }
         if planned {
             self.signal(controller, Signal::TERM, "TERM");
-            self.until_ended(controller, self.schedule.give_up.min(LONGEST_DEADLINE) + KILL_AFTER).await;
+            self.until_ended(controller, self.schedule.client_timeout.min(LONGEST_DEADLINE) + KILL_AFTER)
+                .await;
         }
         self.signal(controller, Signal::KILL, "KILL");
         self.until_ended(controller, STOPPING).await;
@@ -357,16 +358,16 @@
         self.open_paths(number, true);
     }
 
-    async fn habit(&self, number: usize, habit: Habit, span: Millis) {
+    async fn habit(&self, number: usize, habit: ExchangeFault, span: Millis) {
         let exchange = &self.places[number].exchange;
         let mut fault_rates = exchange.fault_rates.get();
         match habit {
-            Habit::Loses(share) => fault_rates.lost = share,
-            Habit::Doubles(share) => fault_rates.duplicated = share,
-            Habit::Spoils(share) => fault_rates.garbled = share,
-            Habit::Fails(share) => fault_rates.failed = share,
-            Habit::Resets(share) => fault_rates.reset = share,
-            Habit::Slower(ms) => fault_rates.extra_delay_ms = ms,
+            ExchangeFault::Loses(share) => fault_rates.lost = share,
+            ExchangeFault::Doubles(share) => fault_rates.duplicated = share,
+            ExchangeFault::Spoils(share) => fault_rates.garbled = share,
+            ExchangeFault::Fails(share) => fault_rates.failed = share,
+            ExchangeFault::Resets(share) => fault_rates.reset = share,
+            ExchangeFault::Slower(ms) => fault_rates.extra_delay_ms = ms,
         }
         exchange.fault_rates.set(fault_rates);
         sleep(span).await;
@@ -453,11 +454,11 @@
             }
             Fault::Bad { controller, misdeed } => {
                 let kind = match misdeed {
-                    Misdeed::Garbage => Misbehavior::Garbage,
-                    Misdeed::HalfMessage => Misbehavior::HalfMessage,
-                    Misdeed::SameName => Misbehavior::SameName,
-                    Misdeed::SlowWriter => Misbehavior::SlowWriter,
-                    Misdeed::Mute => Misbehavior::Mute,
+                    ClientFault::Garbage => Misbehavior::Garbage,
+                    ClientFault::HalfMessage => Misbehavior::HalfMessage,
+                    ClientFault::SameName => Misbehavior::SameName,
+                    ClientFault::SlowWriter => Misbehavior::SlowWriter,
+                    ClientFault::Mute => Misbehavior::Mute,
                 };
                 // The controller may well end its connection.
                 let _ = misbehave(self.testbed.clone(), self.servers[controller].address, kind).await;
