--- a/crates/trials/src/check/history.rs
+++ b/crates/trials/src/check/history.rs
@@ -1,6 +1,6 @@
 //! A record, sorted by what its events are about.
 
-use crate::file::Record;
+use crate::record_file::Record;
 use std::collections::{BTreeMap, HashMap};
 use walnuthatch_standin::faulty::record::{Answer, CallEnd, EventKind, Micros, SetUpEnd};
 
--- a/crates/trials/src/check/mod.rs
+++ b/crates/trials/src/check/mod.rs
@@ -1,5 +1,5 @@
-//! The checker: a pure function from a record to the rules that were broken. It knows the rules of the protocol page
-//! and shares no code with the program.
+//! The checker: a pure function from a record to the violations in it. It implements the rules of the protocol
+//! specification and shares no code with the program.
 
 mod calls;
 mod exchanges;
@@ -7,61 +7,61 @@
 mod processes;
 mod requests;
 
-use crate::file::Record;
+use crate::record_file::Record;
 use history::History;
 use serde::Serialize;
 use std::fmt;
 use walnuthatch_standin::faulty::record::{EventKind, Micros};
 
-/// Every limit of sockets is longer by this (µs).
+/// Tolerance added to every time limit that is observed through sockets (µs).
 pub const SLACK: Micros = 50_000;
-/// Timers of a trial that ran later than this show that the machine stood still (µs).
-const STOOD_STILL: u64 = 150_000;
+/// A trial whose own timers ran later than this is not judged, since the machine stalled (µs).
+const STALL_LIMIT_US: u64 = 150_000;
 
-/// A rule of the pages.
+/// A rule that the checker enforces. Variant names are printed and stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub enum Rule {
-    /// A request that was taken has no answer.
+    /// An accepted request was not answered.
     Lost,
-    /// A request has a second answer.
+    /// A request was answered twice.
     SecondAnswer,
-    /// An answer 'stands' with something that no exchange made for it.
+    /// A call was answered as established with a description that no exchange sent for it.
     Invented,
-    /// A client got what can't be read.
+    /// A client received invalid JSON.
     Unreadable,
-    /// Two attempts of a request were out at once.
+    /// Two attempts of a request were pending at once.
     TwoAttempts,
-    /// An attempt within the quiet period after an unclear end.
+    /// An attempt was made within the quiet period after one with an unknown outcome.
     QuietPeriod,
-    /// A set-up to an exchange that drains or is gone, after the limit.
+    /// A set-up was sent to a draining or removed exchange after the time limit.
     Drain,
-    /// A cold exchange got more than it can take.
+    /// A cold exchange was overloaded.
     ColdOverload,
-    /// A client was not told in time that its call is over.
+    /// A client did not receive the release of its call in time.
     EndNotTold,
-    /// A change that the coordinator told was not followed in time.
+    /// A change of the coordinator's list was not followed in time.
     NewsMissed,
     /// A controller was not ready in time after its start.
     NotReady,
-    /// A controller's process ended by itself.
+    /// A controller's process ended without being asked to, or with an error.
     Crash,
-    /// A controller holds too much memory or too many descriptors.
+    /// A controller used too much memory or too many descriptors.
     Resources,
-    /// Something is left at the end.
+    /// Requests or calls were left at the end.
     LeftOver,
 }
 
-/// A rule that was broken.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Violation {
-    /// Which.
+    /// The violated rule.
     pub rule: Rule,
-    /// When.
+    /// Time of the violation.
     pub at: Micros,
-    /// What happened.
+    /// Description of the violation.
     #[serde(rename = "what")]
     pub description: String,
-    /// The request that it is about.
+    /// Identifier of the request concerned.
     pub sid: Option<String>,
 }
 
@@ -72,22 +72,24 @@
     }
 }
 
-/// What is said of a record.
+/// The result of checking a record.
 #[derive(Clone, Debug, Serialize)]
 pub struct Verdict {
-    /// `false`: the machine stood still, and nothing is said.
+    /// Whether the violations count: `false` if the machine stalled during the trial.
     pub judged: bool,
-    /// In the order of their times.
+    /// The violations, ordered by time.
     pub violations: Vec<Violation>,
-    /// Requests sent.
+    /// Number of requests sent.
     pub requests: usize,
-    /// Calls that stood.
-    pub stood: usize,
-    /// Most memory (KiB) and descriptors that a controller held at the end.
-    pub most_held: (u64, u64),
+    /// Number of calls established.
+    #[serde(rename = "stood")]
+    pub established: usize,
+    /// Highest memory (KiB) and number of descriptors of a controller at the end.
+    #[serde(rename = "most_held")]
+    pub max_resources: (u64, u64),
 }
 
-/// Checks a record.
+/// Checks a record against all rules.
 pub fn check(record: &Record) -> Verdict {
     let history = History::of(record);
     let mut violations = requests::check(&history);
@@ -95,16 +97,17 @@
     violations.extend(exchanges::check(&history));
     violations.extend(processes::check(&history));
     violations.sort_by_key(|v| v.at);
-    let late = |w: &EventKind| matches!(w, EventKind::Clock { late_us } if *late_us > STOOD_STILL);
-    let held = record.events.iter().filter_map(|e| match &e.kind {
+    let stalled =
+        |kind: &EventKind| matches!(kind, EventKind::Clock { late_us } if *late_us > STALL_LIMIT_US);
+    let resources = record.events.iter().filter_map(|e| match &e.kind {
         EventKind::Resources { rss_kb, descriptors, .. } => Some((*rss_kb, *descriptors)),
         _ => None,
     });
     Verdict {
-        judged: !record.events.iter().any(|e| late(&e.kind)),
+        judged: !record.events.iter().any(|e| stalled(&e.kind)),
         violations,
         requests: history.requests.len(),
-        stood: history.requests.values().filter(|r| r.stood.is_some()).count(),
-        most_held: held.fold((0, 0), |a, h| (a.0.max(h.0), a.1.max(h.1))),
+        established: history.requests.values().filter(|r| r.stood.is_some()).count(),
+        max_resources: resources.fold((0, 0), |max, r| (max.0.max(r.0), max.1.max(r.1))),
     }
 }
--- a/crates/trials/src/lib.rs
+++ b/crates/trials/src/lib.rs
@@ -1,9 +1,9 @@
-//! Seeded trials: a handful of real processes, exchanges, a coordinator and clients under combined faults, a record of
-//! what happened, and a checker that knows the rules and nothing of the program.
+//! Seeded fault trials: real controller processes run with stand-in exchanges, a coordinator and clients under combined
+//! faults, all events are recorded, and a checker that is independent of the program judges the record.
 
 pub mod check;
 pub mod controller;
-pub mod file;
+pub mod record_file;
 pub mod schedule;
 pub mod table;
 pub mod trial;
--- a/crates/trials/src/main.rs
+++ b/crates/trials/src/main.rs
@@ -8,7 +8,7 @@
 use std::process::{Command, ExitCode};
 use walnuthatch_standin::faulty::record::{Event, EventKind};
 use walnuthatch_trials::check::{check, Verdict};
-use walnuthatch_trials::file::{Record, RecordError};
+use walnuthatch_trials::record_file::{Record, RecordError};
 use walnuthatch_trials::schedule::{schedule, Schedule};
 use walnuthatch_trials::table::Table;
 use walnuthatch_trials::trial::play;
@@ -267,5 +267,5 @@
         (true, 0) => "kept all rules".to_owned(),
         (true, n) => format!("{n} violations"),
     };
-    format!("{said}; {} requests, {} stood; {schedule}", verdict.requests, verdict.stood)
+    format!("{said}; {} requests, {} stood; {schedule}", verdict.requests, verdict.established)
 }
--- a/crates/trials/src/table.rs
+++ b/crates/trials/src/table.rs
@@ -1,4 +1,4 @@
-//! What came of many trials: by rule, and by the faults of the trials in which it broke.
+//! The results of many trials: violations by rule, and violated trials by kind of fault.
 
 use crate::check::{Rule, Verdict};
 use crate::schedule::Schedule;
@@ -6,55 +6,57 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// Trials and what came of them.
+/// The results of a run of trials. Names of the serialized fields are part of the JSON output.
 #[derive(Debug, Default, Serialize)]
 pub struct Table {
-    /// Trials played.
+    /// Number of trials that were run.
     pub trials: usize,
-    /// Those in which no rule broke.
+    /// Number of judged trials without a violation.
     pub passed: usize,
-    /// Those on which the machine stood still.
+    /// Seeds of trials that were not judged, since the machine stalled during them.
     pub not_judged: Vec<u64>,
-    /// Those that could not be played, and why.
+    /// Seeds of trials that could not be run, with the error.
     pub not_run: Vec<(u64, String)>,
-    /// Requests sent and answered.
+    /// Number of requests sent.
     pub requests: usize,
-    /// Of them, calls that stood.
-    pub stood: usize,
-    /// Violations by rule, and the seeds in which they were.
+    /// Number of calls established by them.
+    #[serde(rename = "stood")]
+    pub established: usize,
+    /// Number of violations of each rule, and the seeds in which they occurred.
     pub by_rule: BTreeMap<String, (usize, BTreeSet<u64>)>,
-    /// Trials with each kind of fault, and those of them in which a rule broke.
+    /// Number of judged trials with each kind of fault, and how many of them had violations.
     pub by_fault: BTreeMap<String, (usize, usize)>,
-    /// Most memory (KiB) and descriptors of a controller after its trial.
-    pub most_held: (u64, u64),
+    /// Highest memory (KiB) and number of descriptors of a controller at the end of a trial.
+    #[serde(rename = "most_held")]
+    pub max_resources: (u64, u64),
 }
 
 impl Table {
-    /// Adds a trial.
+    /// Adds the verdict of a trial.
     pub fn add(&mut self, schedule: &Schedule, verdict: &Verdict) {
         self.trials += 1;
         self.requests += verdict.requests;
-        self.stood += verdict.stood;
-        let held = verdict.most_held;
-        self.most_held = (self.most_held.0.max(held.0), self.most_held.1.max(held.1));
+        self.established += verdict.established;
+        let resources = verdict.max_resources;
+        self.max_resources = (self.max_resources.0.max(resources.0), self.max_resources.1.max(resources.1));
         if !verdict.judged {
             return self.not_judged.push(schedule.seed);
         }
-        let broke = !verdict.violations.is_empty();
-        self.passed += usize::from(!broke);
+        let violated = !verdict.violations.is_empty();
+        self.passed += usize::from(!violated);
         for violation in &verdict.violations {
-            let of = self.by_rule.entry(rule_name(violation.rule)).or_default();
-            of.0 += 1;
-            of.1.insert(schedule.seed);
+            let entry = self.by_rule.entry(rule_name(violation.rule)).or_default();
+            entry.0 += 1;
+            entry.1.insert(schedule.seed);
         }
         for kind in schedule.faults.iter().map(|p| p.fault.kind()).collect::<BTreeSet<_>>() {
-            let of = self.by_fault.entry(kind).or_default();
-            of.0 += 1;
-            of.1 += usize::from(broke);
+            let entry = self.by_fault.entry(kind).or_default();
+            entry.0 += 1;
+            entry.1 += usize::from(violated);
         }
     }
 
-    /// Whether a rule broke, or a trial could not be played.
+    /// Returns whether a rule was violated or a trial could not be run.
     pub fn failed(&self) -> bool {
         !self.by_rule.is_empty() || !self.not_run.is_empty()
     }
@@ -72,8 +74,12 @@
         for (seed, why) in &self.not_run {
             writeln!(f, "  seed {seed} not run: {why}")?;
         }
-        writeln!(f, "{} requests, {} calls stood", self.requests, self.stood)?;
-        writeln!(f, "most held after a trial: {} KiB, {} descriptors", self.most_held.0, self.most_held.1)?;
+        writeln!(f, "{} requests, {} calls stood", self.requests, self.established)?;
+        writeln!(
+            f,
+            "most held after a trial: {} KiB, {} descriptors",
+            self.max_resources.0, self.max_resources.1
+        )?;
         for (rule, (count, seeds)) in &self.by_rule {
             writeln!(f, "  {rule:12} {count:5} in seeds {seeds:?}")?;
         }
--- a/crates/trials/src/trial.rs
+++ b/crates/trials/src/trial.rs
@@ -1,8 +1,8 @@
 //! Plays a trial: starts the stand-ins and the processes, lets the faults happen when they are planned, and writes
 //! down what all of them saw.
 
-use crate::controller::{Controller, Places};
-use crate::file::Record;
+use crate::controller::{Controller, ControllerAddresses};
+use crate::record_file::Record;
 use crate::schedule::{ClientFault, ExchangeFault, Fault, Millis, Outage, Schedule};
 use async_io::Timer;
 use futures_lite::future;
@@ -115,8 +115,9 @@
         }
         let coordinator = Coordinator::start(&testbed, coordinators.clone(), exchanges)?;
         let controller = |(number, listen): (usize, &SocketAddr)| {
-            let places = Places { listen: *listen, coordinator: coordinators[number].clone() };
-            RefCell::new(Controller::new(number, places, folder, program, schedule.client_timeout))
+            let addresses =
+                ControllerAddresses { listen: *listen, coordinators: coordinators[number].clone() };
+            RefCell::new(Controller::new(number, addresses, folder, program, schedule.client_timeout))
         };
         let controllers = listens.iter().enumerate().map(controller).collect();
         let server = |(controller, &address): (usize, &SocketAddr)| {
@@ -226,7 +227,7 @@
             }
             let ended = events.iter().any(|e| matches!(e.kind, EventKind::Exited { .. }));
             if ended || Instant::now() >= end {
-                let why = self.controllers.iter().map(|c| c.borrow().last_words()).collect::<Vec<_>>();
+                let why = self.controllers.iter().map(|c| c.borrow().last_log_line()).collect::<Vec<_>>();
                 return Err(io::Error::other(format!("the program does not start: {}", why.join("; "))));
             }
         }
@@ -237,7 +238,7 @@
         loop {
             sleep(LOOK).await;
             for (controller, process) in self.controllers.iter().enumerate() {
-                if let Some(status) = process.borrow_mut().ended() {
+                if let Some(status) = process.borrow_mut().try_wait() {
                     self.testbed.recorder.record(EventKind::Exited { controller, code: status.code() });
                 }
             }
@@ -252,7 +253,7 @@
 
     async fn until_ended(&self, controller: usize, limit: Millis) {
         let end = Instant::now() + Duration::from_millis(limit);
-        while self.controllers[controller].borrow().runs() && Instant::now() < end {
+        while self.controllers[controller].borrow().is_running() && Instant::now() < end {
             sleep(2).await;
         }
     }
--- a/crates/trials/tests/checker.rs
+++ b/crates/trials/tests/checker.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 use walnuthatch_standin::faulty::record::{Answer, CallEnd, Event, EventKind, Micros, SetUpEnd};
 use walnuthatch_trials::check::{check, Rule};
-use walnuthatch_trials::file::{Record, RecordError};
+use walnuthatch_trials::record_file::{Record, RecordError};
 use walnuthatch_trials::schedule::schedule;
 
 const MS: Micros = 1_000;
@@ -74,7 +74,7 @@
 fn a_record_that_keeps_all_rules_has_no_violation() {
     let verdict = check(&record(good()));
     assert_eq!((verdict.judged, verdict.violations), (true, vec![]));
-    assert_eq!((verdict.requests, verdict.stood), (1, 1));
+    assert_eq!((verdict.requests, verdict.established), (1, 1));
 }
 
 #[test]
@@ -239,7 +239,7 @@
     let lines: Vec<&str> = text.lines().collect();
     std::fs::write(&file, lines[..lines.len() - 3].join("\n")).unwrap();
     let error = Record::read(&file).unwrap_err();
-    assert!(matches!(error, RecordError::CutShort { .. }), "{error}");
+    assert!(matches!(error, RecordError::Truncated { .. }), "{error}");
     std::fs::write(&file, &text[..text.len() - 30]).unwrap();
     let error = Record::read(&file).unwrap_err().to_string();
     assert!(error.contains("record.jsonl"), "{error}");
