--- a/crates/trials/src/main.rs
+++ b/crates/trials/src/main.rs
@@ -1,4 +1,5 @@
-//! The command: plays trials, repeats one, shows what happened in it, and leaves out faults while it fails.
+//! `walnuthatch-trials`: runs fault trials, repeats one, shows its record and reduces its schedule to the faults that
+//! are needed for a violation.
 
 use clap::{Parser, Subcommand};
 use std::collections::BTreeMap;
@@ -13,73 +14,73 @@
 use walnuthatch_trials::table::Table;
 use walnuthatch_trials::trial::play;
 
-/// Seeded trials of real processes under combined faults.
+/// Seeded fault trials of real controller processes.
 #[derive(Debug, Parser)]
 #[command(name = "walnuthatch-trials")]
 struct Arguments {
-    /// The program that is tried
+    /// Path of the controller executable under test
     #[arg(long, global = true, default_value = "target/release/walnuthatch")]
     program: PathBuf,
-    /// Where records of failed trials are kept
+    /// Folder for the records of failed trials
     #[arg(long, global = true, default_value = "target/trials")]
     folder: PathBuf,
     #[command(subcommand)]
-    order: Order,
+    action: Action,
 }
 
 #[derive(Debug, Subcommand)]
-enum Order {
-    /// Plays the trials of a row of seeds
+enum Action {
+    /// Run trials with consecutive seeds
     Run {
-        /// The first seed
+        /// First seed
         #[arg(long, default_value_t = 1)]
         first: u64,
-        /// How many
+        /// Number of seeds
         #[arg(long, default_value_t = 10)]
         seeds: u64,
-        /// Trials side by side
+        /// Number of trials run in parallel
         #[arg(long, default_value_t = 2)]
         jobs: usize,
-        /// Tells rows of trials apart that run at the same time (0 to 20)
+        /// Number that selects separate addresses for runs at the same time (0 to 20)
         #[arg(long, default_value_t = 0, value_parser = clap::value_parser!(u8).range(0..=20))]
         row: u8,
-        /// The table as JSON
+        /// Print the table as JSON
         #[arg(long)]
         json: bool,
     },
-    /// Plays one trial and tells what broke
+    /// Run one trial and print its violations
     Replay { seed: u64 },
-    /// Shows the record of a trial, or of one call in it
+    /// Show the record of a trial, or of one call in it
     Show {
         seed: u64,
-        /// The call's name
+        /// Identifier of the call
         #[arg(long)]
         call: Option<String>,
     },
-    /// Leaves out faults of a trial for as long as a rule breaks without them
+    /// Remove faults from a trial for as long as it still has violations
     Shrink { seed: u64 },
-    /// Plays one trial for the row of seeds, in a process of its own
+    /// Run one trial of `run` in a process of its own
     #[command(hide = true)]
     One { seed: u64, job: u8 },
 }
 
 #[derive(Debug, thiserror::Error)]
 enum TrialError {
-    #[error("--program {path}: {why}")]
-    Program { path: PathBuf, why: io::Error },
-    #[error("seed {seed}: {why}")]
-    Play { seed: u64, why: io::Error },
+    #[error("--program {path}: {cause}")]
+    Program { path: PathBuf, cause: io::Error },
+    #[error("seed {seed}: {cause}")]
+    Play { seed: u64, cause: io::Error },
     #[error("{0}")]
     Record(#[from] RecordError),
-    #[error("{path}: {why}")]
-    Folder { path: PathBuf, why: io::Error },
+    #[error("{path}: {cause}")]
+    Folder { path: PathBuf, cause: io::Error },
     #[error("--jobs: found {0}, expected 1 to 8")]
     Jobs(usize),
 }
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    match carry_out(&arguments) {
+    match execute(&arguments) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(e) => {
@@ -89,49 +90,49 @@
     }
 }
 
-fn carry_out(arguments: &Arguments) -> Result<bool, TrialError> {
-    let program = match &arguments.order {
-        // Nothing is played.
-        Order::Show { .. } => arguments.program.clone(),
+fn execute(arguments: &Arguments) -> Result<bool, TrialError> {
+    let program = match &arguments.action {
+        // `show` runs no trial, so the executable need not exist.
+        Action::Show { .. } => arguments.program.clone(),
         _ => fs::canonicalize(&arguments.program)
-            .map_err(|why| TrialError::Program { path: arguments.program.clone(), why })?,
+            .map_err(|cause| TrialError::Program { path: arguments.program.clone(), cause })?,
     };
-    let tried = Tried { program, folder: arguments.folder.clone() };
-    match &arguments.order {
-        Order::Run { first, seeds, jobs, row, json } => tried.run((*first, *seeds), *jobs, *row, *json),
-        Order::Replay { seed } => tried.replay(&schedule(*seed)),
-        Order::Show { seed, call } => tried.show(*seed, call.as_deref()).map(|()| true),
-        Order::Shrink { seed } => tried.shrink(*seed),
-        Order::One { seed, job } => tried.play(&schedule(*seed), *job).map(|_| true),
+    let runner = Runner { program, folder: arguments.folder.clone() };
+    match &arguments.action {
+        Action::Run { first, seeds, jobs, row, json } => runner.run((*first, *seeds), *jobs, *row, *json),
+        Action::Replay { seed } => runner.replay(&schedule(*seed)),
+        Action::Show { seed, call } => runner.show(*seed, call.as_deref()).map(|()| true),
+        Action::Shrink { seed } => runner.shrink(*seed),
+        Action::One { seed, job } => runner.play(&schedule(*seed), *job).map(|_| true),
     }
 }
 
-/// A program, and where its trials' records go.
-struct Tried {
+/// Runs trials of an executable and keeps their records.
+struct Runner {
     program: PathBuf,
     folder: PathBuf,
 }
 
-impl Tried {
-    fn file(&self, seed: u64) -> PathBuf {
+impl Runner {
+    fn record_path(&self, seed: u64) -> PathBuf {
         self.folder.join(format!("{seed}.jsonl"))
     }
 
     fn play(&self, schedule: &Schedule, job: u8) -> Result<Record, TrialError> {
         let scratch = self.folder.join(format!("{}", schedule.seed));
-        let folder = |why| TrialError::Folder { path: scratch.clone(), why };
-        // What an earlier trial of this seed left is of no use.
+        let folder_error = |cause| TrialError::Folder { path: scratch.clone(), cause };
+        // Remove the files of an earlier trial with this seed, if any.
         let _ = fs::remove_dir_all(&scratch);
-        fs::create_dir_all(&scratch).map_err(folder)?;
-        let scratch = fs::canonicalize(&scratch).map_err(folder)?;
+        fs::create_dir_all(&scratch).map_err(folder_error)?;
+        let scratch = fs::canonicalize(&scratch).map_err(folder_error)?;
         let record = play(schedule, &self.program, &scratch, job)
-            .map_err(|why| TrialError::Play { seed: schedule.seed, why })?;
-        let file = self.file(schedule.seed);
-        record.write(&file).map_err(|why| TrialError::Folder { path: file, why })?;
+            .map_err(|cause| TrialError::Play { seed: schedule.seed, cause })?;
+        let file = self.record_path(schedule.seed);
+        record.write(&file).map_err(|cause| TrialError::Folder { path: file, cause })?;
         Ok(record)
     }
 
-    /// Plays each seed in a process of its own, so many at a time.
+    /// Runs each seed in a process of its own, `jobs` at a time.
     fn run(&self, (first, seeds): (u64, u64), jobs: usize, row: u8, json: bool) -> Result<bool, TrialError> {
         if !(1..=8).contains(&jobs) {
             return Err(TrialError::Jobs(jobs));
@@ -156,9 +157,9 @@
                     ended.push((job, *seed, status.success()));
                 }
             }
-            for (job, seed, well) in ended {
+            for (job, seed, succeeded) in ended {
                 playing.remove(&job);
-                self.tell(seed, well, &mut table);
+                self.add_result(seed, succeeded, &mut table);
             }
         }
         if json {
@@ -170,30 +171,30 @@
     }
 
     fn spawn(&self, seed: u64, job: u8) -> Result<std::process::Child, TrialError> {
-        let play = |why| TrialError::Play { seed, why };
-        let me = std::env::current_exe().map_err(play)?;
-        let mut command = Command::new(me);
+        let play_error = |cause| TrialError::Play { seed, cause };
+        let executable = std::env::current_exe().map_err(play_error)?;
+        let mut command = Command::new(executable);
         command.arg("--program").arg(&self.program).arg("--folder").arg(&self.folder);
-        command.args(["one", &seed.to_string(), &job.to_string()]).spawn().map_err(play)
+        command.args(["one", &seed.to_string(), &job.to_string()]).spawn().map_err(play_error)
     }
 
-    /// Adds what came of a seed to the table, and says so.
-    fn tell(&self, seed: u64, well: bool, table: &mut Table) {
-        let read = Record::read(&self.file(seed)).map_err(|e| e.to_string());
+    /// Checks the record of a seed, adds the verdict to the table and prints a summary.
+    fn add_result(&self, seed: u64, succeeded: bool, table: &mut Table) {
+        let read = Record::read(&self.record_path(seed)).map_err(|e| e.to_string());
         let record = match read {
-            Ok(record) if well => record,
+            Ok(record) if succeeded => record,
             Ok(_) => {
                 return table.not_run.push((seed, "its process ended with an error, see above".to_owned()))
             }
-            Err(why) => return table.not_run.push((seed, why)),
+            Err(cause) => return table.not_run.push((seed, cause)),
         };
         let verdict = check(&record);
         table.add(&record.schedule, &verdict);
-        eprintln!("{}", line(&record.schedule, &verdict));
+        eprintln!("{}", summary_line(&record.schedule, &verdict));
         verdict.violations.iter().take(5).for_each(|v| eprintln!("    {v}"));
         if verdict.violations.is_empty() {
-            // Kept only when it failed.
-            let _ = fs::remove_file(self.file(seed));
+            // Only the files of failed trials are kept.
+            let _ = fs::remove_file(self.record_path(seed));
             let _ = fs::remove_dir_all(self.folder.join(seed.to_string()));
         }
     }
@@ -201,17 +202,17 @@
     fn replay(&self, schedule: &Schedule) -> Result<bool, TrialError> {
         let record = self.play(schedule, 9)?;
         let verdict = check(&record);
-        println!("{}", line(schedule, &verdict));
+        println!("{}", summary_line(schedule, &verdict));
         verdict.violations.iter().for_each(|v| println!("    {v}"));
         Ok(verdict.violations.is_empty())
     }
 
     fn show(&self, seed: u64, call: Option<&str>) -> Result<(), TrialError> {
-        let record = Record::read(&self.file(seed))?;
+        let record = Record::read(&self.record_path(seed))?;
         println!("{}", record.schedule);
         for event in &record.events {
             let text = format!("{:?}", event.kind);
-            if call.is_some_and(|c| text.contains(c)) || call.is_none() && !about_a_call(event) {
+            if call.is_some_and(|c| text.contains(c)) || call.is_none() && !is_call_event(event) {
                 println!("{:9.3} {text}", event.at as f64 / 1e6);
             }
         }
@@ -220,31 +221,31 @@
     }
 
     fn shrink(&self, seed: u64) -> Result<bool, TrialError> {
-        let mut least = schedule(seed);
+        let mut minimal = schedule(seed);
         let fails = |schedule: &Schedule| -> Result<bool, TrialError> {
             Ok(!check(&self.play(schedule, 9)?).violations.is_empty())
         };
-        if !fails(&least)? {
+        if !fails(&minimal)? {
             println!("seed {seed} keeps all rules");
             return Ok(true);
         }
-        let mut at = 0;
-        while at < least.faults.len() {
-            let mut less = least.clone();
-            let left_out = less.faults.remove(at);
-            if fails(&less)? {
-                println!("fails without {:?}", left_out.fault);
-                least = less;
+        let mut index = 0;
+        while index < minimal.faults.len() {
+            let mut reduced = minimal.clone();
+            let removed = reduced.faults.remove(index);
+            if fails(&reduced)? {
+                println!("fails without {:?}", removed.fault);
+                minimal = reduced;
             } else {
-                at += 1;
+                index += 1;
             }
         }
-        println!("{least}");
+        println!("{minimal}");
         Ok(false)
     }
 }
 
-fn about_a_call(event: &Event) -> bool {
+fn is_call_event(event: &Event) -> bool {
     matches!(
         event.kind,
         EventKind::RequestSent { .. }
@@ -261,11 +262,11 @@
     )
 }
 
-fn line(schedule: &Schedule, verdict: &Verdict) -> String {
-    let said = match (verdict.judged, verdict.violations.len()) {
+fn summary_line(schedule: &Schedule, verdict: &Verdict) -> String {
+    let outcome = match (verdict.judged, verdict.violations.len()) {
         (false, n) => format!("not judged ({n} violations seen)"),
         (true, 0) => "kept all rules".to_owned(),
         (true, n) => format!("{n} violations"),
     };
-    format!("{said}; {} requests, {} stood; {schedule}", verdict.requests, verdict.established)
+    format!("{outcome}; {} requests, {} stood; {schedule}", verdict.requests, verdict.established)
 }
