--- a/crates/trials/src/check/history.rs
+++ b/crates/trials/src/check/history.rs
@@ -1,44 +1,48 @@
-//! A record, sorted by what its events are about.
+//! The events of a record, indexed by request, exchange and controller process.
 
 use crate::record_file::Record;
 use std::collections::{BTreeMap, HashMap};
 use walnuthatch_standin::faulty::record::{Answer, CallEnd, EventKind, Micros, SetUpEnd};
 
-/// A request, as its client saw it.
+/// A request as observed by its client.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
     /// The controller that it was sent to.
     pub controller: usize,
-    /// When it was sent, and again.
+    /// Time at which it was sent.
     pub sent: Micros,
+    /// Time at which it was sent again.
     pub sent_again: Option<Micros>,
-    /// Answers, and repeats of an answer.
+    /// Final answers.
     pub answers: Vec<(Micros, Answer)>,
-    pub repeated: Vec<(Micros, String)>,
-    /// When the client gave it up before its time.
-    pub given_up: Option<Micros>,
-    /// When it was found to have no answer, and why.
+    /// Messages that answer it again.
+    pub extra_answers: Vec<(Micros, String)>,
+    /// Time at which the client cancelled it before the client timeout.
+    pub cancelled: Option<Micros>,
+    /// Time at which the client considered it unanswered, with the reason.
     pub no_answer: Option<(Micros, &'static str)>,
-    /// When its call came to stand, and when its client was told of the end or ended it.
-    pub stood: Option<Micros>,
-    pub told: Option<Micros>,
+    /// Time at which its call was established.
+    pub established: Option<Micros>,
+    /// Time at which the client received the release of the call.
+    pub release_received: Option<Micros>,
+    /// Time at which the client released the call.
     pub released: Option<Micros>,
 }
 
-/// A set-up at an exchange.
+/// A set-up as observed by its exchange.
 #[derive(Clone, Debug)]
 pub struct Attempt {
     pub controller: usize,
     pub exchange: usize,
-    pub came: Micros,
+    pub received_at: Micros,
     pub answered: Option<(Micros, String)>,
     pub ended: Option<(Micros, SetUpEnd)>,
     pub call_ended: Option<(Micros, CallEnd)>,
 }
 
-/// A controller's process.
+/// The run of a controller's process, from start to exit.
 #[derive(Clone, Debug)]
-pub struct Life {
+pub struct ProcessRun {
     pub started: Micros,
     pub ready: Option<Micros>,
     pub term: Option<Micros>,
@@ -46,14 +50,14 @@
     pub exited: Option<(Micros, Option<i32>)>,
 }
 
-impl Life {
-    /// Whether it ran at some time between these.
-    pub fn covers(&self, from: Micros, to: Micros) -> bool {
+impl ProcessRun {
+    /// Returns whether the process ran during the whole interval.
+    pub fn runs_throughout(&self, from: Micros, to: Micros) -> bool {
         self.started <= from && self.exited.is_none_or(|e| e.0 >= to)
     }
 }
 
-/// A change of the list.
+/// A change of the coordinator's list.
 #[derive(Clone, Debug)]
 pub struct Change {
     pub at: Micros,
@@ -63,65 +67,64 @@
     pub phase: String,
 }
 
-/// Everything, by what it is about.
+/// The indexed events of a record.
 pub struct History {
     pub end: Micros,
     pub requests: BTreeMap<String, Request>,
     pub attempts: BTreeMap<String, Vec<Attempt>>,
-    pub lives: Vec<Vec<Life>>,
+    pub process_runs: Vec<Vec<ProcessRun>>,
     pub changes: Vec<Change>,
-    /// When an event was told to a controller.
-    pub told: HashMap<(usize, u64), Micros>,
-    /// When each controller connected to each exchange.
+    /// Time of delivery of a change, by controller and index of the change.
+    pub delivered: HashMap<(usize, u64), Micros>,
+    /// Connection times, by controller and exchange.
     pub connected: HashMap<(usize, usize), Vec<Micros>>,
-    /// When the way between them was closed and opened.
+    /// Times at which the network path was opened or closed, by controller and exchange.
     pub paths: HashMap<(usize, usize), Vec<(Micros, bool)>>,
-    /// When the coordinator could be reached, and could not be.
+    /// Times at which the coordinator became reachable or unreachable.
     pub reachable: Vec<(Micros, bool)>,
-    /// Late starts of processes at exchanges.
-    pub cold: Vec<(Micros, usize)>,
+    /// Cold starts of exchanges.
+    pub cold_starts: Vec<(Micros, usize)>,
     pub unreadable: Vec<(Micros, String)>,
     pub resources: Vec<(Micros, usize, u64, u64)>,
-    pub left: Option<(Micros, (usize, usize, usize))>,
-    /// Requests a second that all clients make of one exchange, on average.
+    pub leftovers: Option<(Micros, (usize, usize, usize))>,
+    /// Mean rate of all clients' requests for one exchange (requests per second).
     pub mean_rate: f64,
 }
 
 impl History {
-    /// The history that a record tells.
-    pub fn of(record: &Record) -> History {
+    /// Indexes the events of a record.
+    pub fn from_record(record: &Record) -> History {
         let schedule = &record.schedule;
         let mut history = History {
             end: record.events.last().map_or(0, |e| e.at),
             requests: BTreeMap::new(),
             attempts: BTreeMap::new(),
-            lives: vec![Vec::new(); schedule.controllers],
+            process_runs: vec![Vec::new(); schedule.controllers],
             changes: Vec::new(),
-            told: HashMap::new(),
+            delivered: HashMap::new(),
             connected: HashMap::new(),
             paths: HashMap::new(),
             reachable: Vec::new(),
-            cold: Vec::new(),
+            cold_starts: Vec::new(),
             unreadable: Vec::new(),
             resources: Vec::new(),
-            left: None,
+            leftovers: None,
             mean_rate: (schedule.controllers as u64 * 4 * schedule.rate) as f64 / schedule.exchanges as f64,
         };
         for event in &record.events {
-            history.request(event.at, &event.kind);
-            history.exchange(event.at, &event.kind);
-            history.process(event.at, &event.kind);
+            history.add_request_event(event.at, &event.kind);
+            history.add_exchange_event(event.at, &event.kind);
+            history.add_process_event(event.at, &event.kind);
         }
         history
     }
 
-    fn request(&mut self, at: Micros, kind: &EventKind) {
+    fn add_request_event(&mut self, at: Micros, kind: &EventKind) {
         if let EventKind::RequestSent { sid, controller, .. } = kind {
             let request = Request { controller: *controller, sent: at, ..Request::default() };
             self.requests.insert(sid.clone(), request);
             return;
         }
-        let of = |sid: &String| sid.clone();
         let sid = match kind {
             EventKind::RequestSentAgain { sid, .. }
             | EventKind::Answered { sid, .. }
@@ -131,7 +134,7 @@
             | EventKind::Broken { sid, .. }
             | EventKind::RefusedConnection { sid }
             | EventKind::Told { sid, .. }
-            | EventKind::ClientReleased { sid } => of(sid),
+            | EventKind::ClientReleased { sid } => sid.clone(),
             _ => return,
         };
         let Some(request) = self.requests.get_mut(&sid) else { return };
@@ -139,40 +142,48 @@
             EventKind::RequestSentAgain { .. } => request.sent_again = Some(at),
             EventKind::Answered { answer, .. } => {
                 if matches!(answer, Answer::Stands(_)) {
-                    request.stood = Some(at);
+                    request.established = Some(at);
                 }
                 request.answers.push((at, answer.clone()));
             }
-            EventKind::AnsweredTwice { message, .. } => request.repeated.push((at, message.clone())),
-            EventKind::GivenUp { .. } => request.given_up = Some(at),
-            EventKind::Unanswered { .. } => request.no_answer = Some((at, "no answer in its time")),
+            EventKind::AnsweredTwice { message, .. } => request.extra_answers.push((at, message.clone())),
+            EventKind::GivenUp { .. } => request.cancelled = Some(at),
+            EventKind::Unanswered { .. } => {
+                request.no_answer = Some((at, "no answer within the client timeout"))
+            }
             EventKind::Broken { .. } => request.no_answer = Some((at, "its connection ended")),
-            EventKind::Told { .. } => request.told = Some(at),
+            EventKind::Told { .. } => request.release_received = Some(at),
             EventKind::ClientReleased { .. } => request.released = Some(at),
             _ => {}
         }
     }
 
-    fn exchange(&mut self, at: Micros, kind: &EventKind) {
+    fn add_exchange_event(&mut self, at: Micros, kind: &EventKind) {
         match kind {
             EventKind::SetUpCame { sid, controller, exchange, .. } => {
                 let (controller, exchange) = (*controller, *exchange);
-                let attempt =
-                    Attempt { controller, exchange, came: at, answered: None, ended: None, call_ended: None };
+                let attempt = Attempt {
+                    controller,
+                    exchange,
+                    received_at: at,
+                    answered: None,
+                    ended: None,
+                    call_ended: None,
+                };
                 self.attempts.entry(sid.clone()).or_default().push(attempt);
             }
             EventKind::SetUpAnswered { sid, exchange, text } => {
-                if let Some(attempt) = self.attempt(sid, *exchange) {
+                if let Some(attempt) = self.last_attempt(sid, *exchange) {
                     attempt.answered = Some((at, text.clone()));
                 }
             }
             EventKind::SetUpEnded { sid, exchange, end } => {
-                if let Some(attempt) = self.attempt(sid, *exchange) {
+                if let Some(attempt) = self.last_attempt(sid, *exchange) {
                     attempt.ended = Some((at, *end));
                 }
             }
             EventKind::CallEnded { sid, exchange, end } => {
-                if let Some(attempt) = self.attempt(sid, *exchange) {
+                if let Some(attempt) = self.last_attempt(sid, *exchange) {
                     attempt.call_ended = Some((at, *end));
                 }
             }
@@ -182,13 +193,13 @@
             EventKind::PathOpen { controller, exchange, open } => {
                 self.paths.entry((*controller, *exchange)).or_default().push((at, *open));
             }
-            EventKind::ExchangeStarted { exchange, .. } => self.cold.push((at, *exchange)),
+            EventKind::ExchangeStarted { exchange, .. } => self.cold_starts.push((at, *exchange)),
             EventKind::Listed { index, member, exchange, phase } => {
                 let (member, phase) = (member.clone(), phase.clone());
                 self.changes.push(Change { at, index: *index, member, exchange: *exchange, phase });
             }
             EventKind::ListTold { controller, index } => {
-                self.told.entry((*controller, *index)).or_insert(at);
+                self.delivered.entry((*controller, *index)).or_insert(at);
             }
             EventKind::CoordinatorReachable { controller: 0, reachable } => {
                 self.reachable.push((at, *reachable))
@@ -197,71 +208,73 @@
         }
     }
 
-    fn attempt(&mut self, sid: &str, exchange: usize) -> Option<&mut Attempt> {
-        let of = self.attempts.get_mut(sid)?;
-        of.iter_mut().rev().find(|a| a.exchange == exchange)
+    fn last_attempt(&mut self, sid: &str, exchange: usize) -> Option<&mut Attempt> {
+        let attempts = self.attempts.get_mut(sid)?;
+        attempts.iter_mut().rev().find(|a| a.exchange == exchange)
     }
 
-    fn process(&mut self, at: Micros, kind: &EventKind) {
+    fn add_process_event(&mut self, at: Micros, kind: &EventKind) {
         match kind {
             EventKind::Started { controller, .. } => {
-                let life = Life { started: at, ready: None, term: None, kill: None, exited: None };
-                self.lives[*controller].push(life);
+                let process_run =
+                    ProcessRun { started: at, ready: None, term: None, kill: None, exited: None };
+                self.process_runs[*controller].push(process_run);
             }
-            EventKind::Ready { controller } => self.last_life(*controller, |l| l.ready = Some(at)),
+            EventKind::Ready { controller } => self.last_process_run(*controller, |run| run.ready = Some(at)),
             EventKind::Signal { controller, signal } => {
-                self.last_life(*controller, |l| match signal.as_str() {
-                    "TERM" => l.term = Some(at),
-                    "KILL" => l.kill = Some(at),
+                self.last_process_run(*controller, |run| match signal.as_str() {
+                    "TERM" => run.term = Some(at),
+                    "KILL" => run.kill = Some(at),
                     _ => {}
                 })
             }
             EventKind::Exited { controller, code } => {
-                self.last_life(*controller, |l| l.exited = Some((at, *code)));
+                self.last_process_run(*controller, |run| run.exited = Some((at, *code)));
             }
             EventKind::Unreadable { line, .. } => self.unreadable.push((at, line.clone())),
             EventKind::Resources { controller, rss_kb, descriptors, .. } => {
                 self.resources.push((at, *controller, *rss_kb, *descriptors));
             }
             EventKind::Left { requests, calls, exchanges_busy } => {
-                self.left = Some((at, (*requests, *calls, *exchanges_busy)));
+                self.leftovers = Some((at, (*requests, *calls, *exchanges_busy)));
             }
             _ => {}
         }
     }
 
-    fn last_life(&mut self, controller: usize, change: impl FnOnce(&mut Life)) {
-        if let Some(life) = self.lives[controller].last_mut() {
-            change(life);
+    fn last_process_run(&mut self, controller: usize, change: impl FnOnce(&mut ProcessRun)) {
+        if let Some(process_run) = self.process_runs[controller].last_mut() {
+            change(process_run);
         }
     }
 
-    // ---- What may be asked ----
+    // ---- Queries ----
 
-    /// The process of a controller that ran at that time.
-    pub fn life(&self, controller: usize, at: Micros) -> Option<&Life> {
-        self.lives[controller].iter().rev().find(|l| l.started <= at)
+    /// Returns the last process run of a controller that had started by that time.
+    pub fn process_run(&self, controller: usize, at: Micros) -> Option<&ProcessRun> {
+        self.process_runs[controller].iter().rev().find(|run| run.started <= at)
     }
 
-    /// Whether one process of a controller ran through all of that time.
-    pub fn one_life(&self, controller: usize, from: Micros, to: Micros) -> bool {
-        self.lives[controller].iter().any(|l| l.covers(from, to))
+    /// Returns whether a single process of a controller ran during the whole interval.
+    pub fn same_process(&self, controller: usize, from: Micros, to: Micros) -> bool {
+        self.process_runs[controller].iter().any(|run| run.runs_throughout(from, to))
     }
 
-    /// Whether the way between a controller and an exchange was open through all of that time.
-    pub fn open(&self, controller: usize, exchange: usize, from: Micros, to: Micros) -> bool {
+    /// Returns whether the network path between a controller and an exchange was open during the whole interval.
+    pub fn path_open(&self, controller: usize, exchange: usize, from: Micros, to: Micros) -> bool {
         let changes = self.paths.get(&(controller, exchange)).map_or(&[][..], Vec::as_slice);
         let before = changes.iter().rev().find(|c| c.0 <= from).is_none_or(|c| c.1);
         before && !changes.iter().any(|c| c.0 > from && c.0 <= to && !c.1)
     }
 
-    /// Whether the coordinator could be reached at that time, and since when or from when on it could for good.
-    pub fn reachable_from(&self, at: Micros) -> Micros {
+    /// Returns the earliest time, `at` or later, from which the coordinator was reachable for long enough to deliver
+    /// all changes, or [`Micros::MAX`] if there is none.
+    pub fn reachable_since(&self, at: Micros) -> Micros {
         let before = self.reachable.iter().rev().find(|r| r.0 <= at).is_none_or(|r| r.1);
         let mut from = before.then_some(at);
         for (changed, reachable) in self.reachable.iter().filter(|r| r.0 > at) {
             match (reachable, from) {
-                // Long enough to be told of all.
+                // Long enough for the delivery of all changes.
                 (false, Some(since)) if changed - since > 6_000_000 => return since,
                 (false, _) => from = None,
                 (true, None) => from = Some(*changed),
--- a/crates/trials/src/check/mod.rs
+++ b/crates/trials/src/check/mod.rs
@@ -91,7 +91,7 @@
 
 /// Checks a record against all rules.
 pub fn check(record: &Record) -> Verdict {
-    let history = History::of(record);
+    let history = History::from_record(record);
     let mut violations = requests::check(&history);
     violations.extend(calls::check(&history));
     violations.extend(exchanges::check(&history));
@@ -107,7 +107,7 @@
         judged: !record.events.iter().any(|e| stalled(&e.kind)),
         violations,
         requests: history.requests.len(),
-        established: history.requests.values().filter(|r| r.stood.is_some()).count(),
+        established: history.requests.values().filter(|r| r.established.is_some()).count(),
         max_resources: resources.fold((0, 0), |max, r| (max.0.max(r.0), max.1.max(r.1))),
     }
 }
--- a/crates/trials/src/check/requests.rs
+++ b/crates/trials/src/check/requests.rs
@@ -1,52 +1,53 @@
-//! Every request gets one final answer, in time, and one that an exchange made.
+//! Checks that every request receives exactly one final answer in time, with a description that an exchange sent.
 
 use super::history::{History, Request};
 use super::{Rule, Violation, SLACK};
 use walnuthatch_standin::faulty::record::Answer;
 
-/// A request that came this shortly after SIGTERM may be found open by SIGKILL (µs).
-const EXCUSED_AFTER_TERM: u64 = 700_000;
+/// A request sent less than this long after SIGTERM may still be unanswered at SIGKILL (µs).
+const STOP_GRACE: u64 = 700_000;
 
 pub fn check(history: &History) -> Vec<Violation> {
-    let mut found = Vec::new();
+    let mut violations = Vec::new();
     for (sid, request) in &history.requests {
-        let mut add =
-            |rule, at, description| found.push(Violation { rule, at, description, sid: Some(sid.clone()) });
-        if let Some((at, why)) = request.no_answer.filter(|_| !excused(history, request)) {
+        let mut add = |rule, at, description| {
+            violations.push(Violation { rule, at, description, sid: Some(sid.clone()) })
+        };
+        if let Some((at, cause)) = request.no_answer.filter(|_| !is_excused(history, request)) {
             let after = (at - request.sent) as f64 / 1e6;
-            add(Rule::Lost, at, format!("n{}: {why}, {after:.3} s after it was sent", request.controller));
+            add(Rule::Lost, at, format!("n{}: {cause}, {after:.3} s after it was sent", request.controller));
         }
-        for (at, message) in &request.repeated {
+        for (at, message) in &request.extra_answers {
             add(Rule::SecondAnswer, *at, message.clone());
         }
         for (at, answer) in &request.answers {
             let Answer::Stands(text) = answer else { continue };
-            let made = history.attempts.get(sid).into_iter().flatten();
-            if !made.filter_map(|a| a.answered.as_ref()).any(|a| a.1 == *text) {
+            let sent_by_exchanges = history.attempts.get(sid).into_iter().flatten();
+            if !sent_by_exchanges.filter_map(|a| a.answered.as_ref()).any(|a| a.1 == *text) {
                 add(Rule::Invented, *at, format!("answered with {text:?}"));
             }
         }
     }
     let unreadable = |(at, line): &(u64, String)| {
-        let description = format!("a client got {line:?}");
+        let description = format!("a client received {line:?}");
         Violation { rule: Rule::Unreadable, at: *at, description, sid: None }
     };
-    found.extend(history.unreadable.iter().map(unreadable));
-    found
+    violations.extend(history.unreadable.iter().map(unreadable));
+    violations
 }
 
-/// Whether a request without an answer is one that a killed process need not have answered.
-fn excused(history: &History, request: &Request) -> bool {
-    let Some((noticed, _)) = request.no_answer else { return false };
+/// Returns whether an unanswered request is one that a terminated process need not have answered.
+fn is_excused(history: &History, request: &Request) -> bool {
+    let Some((noticed_at, _)) = request.no_answer else { return false };
     let sent = request.sent_again.unwrap_or(request.sent);
-    let Some(life) = history.life(request.controller, sent) else { return true };
-    let Some((exited, _)) = life.exited.filter(|e| e.0 <= noticed + SLACK) else { return false };
-    // What was written to a process that had gone was never taken.
-    let killed = life.kill.filter(|k| *k <= exited);
-    match (life.term, killed) {
+    let Some(run) = history.process_run(request.controller, sent) else { return true };
+    let Some((exited, _)) = run.exited.filter(|e| e.0 <= noticed_at + SLACK) else { return false };
+    let killed_at = run.kill.filter(|k| *k <= exited);
+    match (run.term, killed_at) {
+        // A request written after the process had ended was never accepted.
         _ if sent >= exited => true,
         (None, Some(_)) => true,
-        (Some(term), Some(kill)) => sent < term + EXCUSED_AFTER_TERM || sent + SLACK >= kill,
+        (Some(term), Some(kill)) => sent < term + STOP_GRACE || sent + SLACK >= kill,
         (_, None) => false,
     }
 }
