--- a/crates/trials/src/trial.rs
+++ b/crates/trials/src/trial.rs
@@ -1,5 +1,4 @@
-//! Plays a trial: starts the stand-ins and the processes, lets the faults happen when they are planned, and writes
-//! down what all of them saw.
+//! Runs a trial: starts the stand-ins and the controller processes, injects the planned faults and records all events.
 
 use crate::controller::{Controller, ControllerAddresses};
 use crate::record_file::Record;
@@ -22,58 +21,59 @@
 use walnuthatch_standin::faulty::record::EventKind;
 use walnuthatch_standin::faulty::Testbed;
 
-/// Circuits of an exchange.
-const CIRCUITS: usize = 60;
-/// Clients of a controller.
-const CLIENTS: usize = 4;
-/// Places of the coordinator, between which reloads move.
-const COORDINATORS: usize = 2;
-/// SIGKILL comes this long after SIGTERM and the longest deadline, which counts as 3 s at the most.
-const KILL_AFTER: Millis = 700;
+/// Number of circuits of an exchange.
+const CIRCUITS_PER_EXCHANGE: usize = 60;
+/// Number of clients of a controller, besides flash crowds.
+const CLIENTS_PER_CONTROLLER: usize = 4;
+/// Number of the coordinator's addresses, between which reloads switch.
+const COORDINATOR_ADDRESSES: usize = 2;
+/// SIGKILL follows SIGTERM after the client timeout, at most [`LONGEST_DEADLINE`], and this delay.
+const KILL_DELAY: Millis = 700;
+/// Upper bound of the client timeout in the delay of SIGKILL.
 const LONGEST_DEADLINE: Millis = 3_000;
-/// The coordinator lists what has happened to an exchange this much later.
-const LISTED_AFTER: Millis = 400;
-/// After the clients' last request everything has this long to come to its end.
-const SETTLE: Millis = 14_000;
-/// A controller that is asked to stop with nothing left has this long.
-const STOPPING: Millis = 6_000;
-/// How often the trial's own timers are measured.
-const CLOCK: Duration = Duration::from_millis(10);
-/// Every controller passes a test this long after its first start, or the trial is not played.
-const FIRST_START: Millis = 30_000;
-/// How often a process or a test is looked at.
-const LOOK: Millis = 20;
+/// Delay before the coordinator lists a change of an exchange.
+const LISTING_DELAY: Millis = 400;
+/// Time within which all requests and calls must end after the clients' last request.
+const SETTLE_LIMIT: Millis = 14_000;
+/// Time within which a signalled controller without calls must exit.
+const STOP_LIMIT: Millis = 6_000;
+/// Interval at which the delay of the trial's own timers is measured.
+const CLOCK_INTERVAL: Duration = Duration::from_millis(10);
+/// Time within which every controller must become ready after its first start; the trial fails to run otherwise.
+const START_LIMIT: Millis = 30_000;
+/// Interval between two polls of processes and probes.
+const POLL_INTERVAL: Millis = 20;
 
 async fn sleep(ms: Millis) {
     Timer::after(Duration::from_millis(ms)).await;
 }
 
-/// An exchange and how it is listed.
-struct Place {
+/// An exchange and the member under which the coordinator lists it.
+struct ListedExchange {
     exchange: Rc<Exchange>,
-    member: RefCell<String>,
-    replaced: Cell<u32>,
-    /// Its process is being changed by a fault; no other does so meanwhile.
-    taken: Cell<bool>,
+    member_id: RefCell<String>,
+    replacements: Cell<u32>,
+    /// A fault affects the exchange's process or paths; another such fault is skipped meanwhile.
+    fault_active: Cell<bool>,
 }
 
 struct Trial {
     testbed: Testbed,
     schedule: Schedule,
     controllers: Vec<RefCell<Controller>>,
-    /// A controller is being restarted.
+    /// Whether each controller is being restarted.
     restarting: Vec<Cell<bool>>,
     servers: Vec<Server>,
-    places: Vec<Place>,
+    exchanges: Vec<ListedExchange>,
     coordinator: Rc<Coordinator>,
-    /// Where the coordinator is found at present.
-    coordinator_at: Cell<usize>,
-    /// Failures of the coordinator that last.
+    /// Index of the coordinator's address in the present configuration.
+    coordinator_index: Cell<usize>,
+    /// Present outages of the coordinator, of which the last determines its mode.
     outages: RefCell<Vec<Mode>>,
     clients: RefCell<Vec<Rc<Client>>>,
 }
 
-/// Addresses of their own for one trial, so that several can run side by side.
+/// Allocates addresses that are unique to a job, so that several trials can run in parallel.
 struct Addresses {
     job: u8,
     next: u16,
@@ -86,10 +86,11 @@
     }
 }
 
-/// Plays the trial of this schedule with this program; `job` tells trials apart that run side by side.
+/// Runs the trial of a schedule with the executable `program`. `job` selects the loopback addresses and must differ
+/// between trials that run in parallel.
 ///
 /// # Errors
-/// If an address can't be had, a file can't be written, or the program can't be started.
+/// If an address can't be bound, a file can't be written, or the controllers don't become ready.
 pub fn play(schedule: &Schedule, program: &FilePath, folder: &FilePath, job: u8) -> io::Result<Record> {
     let trial = Rc::new(Trial::new(schedule, program, folder, job)?);
     let executor = trial.testbed.executor.clone();
@@ -102,70 +103,80 @@
     fn new(schedule: &Schedule, program: &FilePath, folder: &FilePath, job: u8) -> io::Result<Trial> {
         let testbed = Testbed::new(schedule.seed);
         let mut addresses = Addresses { job, next: 0 };
-        let mut some = |n: usize| (0..n).map(|_| addresses.next()).collect::<Vec<_>>();
-        let listens = some(schedule.controllers);
-        let exchanges: Vec<Vec<SocketAddr>> = listens.iter().map(|_| some(schedule.exchanges)).collect();
-        let coordinators: Vec<Vec<SocketAddr>> = listens.iter().map(|_| some(COORDINATORS)).collect();
-        let mut places = Vec::new();
+        let mut allocate = |n: usize| (0..n).map(|_| addresses.next()).collect::<Vec<_>>();
+        let listen_addresses = allocate(schedule.controllers);
+        let exchange_addresses: Vec<Vec<SocketAddr>> =
+            listen_addresses.iter().map(|_| allocate(schedule.exchanges)).collect();
+        let coordinator_addresses: Vec<Vec<SocketAddr>> =
+            listen_addresses.iter().map(|_| allocate(COORDINATOR_ADDRESSES)).collect();
+        let mut exchanges = Vec::new();
         for number in 0..schedule.exchanges {
-            let paths = exchanges.iter().map(|of| Path::new(of[number])).collect::<io::Result<Vec<_>>>()?;
-            let exchange = Exchange::start(&testbed, number, CIRCUITS, paths);
-            let member = RefCell::new(format!("s-{number}"));
-            places.push(Place { exchange, member, replaced: Cell::default(), taken: Cell::default() });
+            let paths = exchange_addresses
+                .iter()
+                .map(|addresses| Path::new(addresses[number]))
+                .collect::<io::Result<Vec<_>>>()?;
+            let exchange = Exchange::start(&testbed, number, CIRCUITS_PER_EXCHANGE, paths);
+            let member_id = RefCell::new(format!("s-{number}"));
+            exchanges.push(ListedExchange {
+                exchange,
+                member_id,
+                replacements: Cell::default(),
+                fault_active: Cell::default(),
+            });
         }
-        let coordinator = Coordinator::start(&testbed, coordinators.clone(), exchanges)?;
+        let coordinator = Coordinator::start(&testbed, coordinator_addresses.clone(), exchange_addresses)?;
         let controller = |(number, listen): (usize, &SocketAddr)| {
             let addresses =
-                ControllerAddresses { listen: *listen, coordinators: coordinators[number].clone() };
+                ControllerAddresses { listen: *listen, coordinators: coordinator_addresses[number].clone() };
             RefCell::new(Controller::new(number, addresses, folder, program, schedule.client_timeout))
         };
-        let controllers = listens.iter().enumerate().map(controller).collect();
+        let controllers = listen_addresses.iter().enumerate().map(controller).collect();
         let server = |(controller, &address): (usize, &SocketAddr)| {
             let (exchanges, established_calls) = (schedule.exchanges, EstablishedCalls::default());
             Server { controller, address, exchanges, established_calls }
         };
-        let servers = listens.iter().enumerate().map(server).collect();
+        let servers = listen_addresses.iter().enumerate().map(server).collect();
         Ok(Trial {
-            restarting: listens.iter().map(|_| Cell::default()).collect(),
+            restarting: listen_addresses.iter().map(|_| Cell::default()).collect(),
             testbed,
             schedule: schedule.clone(),
             controllers,
             servers,
-            places,
+            exchanges,
             coordinator,
-            coordinator_at: Cell::default(),
+            coordinator_index: Cell::default(),
             outages: RefCell::default(),
             clients: RefCell::default(),
         })
     }
 
     async fn run(self: Rc<Self>) -> io::Result<()> {
-        let worst = Rc::new(Cell::new(0));
-        self.testbed.spawn(measure_clock(worst.clone()));
-        for number in 0..self.places.len() {
-            self.list(number, "up", 0);
+        let longest_delay = Rc::new(Cell::new(0));
+        self.testbed.spawn(measure_clock(longest_delay.clone()));
+        for number in 0..self.exchanges.len() {
+            self.publish(number, "up", 0);
         }
         for number in 0..self.controllers.len() {
             self.start(number)?;
         }
-        self.testbed.spawn(self.clone().watch());
-        self.until_all_passed().await?;
+        self.testbed.spawn(self.clone().watch_exits());
+        self.wait_until_all_ready().await?;
         self.start_clients();
         for planned in self.schedule.faults.clone() {
-            let here = self.clone();
+            let trial = self.clone();
             self.testbed.spawn(async move {
                 sleep(planned.at).await;
                 let text = format!("{:?}", planned.fault);
-                here.testbed.recorder.record(EventKind::Fault { text });
-                here.happen(planned.fault).await;
+                trial.testbed.recorder.record(EventKind::Fault { text });
+                trial.inject(planned.fault).await;
             });
         }
         sleep(self.schedule.duration).await;
         self.clients.borrow().iter().for_each(|c| c.finish());
         self.settle().await;
-        self.note_resources("settled");
+        self.record_resources("settled");
         self.stop_all().await;
-        self.testbed.recorder.record(EventKind::Clock { late_us: worst.get() });
+        self.testbed.recorder.record(EventKind::Clock { late_us: longest_delay.get() });
         Ok(())
     }
 
@@ -177,7 +188,7 @@
             ..ClientBehavior::default()
         };
         for server in &self.servers {
-            for n in 0..CLIENTS {
+            for n in 0..CLIENTS_PER_CONTROLLER {
                 let behavior = match n {
                     0 => ClientBehavior {
                         early_cancel_percent: self.schedule.early_cancel_percent,
@@ -202,7 +213,7 @@
         self.testbed.recorder.record(EventKind::Started { controller: number, pid });
         let (testbed, address) = (self.testbed.clone(), self.servers[number].address);
         self.testbed.spawn(async move {
-            if test_until_passed(address).await {
+            if probe_until_ready(address).await {
                 testbed.recorder.record(EventKind::Ready { controller: number });
             }
         });
@@ -210,33 +221,37 @@
     }
 
     fn configure(&self, number: usize) -> io::Result<()> {
-        let known = self.coordinator.snapshot(number);
+        let snapshot = self.coordinator.snapshot(number);
         let seed = self.testbed.below(u64::MAX);
-        self.controllers[number].borrow().configure(self.coordinator_at.get(), &known, seed)
+        self.controllers[number].borrow().configure(self.coordinator_index.get(), &snapshot, seed)
     }
 
-    /// Waits until each controller has passed a test.
-    async fn until_all_passed(&self) -> io::Result<()> {
-        let end = Instant::now() + Duration::from_millis(FIRST_START);
+    /// Waits until each controller has answered a probe as ready.
+    async fn wait_until_all_ready(&self) -> io::Result<()> {
+        let end = Instant::now() + Duration::from_millis(START_LIMIT);
         loop {
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
             let events = self.testbed.recorder.events();
-            let passed = events.iter().filter(|e| matches!(e.kind, EventKind::Ready { .. })).count();
-            if passed == self.controllers.len() {
+            let ready = events.iter().filter(|e| matches!(e.kind, EventKind::Ready { .. })).count();
+            if ready == self.controllers.len() {
                 return Ok(());
             }
-            let ended = events.iter().any(|e| matches!(e.kind, EventKind::Exited { .. }));
-            if ended || Instant::now() >= end {
-                let why = self.controllers.iter().map(|c| c.borrow().last_log_line()).collect::<Vec<_>>();
-                return Err(io::Error::other(format!("the program does not start: {}", why.join("; "))));
+            let exited = events.iter().any(|e| matches!(e.kind, EventKind::Exited { .. }));
+            if exited || Instant::now() >= end {
+                let log_lines =
+                    self.controllers.iter().map(|c| c.borrow().last_log_line()).collect::<Vec<_>>();
+                return Err(io::Error::other(format!(
+                    "the controllers did not become ready; last log lines: {}",
+                    log_lines.join("; ")
+                )));
             }
         }
     }
 
-    /// Notes the end of each process.
-    async fn watch(self: Rc<Self>) {
+    /// Records the exit of each process.
+    async fn watch_exits(self: Rc<Self>) {
         loop {
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
             for (controller, process) in self.controllers.iter().enumerate() {
                 if let Some(status) = process.borrow_mut().try_wait() {
                     self.testbed.recorder.record(EventKind::Exited { controller, code: status.code() });
@@ -251,7 +266,7 @@
         }
     }
 
-    async fn until_ended(&self, controller: usize, limit: Millis) {
+    async fn wait_for_exit(&self, controller: usize, limit: Millis) {
         let end = Instant::now() + Duration::from_millis(limit);
         while self.controllers[controller].borrow().is_running() && Instant::now() < end {
             sleep(2).await;
@@ -264,23 +279,23 @@
         }
         if planned {
             self.signal(controller, Signal::TERM, "TERM");
-            self.until_ended(controller, self.schedule.client_timeout.min(LONGEST_DEADLINE) + KILL_AFTER)
+            self.wait_for_exit(controller, self.schedule.client_timeout.min(LONGEST_DEADLINE) + KILL_DELAY)
                 .await;
         }
         self.signal(controller, Signal::KILL, "KILL");
-        self.until_ended(controller, STOPPING).await;
+        self.wait_for_exit(controller, STOP_LIMIT).await;
         sleep(down).await;
-        if let Err(why) = self.start(controller) {
+        if let Err(error) = self.start(controller) {
             self.testbed
                 .recorder
-                .record(EventKind::Fault { text: format!("n{controller} can't be started: {why}") });
+                .record(EventKind::Fault { text: format!("n{controller} can't be started: {error}") });
         }
         self.restarting[controller].set(false);
     }
 
     async fn reload(&self, times: u64) {
         for _ in 0..times {
-            self.coordinator_at.set((self.coordinator_at.get() + 1) % COORDINATORS);
+            self.coordinator_index.set((self.coordinator_index.get() + 1) % COORDINATOR_ADDRESSES);
             for number in 0..self.controllers.len() {
                 if self.configure(number).is_ok() {
                     self.signal(number, Signal::HUP, "HUP");
@@ -292,75 +307,75 @@
 
     // ---- Exchanges ----
 
-    fn list(&self, number: usize, phase: &'static str, up_since_ms: u64) {
-        let id = self.places[number].member.borrow().clone();
+    fn publish(&self, number: usize, phase: &'static str, up_since_ms: u64) {
+        let id = self.exchanges[number].member_id.borrow().clone();
         self.coordinator.publish(Member { id, exchange: number, phase, up_since_ms });
     }
 
-    fn open_paths(&self, exchange: usize, open: bool) {
+    fn record_paths(&self, exchange: usize, open: bool) {
         for controller in 0..self.controllers.len() {
             self.testbed.recorder.record(EventKind::PathOpen { controller, exchange, open });
         }
     }
 
-    /// Another machine takes the address, under a name of its own.
-    fn rename(&self, number: usize) {
-        let place = &self.places[number];
-        place.replaced.set(place.replaced.get() + 1);
-        *place.member.borrow_mut() = format!("s-{number}-{}", place.replaced.get());
+    /// Lists the exchange under a new member identifier, as for a host that takes over the address.
+    fn replace_member(&self, number: usize) {
+        let listed = &self.exchanges[number];
+        listed.replacements.set(listed.replacements.get() + 1);
+        *listed.member_id.borrow_mut() = format!("s-{number}-{}", listed.replacements.get());
     }
 
     async fn vanish(&self, number: usize, span: Millis, replaced: bool) {
-        let exchange = &self.places[number].exchange;
-        self.open_paths(number, false);
+        let exchange = &self.exchanges[number].exchange;
+        self.record_paths(number, false);
         exchange.vanish();
-        sleep(LISTED_AFTER).await;
+        sleep(LISTING_DELAY).await;
         if replaced {
-            self.list(number, "removed", 0);
-            self.rename(number);
+            self.publish(number, "removed", 0);
+            self.replace_member(number);
         }
         sleep(span).await;
         exchange.restore(true);
-        self.open_paths(number, true);
-        self.list(number, "up", unix_ms());
+        self.record_paths(number, true);
+        self.publish(number, "up", unix_ms());
     }
 
-    async fn die(&self, number: usize, span: Millis) {
-        let exchange = &self.places[number].exchange;
-        self.open_paths(number, false);
+    async fn kill_exchange(&self, number: usize, span: Millis) {
+        let exchange = &self.exchanges[number].exchange;
+        self.record_paths(number, false);
         exchange.die();
         sleep(span).await;
         exchange.restore(false);
-        self.open_paths(number, true);
-        self.list(number, "up", unix_ms());
+        self.record_paths(number, true);
+        self.publish(number, "up", unix_ms());
     }
 
     async fn drain(&self, number: usize, span: Millis, replaced: bool) {
-        self.list(number, "draining", 0);
+        self.publish(number, "draining", 0);
         sleep(span).await;
         if !replaced {
-            return self.list(number, "up", 0);
+            return self.publish(number, "up", 0);
         }
-        self.list(number, "removed", 0);
-        self.rename(number);
-        sleep(LISTED_AFTER).await;
-        self.die(number, LISTED_AFTER).await;
+        self.publish(number, "removed", 0);
+        self.replace_member(number);
+        sleep(LISTING_DELAY).await;
+        self.kill_exchange(number, LISTING_DELAY).await;
     }
 
     async fn hang(&self, number: usize, span: Millis) {
-        let exchange = &self.places[number].exchange;
-        self.open_paths(number, false);
+        let exchange = &self.exchanges[number].exchange;
+        self.record_paths(number, false);
         exchange.hang(true);
         let paths = || (0..self.controllers.len()).map(|c| exchange.path(c));
         paths().for_each(|p| p.network.set_partitioned(true));
         sleep(span).await;
         paths().for_each(|p| p.network.set_partitioned(false));
         exchange.hang(false);
-        self.open_paths(number, true);
+        self.record_paths(number, true);
     }
 
-    async fn habit(&self, number: usize, habit: ExchangeFault, span: Millis) {
-        let exchange = &self.places[number].exchange;
+    async fn inject_set_up_faults(&self, number: usize, habit: ExchangeFault, span: Millis) {
+        let exchange = &self.exchanges[number].exchange;
         let mut fault_rates = exchange.fault_rates.get();
         match habit {
             ExchangeFault::Loses(share) => fault_rates.lost = share,
@@ -375,24 +390,24 @@
         exchange.fault_rates.set(FaultRates::default());
     }
 
-    /// Changes what is behind an exchange's address, unless another fault does so at the time.
+    /// Injects a fault into an exchange's process, unless another fault affects the exchange already.
     async fn change_process(&self, number: usize, fault: Fault) {
-        if self.places[number].taken.replace(true) {
+        if self.exchanges[number].fault_active.replace(true) {
             return;
         }
         match fault {
             Fault::Hang { span, .. } => self.hang(number, span).await,
             Fault::Vanish { span, replaced, .. } => self.vanish(number, span, replaced).await,
-            Fault::Die { span, .. } => self.die(number, span).await,
+            Fault::Die { span, .. } => self.kill_exchange(number, span).await,
             Fault::Drain { span, replaced, .. } => self.drain(number, span, replaced).await,
             _ => {}
         }
-        self.places[number].taken.set(false);
+        self.exchanges[number].fault_active.set(false);
     }
 
-    // ---- The rest ----
+    // ---- Coordinator, network and clients ----
 
-    async fn outage(&self, outage: Outage, span: Millis) {
+    async fn fail_coordinator(&self, outage: Outage, span: Millis) {
         let mode = match outage {
             Outage::Refuses => Mode::Refuses,
             Outage::Hangs => Mode::Hangs,
@@ -409,41 +424,45 @@
         self.coordinator.set_mode(outages.last().copied().unwrap_or_default());
     }
 
-    async fn cut(&self, controller: usize, exchange: usize, span: Millis, cut: bool) {
-        if self.places[exchange].taken.replace(true) {
+    /// Blocks new connections on a path, and with `stop_traffic` also all traffic on open ones, unless another fault
+    /// affects the exchange already.
+    async fn partition(&self, controller: usize, exchange: usize, span: Millis, stop_traffic: bool) {
+        if self.exchanges[exchange].fault_active.replace(true) {
             return;
         }
-        let path = self.places[exchange].exchange.path(controller);
+        let path = self.exchanges[exchange].exchange.path(controller);
         self.testbed.recorder.record(EventKind::PathOpen { controller, exchange, open: false });
         path.block();
-        path.network.set_partitioned(cut);
+        path.network.set_partitioned(stop_traffic);
         sleep(span).await;
         path.network.set_partitioned(false);
         path.unblock();
         self.testbed.recorder.record(EventKind::PathOpen { controller, exchange, open: true });
-        self.places[exchange].taken.set(false);
+        self.exchanges[exchange].fault_active.set(false);
     }
 
-    async fn happen(&self, fault: Fault) {
+    async fn inject(&self, fault: Fault) {
         match fault {
             Fault::Restart { controller, down } => self.restart(controller, down, true).await,
             Fault::Kill { controller, down } => self.restart(controller, down, false).await,
             Fault::Reload { times } => self.reload(times).await,
-            Fault::Coordinator { outage, span } => self.outage(outage, span).await,
+            Fault::Coordinator { outage, span } => self.fail_coordinator(outage, span).await,
             Fault::CutEvent => self.coordinator.truncate_next_event(),
             Fault::Hang { exchange, .. }
             | Fault::Vanish { exchange, .. }
             | Fault::Die { exchange, .. }
             | Fault::Drain { exchange, .. } => self.change_process(exchange, fault).await,
-            Fault::Habit { exchange, habit, span } => self.habit(exchange, habit, span).await,
-            Fault::CloseResting { exchange } => self.places[exchange].exchange.close_idle_connections(),
-            Fault::Cut { controller, exchange, span } => self.cut(controller, exchange, span, true).await,
+            Fault::Habit { exchange, habit, span } => self.inject_set_up_faults(exchange, habit, span).await,
+            Fault::CloseResting { exchange } => self.exchanges[exchange].exchange.close_idle_connections(),
+            Fault::Cut { controller, exchange, span } => {
+                self.partition(controller, exchange, span, true).await
+            }
             Fault::Late { controller, exchange, span } => {
-                self.places[exchange].exchange.reset_connections(controller);
-                self.cut(controller, exchange, span, false).await;
+                self.exchanges[exchange].exchange.reset_connections(controller);
+                self.partition(controller, exchange, span, false).await;
             }
             Fault::Pieces { controller, exchange, delay, span } => {
-                let network = &self.places[exchange].exchange.path(controller).network;
+                let network = &self.exchanges[exchange].exchange.path(controller).network;
                 network.delay.set(Duration::from_millis(delay));
                 network.fragmented.set(true);
                 sleep(span).await;
@@ -451,51 +470,51 @@
                 network.fragmented.set(false);
             }
             Fault::ResetPath { controller, exchange } => {
-                self.places[exchange].exchange.reset_connections(controller)
+                self.exchanges[exchange].exchange.reset_connections(controller)
             }
             Fault::Bad { controller, misdeed } => {
-                let kind = match misdeed {
+                let misbehavior = match misdeed {
                     ClientFault::Garbage => Misbehavior::Garbage,
                     ClientFault::HalfMessage => Misbehavior::HalfMessage,
                     ClientFault::SameName => Misbehavior::SameName,
                     ClientFault::SlowWriter => Misbehavior::SlowWriter,
                     ClientFault::Mute => Misbehavior::Mute,
                 };
-                // The controller may well end its connection.
-                let _ = misbehave(self.testbed.clone(), self.servers[controller].address, kind).await;
+                // An error is expected if the controller closes the connection.
+                let _ = misbehave(self.testbed.clone(), self.servers[controller].address, misbehavior).await;
             }
             Fault::CutClient { controller, client, span } => {
-                let client = self.clients.borrow().get(controller * CLIENTS + client).cloned();
+                let client = self.clients.borrow().get(controller * CLIENTS_PER_CONTROLLER + client).cloned();
                 let Some(client) = client else { return };
                 client.set_partitioned(true);
                 sleep(span).await;
                 client.set_partitioned(false);
             }
             Fault::Crowd { controller, size } => {
-                let all = start_flash_crowd(&self.testbed, &self.servers[controller], size);
-                self.clients.borrow_mut().extend(all);
+                let crowd = start_flash_crowd(&self.testbed, &self.servers[controller], size);
+                self.clients.borrow_mut().extend(crowd);
             }
         }
     }
 
-    // ---- The end ----
+    // ---- End of the trial ----
 
-    fn left(&self) -> (usize, usize, usize) {
+    fn leftovers(&self) -> (usize, usize, usize) {
         let requests = self.clients.borrow().iter().map(|c| c.pending_requests()).sum();
         let calls = self.servers.iter().map(|s| s.established_calls.borrow().len()).sum();
-        (requests, calls, self.places.iter().map(|p| p.exchange.busy()).sum())
+        (requests, calls, self.exchanges.iter().map(|listed| listed.exchange.busy()).sum())
     }
 
     async fn settle(&self) {
-        let end = Instant::now() + Duration::from_millis(SETTLE);
-        while Instant::now() < end && self.left() != (0, 0, 0) {
-            sleep(LOOK).await;
+        let end = Instant::now() + Duration::from_millis(SETTLE_LIMIT);
+        while Instant::now() < end && self.leftovers() != (0, 0, 0) {
+            sleep(POLL_INTERVAL).await;
         }
-        let (requests, calls, exchanges_busy) = self.left();
+        let (requests, calls, exchanges_busy) = self.leftovers();
         self.testbed.recorder.record(EventKind::Left { requests, calls, exchanges_busy });
     }
 
-    fn note_resources(&self, moment: &str) {
+    fn record_resources(&self, moment: &str) {
         for (controller, process) in self.controllers.iter().enumerate() {
             if let Some((rss_kb, descriptors)) = process.borrow().resources() {
                 let moment = moment.to_owned();
@@ -511,17 +530,17 @@
 
     async fn stop_all(&self) {
         while self.restarting.iter().any(Cell::get) {
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
         for number in 0..self.controllers.len() {
             self.signal(number, Signal::TERM, "TERM");
         }
         for number in 0..self.controllers.len() {
-            self.until_ended(number, STOPPING).await;
+            self.wait_for_exit(number, STOP_LIMIT).await;
         }
         for number in 0..self.controllers.len() {
             self.signal(number, Signal::KILL, "KILL");
-            self.until_ended(number, STOPPING).await;
+            self.wait_for_exit(number, STOP_LIMIT).await;
         }
     }
 }
@@ -530,36 +549,36 @@
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64)
 }
 
-/// Measures how late the trial's own timers run.
-async fn measure_clock(worst: Rc<Cell<u64>>) {
+/// Measures the longest delay of the trial's own timers.
+async fn measure_clock(longest_delay: Rc<Cell<u64>>) {
     loop {
-        let due = Instant::now() + CLOCK;
+        let due = Instant::now() + CLOCK_INTERVAL;
         Timer::at(due).await;
-        let late = due.elapsed().as_micros() as u64;
-        worst.set(worst.get().max(late));
+        let delay = due.elapsed().as_micros() as u64;
+        longest_delay.set(longest_delay.get().max(delay));
     }
 }
 
-/// Tests a controller on connections of its own until it passes. Whether it did before it had long enough.
-async fn test_until_passed(address: SocketAddr) -> bool {
+/// Probes a controller on new connections until it answers as ready. Returns whether it did within 30 seconds.
+async fn probe_until_ready(address: SocketAddr) -> bool {
     use futures_lite::{AsyncBufReadExt, AsyncWriteExt};
     let end = Instant::now() + Duration::from_secs(30);
     while Instant::now() < end {
-        sleep(LOOK).await;
-        let test = async {
+        sleep(POLL_INTERVAL).await;
+        let probe = async {
             let stream = async_io::Async::<std::net::TcpStream>::connect(address).await.ok()?;
-            let probe = b"{\"msg\":\"probe\",\"sid\":\"00000000000000aa\",\"attrs\":{},\"code\":0}\n";
-            (&stream).write_all(probe).await.ok()?;
+            let message = b"{\"msg\":\"probe\",\"sid\":\"00000000000000aa\",\"attrs\":{},\"code\":0}\n";
+            (&stream).write_all(message).await.ok()?;
             let mut line = String::new();
             futures_lite::io::BufReader::new(&stream).read_line(&mut line).await.ok()?;
             let answer: serde_json::Value = serde_json::from_str(&line).ok()?;
             (answer["code"] == 1).then_some(())
         };
-        let limit = async {
+        let timeout = async {
             sleep(500).await;
             None
         };
-        if future::or(test, limit).await.is_some() {
+        if future::or(probe, timeout).await.is_some() {
             return true;
         }
     }
