--- a/tests/incident_75a3cb.rs
+++ b/tests/incident_75a3cb.rs
@@ -1,4 +1,4 @@
-//! Reproductions of incident 75a3cb with real processes: see docs/incidents/2026-12-75a3cb.md.
+//! Reproduces incident 75a3cb with real processes; see docs/incidents/2026-12-75a3cb.md.
 
 mod common;
 
@@ -13,20 +13,20 @@
 use std::time::{Duration, Instant};
 use walnuthatch_standin::Host;
 
-/// What stood and is over is told to its caller by then, with the pages' slack for sockets.
-const TOLD_WITHIN: Duration = Duration::from_millis(8_050);
-/// SIGKILL may come this long after SIGTERM: the longest deadline, 3 s at most, and 0.7 s more.
-const KILL_AFTER: Duration = Duration::from_millis(3_700);
-/// A request written this shortly before SIGKILL may have had no chance to be read.
-const NO_CHANCE: Duration = Duration::from_millis(50);
+/// Time within which a caller must receive the release of a call that ended, including the tolerance for sockets.
+const RELEASE_LIMIT: Duration = Duration::from_millis(8_050);
+/// Earliest SIGKILL after SIGTERM: the longest deadline, which counts as 3 s at most, plus 0.7 s.
+const KILL_DELAY: Duration = Duration::from_millis(3_700);
+/// A request written less than this long before SIGKILL may not have been read.
+const READ_GRACE: Duration = Duration::from_millis(50);
 
-/// A controller, a host that can vanish with one exchange on it, and a coordinator that is about to be lost.
+/// A controller with one exchange, whose host can become unreachable, one caller and a coordinator that can be stopped.
 struct Site {
     _program: Program,
     host: Host,
     exchange: Line,
     caller: Line,
-    /// The coordinator's stream, and where it listens, while it is up.
+    /// The coordinator's stream and its listener while it is up.
     coordinator: Option<(Coordinator, TcpListener)>,
 }
 
@@ -34,8 +34,8 @@
     ([127, 0, 0, 1], 0).into()
 }
 
-/// One that goes on to tell of its group, as exchanges with calls do, until it is dropped.
-fn talking(host: &Host) -> Line {
+/// Accepts a connection at an exchange that reports its trunk group until the connection is dropped.
+fn accept_reporting(host: &Host) -> Line {
     let line = Line::on(host.accept(common::WAIT).unwrap());
     keep_talking(&line);
     line
@@ -43,31 +43,39 @@
 
 impl Site {
     fn start() -> Site {
-        let (host, feed) = (Host::listen(loopback()).unwrap(), listener());
+        let (host, coordinator_listener) = (Host::listen(loopback()).unwrap(), listener());
         let known =
             json!({"index": 3, "updates": [update(3, true, &[member("s-1", host.address(), 1, "up")])]});
-        let coordinator = feed.local_addr().unwrap().to_string();
-        let all = config(json!({"known": known, "coordinator": coordinator}));
-        let program =
-            Program::start(&[("--config", &file("config.json", &all.to_string()))], &["--log", "debug"]);
-        let exchange = talking(&host);
-        let coordinator = Coordinator::accept(&feed);
+        let coordinator = coordinator_listener.local_addr().unwrap().to_string();
+        let config_json = config(json!({"known": known, "coordinator": coordinator}));
+        let program = Program::start(
+            &[("--config", &file("config.json", &config_json.to_string()))],
+            &["--log", "debug"],
+        );
+        let exchange = accept_reporting(&host);
+        let coordinator = Coordinator::accept(&coordinator_listener);
         let mut caller = Line::to(program.at("callers"));
-        until("the test passes", || {
+        until("the controller is ready", || {
             caller.say(json!({"msg": "probe", "sid": sid(1), "attrs": {}, "code": 0}));
             (caller.about(&sid(1))["code"] == 1).then_some(())
         });
-        Site { _program: program, host, exchange, caller, coordinator: Some((coordinator, feed)) }
+        Site {
+            _program: program,
+            host,
+            exchange,
+            caller,
+            coordinator: Some((coordinator, coordinator_listener)),
+        }
     }
 
-    fn call_stands(&mut self, name: &str) {
+    fn establish_call(&mut self, name: &str) {
         self.caller.say(open(name, 1, 9000));
         self.exchange.about(name);
         self.exchange.say(json!({"msg": "ready", "sid": name, "attrs": {}, "text": TEXT}));
         assert_eq!(self.caller.about(name)["msg"], "ready");
     }
 
-    /// The host vanishes: open connections are silent, new ones never come up.
+    /// Makes the host unreachable: open connections fall silent and new ones are never established.
     fn vanish(&mut self) -> Instant {
         self.host.vanish().unwrap();
         self.exchange.here = Arc::new(());
@@ -75,75 +83,75 @@
     }
 }
 
-/// The caller is told of the end of a call that stood, in time.
-fn told_in_time(caller: &mut Line, name: &str, since: Instant) {
-    caller.stream.set_read_timeout(Some(TOLD_WITHIN + Duration::from_secs(1))).unwrap();
-    let mut told = String::new();
-    let heard = caller.reader.read_line(&mut told);
-    assert!(heard.is_ok(), "nothing told {:?} after the end: {heard:?}", since.elapsed());
-    let told: Value = serde_json::from_str(&told).unwrap();
-    assert_eq!(told["sid"], name);
-    assert_eq!((&told["msg"], &told["code"]), (&json!("close"), &json!(41)));
-    assert!(since.elapsed() <= TOLD_WITHIN, "told {:?} after the end", since.elapsed());
+/// Asserts that the caller receives the release of an established call in time.
+fn assert_released_in_time(caller: &mut Line, name: &str, ended_at: Instant) {
+    caller.stream.set_read_timeout(Some(RELEASE_LIMIT + Duration::from_secs(1))).unwrap();
+    let mut release = String::new();
+    let result = caller.reader.read_line(&mut release);
+    assert!(result.is_ok(), "no release {:?} after the end: {result:?}", ended_at.elapsed());
+    let release: Value = serde_json::from_str(&release).unwrap();
+    assert_eq!(release["sid"], name);
+    assert_eq!((&release["msg"], &release["code"]), (&json!("close"), &json!(41)));
+    assert!(ended_at.elapsed() <= RELEASE_LIMIT, "released {:?} after the end", ended_at.elapsed());
 }
 
 #[test]
-fn calls_at_an_exchange_that_vanished_while_the_coordinator_is_down_are_told_in_time() {
+fn calls_at_an_unreachable_exchange_are_released_in_time_while_the_coordinator_is_down() {
     let mut site = Site::start();
-    site.call_stands(&sid(10));
+    site.establish_call(&sid(10));
     site.coordinator = None;
-    let since = site.vanish();
-    told_in_time(&mut site.caller, &sid(10), since);
+    let ended_at = site.vanish();
+    assert_released_in_time(&mut site.caller, &sid(10), ended_at);
 }
 
 #[test]
-fn calls_are_told_in_time_when_another_process_comes_up_at_the_address_of_one_that_vanished() {
+fn calls_are_released_in_time_when_a_new_process_takes_over_the_address_of_an_unreachable_exchange() {
     let mut site = Site::start();
-    site.call_stands(&sid(11));
-    let since = site.vanish();
-    // The coordinator is silent; the replacement knows nothing of the call.
+    site.establish_call(&sid(11));
+    let ended_at = site.vanish();
+    // The coordinator reports no change, and the new process has no record of the call.
     thread::sleep(Duration::from_millis(2_500));
     site.host.restore().unwrap();
-    let _replacement = talking(&site.host);
-    told_in_time(&mut site.caller, &sid(11), since);
+    let _replacement = accept_reporting(&site.host);
+    assert_released_in_time(&mut site.caller, &sid(11), ended_at);
 }
 
-/// Sends a request every few milliseconds on an open connection, as clients do that go on to the end. Gives the
-/// names of those that were sent early enough and have no answer.
-fn clients_go_on(caller: Line, until: Instant) -> BTreeSet<String> {
+/// Sends a request every 4 ms on an open connection until shortly before `until`. Returns the identifiers of the
+/// requests that are unanswered at `until`.
+fn send_requests_until(caller: Line, until: Instant) -> BTreeSet<String> {
     let open_requests = Arc::new(Mutex::new(BTreeSet::new()));
     let Line { mut stream, reader, .. } = caller;
-    let answered = open_requests.clone();
-    let listening = thread::spawn(move || {
+    let requests_of_reader = open_requests.clone();
+    let reader_thread = thread::spawn(move || {
         for line in reader.lines().map_while(Result::ok) {
             let message: Value = serde_json::from_str(&line).unwrap();
             let name = message["sid"].as_str().unwrap().to_owned();
-            answered.lock().unwrap().remove(&name);
+            requests_of_reader.lock().unwrap().remove(&name);
         }
     });
     let mut number = 1_000;
-    while Instant::now() < until - NO_CHANCE {
+    while Instant::now() < until - READ_GRACE {
         number += 1;
         open_requests.lock().unwrap().insert(sid(number));
         writeln!(stream, "{}", open(&sid(number), 1, 2_032)).unwrap();
         thread::sleep(Duration::from_millis(4));
     }
     thread::sleep(until.saturating_duration_since(Instant::now()));
-    let left = open_requests.lock().unwrap().clone();
+    let unanswered = open_requests.lock().unwrap().clone();
     drop(stream.shutdown(Shutdown::Both));
-    drop(listening.join());
-    left
+    drop(reader_thread.join());
+    unanswered
 }
 
 #[test]
-fn a_stop_ends_soon_with_nothing_left_though_clients_connect_again_and_again() {
-    let l = listener();
-    let (mut program, callers, _x) = start(&[&l], json!({}));
-    let mut again: Vec<Line> = (0..5).map(|_| Line::to(callers)).collect();
+fn a_stop_without_open_calls_completes_although_clients_keep_reconnecting() {
+    let exchange_listener = listener();
+    let (mut program, callers, _exchanges) = start(&[&exchange_listener], json!({}));
+    let mut connections: Vec<Line> = (0..5).map(|_| Line::to(callers)).collect();
     program.signal("TERM");
-    let asked = Instant::now();
-    let ended = until("the program ends", || {
-        for line in &mut again {
+    let signalled_at = Instant::now();
+    let status = until("the program ends", || {
+        for line in &mut connections {
             line.stream.set_read_timeout(Some(Duration::from_millis(2))).unwrap();
             if line.ended() {
                 if let Ok(stream) = std::net::TcpStream::connect(callers) {
@@ -153,23 +161,23 @@
         }
         program.child.try_wait().unwrap()
     });
-    assert!(ended.success());
-    assert!(asked.elapsed() < Duration::from_secs(3), "{:?}", asked.elapsed());
+    assert!(status.success());
+    assert!(signalled_at.elapsed() < Duration::from_secs(3), "{:?}", signalled_at.elapsed());
 }
 
 #[test]
-fn requests_that_come_up_to_the_kill_are_answered_while_the_exchange_hangs() {
-    let l = listener();
-    let (mut program, callers, mut x) = start(&[&l], json!({}));
-    // A call that stands keeps its connection in use.
+fn requests_sent_until_sigkill_are_answered_while_the_exchange_hangs() {
+    let exchange_listener = listener();
+    let (mut program, callers, mut exchanges) = start(&[&exchange_listener], json!({}));
+    // An established call keeps the connection in use.
     let mut caller = Line::to(callers);
     caller.say(open(&sid(50), 1, 9_000));
-    x[0].about(&sid(50));
-    x[0].say(json!({"msg": "ready", "sid": sid(50), "attrs": {}, "text": TEXT}));
+    exchanges[0].about(&sid(50));
+    exchanges[0].say(json!({"msg": "ready", "sid": sid(50), "attrs": {}, "text": TEXT}));
     assert_eq!(caller.about(&sid(50))["msg"], "ready");
     program.signal("TERM");
-    let kill = Instant::now() + KILL_AFTER;
-    let left = clients_go_on(caller, kill);
+    let kill = Instant::now() + KILL_DELAY;
+    let unanswered = send_requests_until(caller, kill);
     program.child.kill().unwrap();
-    assert!(left.is_empty(), "{} requests had no answer at SIGKILL: {left:?}", left.len());
+    assert!(unanswered.is_empty(), "{} requests had no answer at SIGKILL: {unanswered:?}", unanswered.len());
 }
