--- a/crates/standin/src/faulty/client.rs
+++ b/crates/standin/src/faulty/client.rs
@@ -54,7 +54,7 @@
     Garbage,
     /// Stops in the middle of a message.
     HalfMessage,
-    /// Sends two requests with the same identifier.
+    /// Sends a request twice with the same identifier.
     SameName,
     /// Sends a request one byte at a time, with a delay after each.
     SlowWriter,
@@ -166,9 +166,9 @@
             let connection = Connection::new(self.testbed.below(u64::MAX), stream, self.network.clone());
             *self.connection.borrow_mut() = Some(connection.clone());
             self.resend_in_flight(&connection);
-            let here = self.clone();
+            let client = self.clone();
             let served = connection.serve(move |connection, input| match input {
-                Input::Line(line) => here.clone().handle_line(connection, line),
+                Input::Line(line) => client.clone().handle_line(connection, line),
                 Input::Closed => {}
             });
             served.await;
@@ -260,8 +260,8 @@
             .testbed
             .chance(self.behavior.early_cancel_percent)
             .then(|| self.testbed.below(client_timeout_ms / 2));
-        let here = self.clone();
-        self.testbed.spawn(async move { here.wait_for_answer(sid, cancel_after_ms).await });
+        let client = self.clone();
+        self.testbed.spawn(async move { client.wait_for_answer(sid, cancel_after_ms).await });
     }
 
     async fn wait_for_answer(&self, sid: String, cancel_after_ms: Option<u64>) {
--- a/crates/standin/src/faulty/coordinator.rs
+++ b/crates/standin/src/faulty/coordinator.rs
@@ -87,7 +87,7 @@
         let listeners = listeners.collect::<io::Result<Vec<Vec<_>>>>()?;
         let (mode, truncate_next, members, changes, changed) = Default::default();
         let testbed = testbed.clone();
-        let here = Rc::new(Coordinator {
+        let coordinator = Rc::new(Coordinator {
             testbed,
             mode,
             truncate_next,
@@ -98,12 +98,12 @@
             listeners,
             changed,
         });
-        for (controller, listeners) in here.listeners.iter().enumerate() {
+        for (controller, listeners) in coordinator.listeners.iter().enumerate() {
             for address_index in 0..listeners.len() {
-                here.testbed.spawn(here.clone().accept(controller, address_index));
+                coordinator.testbed.spawn(coordinator.clone().accept(controller, address_index));
             }
         }
-        Ok(here)
+        Ok(coordinator)
     }
 
     /// Changes the state, and records whether the coordinator becomes reachable or unreachable by that.
@@ -175,18 +175,18 @@
             let accepted = self.listeners[controller][address_index].borrow().as_ref().map(Host::poll_accept);
             let Some(Ok(Some(stream))) = accepted else { continue };
             let Ok(stream) = Async::new(stream) else { continue };
-            let here = self.clone();
+            let coordinator = self.clone();
             self.testbed.spawn(async move {
                 let ended = async {
-                    here.wait_for_mode(|m| matches!(m, Mode::Refuses | Mode::Hangs)).await;
+                    coordinator.wait_for_mode(|m| matches!(m, Mode::Refuses | Mode::Hangs)).await;
                     // A hanging coordinator keeps its connections open.
-                    if here.mode.get() == Mode::Hangs {
-                        here.wait_for_mode(|m| m != Mode::Hangs).await;
+                    if coordinator.mode.get() == Mode::Hangs {
+                        coordinator.wait_for_mode(|m| m != Mode::Hangs).await;
                     }
                     Ok(())
                 };
                 // Errors are ignored, since the controller requests a broken stream again.
-                drop(future::or(ended, here.serve(controller, &stream)).await);
+                drop(future::or(ended, coordinator.serve(controller, &stream)).await);
             });
         }
     }
--- a/crates/trials/src/main.rs
+++ b/crates/trials/src/main.rs
@@ -12,7 +12,7 @@
 use walnuthatch_trials::record_file::{Record, RecordError};
 use walnuthatch_trials::schedule::{schedule, Schedule};
 use walnuthatch_trials::table::Table;
-use walnuthatch_trials::trial::play;
+use walnuthatch_trials::trial::run_trial;
 
 /// Seeded fault trials of real controller processes.
 #[derive(Debug, Parser)]
@@ -69,7 +69,7 @@
     #[error("--program {path}: {cause}")]
     Program { path: PathBuf, cause: io::Error },
     #[error("seed {seed}: {cause}")]
-    Play { seed: u64, cause: io::Error },
+    Run { seed: u64, cause: io::Error },
     #[error("{0}")]
     Record(#[from] RecordError),
     #[error("{path}: {cause}")]
@@ -103,7 +103,7 @@
         Action::Replay { seed } => runner.replay(&schedule(*seed)),
         Action::Show { seed, call } => runner.show(*seed, call.as_deref()).map(|()| true),
         Action::Shrink { seed } => runner.shrink(*seed),
-        Action::One { seed, job } => runner.play(&schedule(*seed), *job).map(|_| true),
+        Action::One { seed, job } => runner.run_trial(&schedule(*seed), *job).map(|_| true),
     }
 }
 
@@ -118,15 +118,15 @@
         self.folder.join(format!("{seed}.jsonl"))
     }
 
-    fn play(&self, schedule: &Schedule, job: u8) -> Result<Record, TrialError> {
+    fn run_trial(&self, schedule: &Schedule, job: u8) -> Result<Record, TrialError> {
         let scratch = self.folder.join(format!("{}", schedule.seed));
         let folder_error = |cause| TrialError::Folder { path: scratch.clone(), cause };
         // Remove the files of an earlier trial with this seed, if any.
         let _ = fs::remove_dir_all(&scratch);
         fs::create_dir_all(&scratch).map_err(folder_error)?;
         let scratch = fs::canonicalize(&scratch).map_err(folder_error)?;
-        let record = play(schedule, &self.program, &scratch, job)
-            .map_err(|cause| TrialError::Play { seed: schedule.seed, cause })?;
+        let record = run_trial(schedule, &self.program, &scratch, job)
+            .map_err(|cause| TrialError::Run { seed: schedule.seed, cause })?;
         let file = self.record_path(schedule.seed);
         record.write(&file).map_err(|cause| TrialError::Folder { path: file, cause })?;
         Ok(record)
@@ -171,11 +171,11 @@
     }
 
     fn spawn(&self, seed: u64, job: u8) -> Result<std::process::Child, TrialError> {
-        let play_error = |cause| TrialError::Play { seed, cause };
-        let executable = std::env::current_exe().map_err(play_error)?;
+        let run_error = |cause| TrialError::Run { seed, cause };
+        let executable = std::env::current_exe().map_err(run_error)?;
         let mut command = Command::new(executable);
         command.arg("--program").arg(&self.program).arg("--folder").arg(&self.folder);
-        command.args(["one", &seed.to_string(), &job.to_string()]).spawn().map_err(play_error)
+        command.args(["one", &seed.to_string(), &job.to_string()]).spawn().map_err(run_error)
     }
 
     /// Checks the record of a seed, adds the verdict to the table and prints a summary.
@@ -200,7 +200,7 @@
     }
 
     fn replay(&self, schedule: &Schedule) -> Result<bool, TrialError> {
-        let record = self.play(schedule, 9)?;
+        let record = self.run_trial(schedule, 9)?;
         let verdict = check(&record);
         println!("{}", summary_line(schedule, &verdict));
         verdict.violations.iter().for_each(|v| println!("    {v}"));
@@ -223,7 +223,7 @@
     fn shrink(&self, seed: u64) -> Result<bool, TrialError> {
         let mut minimal = schedule(seed);
         let fails = |schedule: &Schedule| -> Result<bool, TrialError> {
-            Ok(!check(&self.play(schedule, 9)?).violations.is_empty())
+            Ok(!check(&self.run_trial(schedule, 9)?).violations.is_empty())
         };
         if !fails(&minimal)? {
             println!("seed {seed} keeps all rules");
--- a/crates/trials/src/schedule.rs
+++ b/crates/trials/src/schedule.rs
@@ -49,7 +49,7 @@
     Garbage,
     /// It stops in the middle of a message.
     HalfMessage,
-    /// It sends two requests with the same identifier.
+    /// It sends a request twice with the same identifier.
     SameName,
     /// It writes one byte at a time.
     SlowWriter,
--- a/crates/trials/src/trial.rs
+++ b/crates/trials/src/trial.rs
@@ -91,7 +91,7 @@
 ///
 /// # Errors
 /// If an address can't be bound, a file can't be written, or the controllers don't become ready.
-pub fn play(schedule: &Schedule, program: &FilePath, folder: &FilePath, job: u8) -> io::Result<Record> {
+pub fn run_trial(schedule: &Schedule, program: &FilePath, folder: &FilePath, job: u8) -> io::Result<Record> {
     let trial = Rc::new(Trial::new(schedule, program, folder, job)?);
     let executor = trial.testbed.executor.clone();
     async_io::block_on(executor.run(trial.clone().run()))?;
@@ -273,11 +273,11 @@
         }
     }
 
-    async fn restart(&self, controller: usize, down: Millis, planned: bool) {
+    async fn restart(&self, controller: usize, down: Millis, graceful: bool) {
         if self.restarting[controller].replace(true) {
             return;
         }
-        if planned {
+        if graceful {
             self.signal(controller, Signal::TERM, "TERM");
             self.wait_for_exit(controller, self.schedule.client_timeout.min(LONGEST_DEADLINE) + KILL_DELAY)
                 .await;
@@ -318,7 +318,7 @@
         }
     }
 
-    /// Lists the exchange under a new member identifier, as for a host that takes over the address.
+    /// Assigns a new member identifier to the exchange, as for a host that takes over its address.
     fn replace_member(&self, number: usize) {
         let listed = &self.exchanges[number];
         listed.replacements.set(listed.replacements.get() + 1);
--- a/tests/fault_trials.rs
+++ b/tests/fault_trials.rs
@@ -6,31 +6,31 @@
 use std::thread;
 use walnuthatch_trials::check::{check, Verdict};
 use walnuthatch_trials::schedule::schedule;
-use walnuthatch_trials::trial::play;
+use walnuthatch_trials::trial::run_trial;
 
 /// Seeds in which an earlier version violated a rule, each with the job number that selects its addresses.
 const SEEDS: [(u64, u8); 4] = [(5, 21), (24, 22), (47, 23), (59, 24)];
 /// Maximum number of runs of a trial during which the machine stalls, after which it is reported as not judged.
 const MAX_RUNS: u32 = 3;
 
-fn run_trial(seed: u64, job: u8) -> Verdict {
+fn run_and_check(seed: u64, job: u8) -> Verdict {
     let folder: PathBuf = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("trial-{seed}"));
     // Remove the files of an earlier run, if any.
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).unwrap();
     let program = Path::new(env!("CARGO_BIN_EXE_walnuthatch"));
-    let record = play(&schedule(seed), program, &folder, job).unwrap();
+    let record = run_trial(&schedule(seed), program, &folder, job).unwrap();
     record.write(&folder.join("record.jsonl")).unwrap();
     check(&record)
 }
 
 fn run_until_judged(seed: u64, job: u8) -> Verdict {
-    let mut verdict = run_trial(seed, job);
+    let mut verdict = run_and_check(seed, job);
     for _ in 1..MAX_RUNS {
         if verdict.judged {
             break;
         }
-        verdict = run_trial(seed, job);
+        verdict = run_and_check(seed, job);
     }
     verdict
 }
