--- a/examples/console_cost.rs
+++ b/examples/console_cost.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 use walnuthatch_control::client::Connection;
 use walnuthatch_control::frames::{Operation, TOPICS};
-use walnuthatch_standin::{Callers, Exchange, Load, Traits};
+use walnuthatch_standin::{Callers, Exchange, ExchangeConfig, Load};
 
 #[derive(Parser)]
 struct Args {
@@ -126,7 +126,8 @@
 fn run(args: &Args, rate: f64, consoles: usize) -> Result<(), Failure> {
     let folder = std::env::temp_dir().join(format!("wh-cost-{}", std::process::id()));
     let hold = Duration::from_secs(1);
-    let traits = |seed| Traits { circuits: (rate * 2.0) as u32, delay: Duration::from_millis(5), hold, seed };
+    let traits =
+        |seed| ExchangeConfig { circuits: (rate * 2.0) as u32, delay: Duration::from_millis(5), hold, seed };
     let exchanges = (0..4).map(|n| Exchange::start(None, traits(n))).collect::<Result<Vec<_>, _>>()?;
     let (child, caller_address) = start(args, &folder, &exchanges)?;
     std::thread::sleep(Duration::from_millis(1500));
@@ -143,11 +144,11 @@
     }
     let load = |seconds| Load {
         rate,
-        span: Duration::from_secs(seconds),
+        duration: Duration::from_secs(seconds),
         destinations: vec![1, 2, 3, 4],
         class: "status-report".into(),
-        patience: Duration::from_secs(3),
-        aim: Duration::from_millis(1200),
+        client_timeout: Duration::from_secs(3),
+        latency_objective: Duration::from_millis(1200),
         connections: 8,
         seed: 7,
     };
@@ -155,7 +156,7 @@
     let cpu_before = cpu_time(child.0.id())?;
     let table = Callers::start(caller_address, load(args.seconds))?.finish();
     let cpu_used = cpu_time(child.0.id())? - cpu_before;
-    let ms = |q| table.answers.value_at_quantile(q) as f64 / 1000.0;
+    let ms = |q| table.answer_times.value_at_quantile(q) as f64 / 1000.0;
     println!(
         "| {} | {rate} | {consoles}{} | {:.0} | {:.1}% | {:.2} | {:.2} | {:.2} | {} | {:.1} |",
         args.label,
--- a/src/program/demo.rs
+++ b/src/program/demo.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 use walnuthatch_control::client::Connection;
 use walnuthatch_control::frames::Operation;
-use walnuthatch_standin::{Callers, Exchange, Load, Table, Traits};
+use walnuthatch_standin::{Callers, Exchange, ExchangeConfig, Load, LoadReport};
 
 /// The controller is up by then, or never.
 const START: Duration = Duration::from_secs(10);
@@ -76,7 +76,7 @@
         Ok(Some(table)) => {
             print(&table.to_string());
             // A call without an answer, or with two, is never to be.
-            if table.unanswered + table.doubled > 0 {
+            if table.unanswered + table.duplicate_answers > 0 {
                 Exit::Failed
             } else {
                 Exit::Done
@@ -110,7 +110,7 @@
     }
 }
 
-fn run(args: &Args) -> Result<Option<Table>, DemoError> {
+fn run(args: &Args) -> Result<Option<LoadReport>, DemoError> {
     let folder = args
         .folder
         .clone()
@@ -122,7 +122,7 @@
     let exchanges = (1..=args.exchanges)
         .map(|n| {
             let (delay, seed) = (Duration::from_millis(15), args.seed + u64::from(n));
-            Exchange::start(None, Traits { circuits, delay, hold: HOLD, seed })
+            Exchange::start(None, ExchangeConfig { circuits, delay, hold: HOLD, seed })
         })
         .collect::<Result<Vec<_>, _>>()
         .map_err(io("a stand-in exchange"))?;
@@ -130,11 +130,11 @@
     let usual = if args.headless { 5 } else { 3600 };
     let load = Load {
         rate: args.rate,
-        span: Duration::from_secs(args.seconds.unwrap_or(usual).into()),
+        duration: Duration::from_secs(args.seconds.unwrap_or(usual).into()),
         destinations: (1..=args.exchanges).collect(),
         class: "status-report".to_owned(),
-        patience: Duration::from_secs(3),
-        aim: Duration::from_millis(1200),
+        client_timeout: Duration::from_secs(3),
+        latency_objective: Duration::from_millis(1200),
         connections: 8,
         seed: args.seed,
     };
--- a/tests/appliance.rs
+++ b/tests/appliance.rs
@@ -15,7 +15,7 @@
 use walnuthatch_control::client::{ClientError, Connection};
 use walnuthatch_control::frames::{AtLimit, Body, Operation, Topic, TOPICS};
 use walnuthatch_control::views::{Drain, Event, Status};
-use walnuthatch_standin::{Callers, Exchange, Load, Table, Traits};
+use walnuthatch_standin::{Callers, Exchange, ExchangeConfig, Load, LoadReport};
 
 /// A site: exchanges, a folder, and the appliance's file for it.
 struct Site {
@@ -33,7 +33,7 @@
         let folder = std::env::temp_dir().join(format!("wha-{}-{n}", std::process::id()));
         drop(fs::remove_dir_all(&folder));
         fs::create_dir_all(&folder).unwrap();
-        let traits = |n| Traits { circuits: 400, delay: Duration::from_millis(5), hold, seed: n };
+        let traits = |n| ExchangeConfig { circuits: 400, delay: Duration::from_millis(5), hold, seed: n };
         let exchanges: Vec<Exchange> =
             (1..=exchanges).map(|n| Exchange::start(None, traits(n.into())).unwrap()).collect();
         let place = |name: &str| folder.join(name).display().to_string();
@@ -90,11 +90,11 @@
 fn load(rate: f64, seconds: u64, destinations: &[u16]) -> Load {
     Load {
         rate,
-        span: Duration::from_secs(seconds),
+        duration: Duration::from_secs(seconds),
         destinations: destinations.to_vec(),
         class: "status-report".into(),
-        patience: Duration::from_secs(3),
-        aim: Duration::from_millis(1200),
+        client_timeout: Duration::from_secs(3),
+        latency_objective: Duration::from_millis(1200),
         connections: 4,
         seed: 5,
     }
@@ -133,8 +133,8 @@
 }
 
 /// Each call has its one answer, in time.
-fn all_answered(t: &Table) {
-    assert!(t.unanswered == 0 && t.doubled == 0 && t.failed == 0, "{t}");
+fn all_answered(t: &LoadReport) {
+    assert!(t.unanswered == 0 && t.duplicate_answers == 0 && t.failed == 0, "{t}");
 }
 
 fn memory_kb(p: &Program) -> u64 {
@@ -161,7 +161,7 @@
     let before = memory_kb(&program);
     let table = callers.finish();
     all_answered(&table);
-    assert!(table.late == 0 && table.stood == 1000, "{table}");
+    assert!(table.late == 0 && table.established == 1000, "{table}");
     let after = memory_kb(&program);
     assert!(after < before + 4096, "{before} KB, then {after} KB");
     drop(frozen);
@@ -327,8 +327,8 @@
     let mut site = Site::new(2, Duration::from_secs(30), "");
     let (_program, at) = site.up();
     let callers = Callers::start(at, load(40.0, 1, &[1])).unwrap();
-    until("calls stand there", || (callers.standing() > 20).then_some(()));
-    let table = callers.so_far();
+    until("calls stand there", || (callers.established_calls() > 20).then_some(()));
+    let table = callers.report();
     assert_eq!(table.failed, 0);
     let mut c = site.operator();
     c.request("d", drain("exchange:1")).unwrap();
@@ -342,7 +342,7 @@
     let site = Site::new(2, Duration::from_secs(60), "[drains]\nown_grace_ms = 300\n");
     let (_program, at) = site.up();
     let callers = Callers::start(at, load(50.0, 1, &[1, 2])).unwrap();
-    until("calls stand", || (callers.standing() == 50).then_some(()));
+    until("calls stand", || (callers.established_calls() == 50).then_some(()));
     let mut c = site.operator();
     let cut = |target: &str| Operation::Drain {
         target: target.into(),
@@ -353,7 +353,7 @@
     };
     c.request("a", cut("exchange:1")).unwrap();
     until("it is empty", || (state(&mut c, "exchange:1") == "empty").then_some(()));
-    until("the callers heard it", || (callers.standing() == 25).then_some(()));
+    until("the callers heard it", || (callers.established_calls() == 25).then_some(()));
     c.request("b", cut("controller")).unwrap();
     until("it is drained", || (status(&mut c).state == "drained").then_some(()));
     let refused = Callers::start(at, load(50.0, 1, &[2])).unwrap().finish();
@@ -412,7 +412,7 @@
     until("the alarm is raised", || status(&mut c).worst.contains("would not survive").then_some(()));
     let table = Callers::start(at, load(50.0, 1, &[2])).unwrap().finish();
     all_answered(&table);
-    assert_eq!(table.stood, table.offered, "{table}");
+    assert_eq!(table.established, table.offered, "{table}");
     drop(program);
 }
 
--- a/tests/gossip.rs
+++ b/tests/gossip.rs
@@ -15,7 +15,7 @@
 use walnuthatch_gossip::node::{Config, Node, Output};
 use walnuthatch_gossip::rate_limit::RateLimit;
 use walnuthatch_gossip::{Exchange as Number, MemberId};
-use walnuthatch_standin::{Callers, Exchange, Load, Table, Traits};
+use walnuthatch_standin::{Callers, Exchange, ExchangeConfig, Load, LoadReport};
 
 fn keys(digit: char) -> String {
     format!("[[key]]\nid = 1\nsecret = \"{}\"\nseals = true\n", digit.to_string().repeat(64))
@@ -88,7 +88,7 @@
 }
 
 fn exchanges(n: u64) -> Vec<Exchange> {
-    let traits = |seed| Traits {
+    let traits = |seed| ExchangeConfig {
         circuits: 500,
         delay: Duration::from_millis(5),
         hold: Duration::from_millis(300),
@@ -111,11 +111,11 @@
 fn load(rate: f64, seconds: u64, destinations: &[u16], seed: u64) -> Load {
     Load {
         rate,
-        span: Duration::from_secs(seconds),
+        duration: Duration::from_secs(seconds),
         destinations: destinations.to_vec(),
         class: "status-report".into(),
-        patience: Duration::from_secs(3),
-        aim: Duration::from_millis(1200),
+        client_timeout: Duration::from_secs(3),
+        latency_objective: Duration::from_millis(1200),
         connections: 4,
         seed,
     }
@@ -139,12 +139,12 @@
     let sent = exchanges[0].set_ups() - before;
     assert!(sent <= 20, "{sent} by all three");
     exchanges[0].hang(false);
-    let answered = |t: &Table| assert!(t.unanswered + t.doubled + t.failed == 0, "{t}");
+    let answered = |t: &LoadReport| assert!(t.unanswered + t.duplicate_answers + t.failed == 0, "{t}");
     answered(&tried.finish());
     busy.into_iter().for_each(|b| answered(&b.finish()));
     let quiet = quiet.finish();
     answered(&quiet);
-    assert_eq!(quiet.stood, quiet.offered, "{quiet}");
+    assert_eq!(quiet.established, quiet.offered, "{quiet}");
     until("nobody suspects it any more", || all.iter().all(|i| i.suspects().is_empty()).then_some(()));
 }
 
@@ -215,7 +215,7 @@
         }
     });
     for table in callers.into_iter().map(Callers::finish) {
-        assert!(table.stood == table.offered && table.late == 0, "{table}");
+        assert!(table.established == table.offered && table.late == 0, "{table}");
     }
     flood.join().unwrap();
     let seconds = begun.elapsed().as_secs_f64();
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -9,7 +9,7 @@
 use std::io::Write;
 use std::thread;
 use std::time::Duration;
-use walnuthatch_standin::{Exchange, Traits};
+use walnuthatch_standin::{Exchange, ExchangeConfig};
 
 /// Number of rounds, and connections per round: in total about the load of one fault trial.
 const ROUNDS: u32 = 20;
@@ -31,7 +31,7 @@
 #[test]
 fn memory_and_descriptors_do_not_grow_over_twenty_rounds_of_calls() {
     let (delay, hold) = (Duration::from_millis(1), Duration::from_millis(100));
-    let exchange = Exchange::start(None, Traits { circuits: 2_000, delay, hold, seed: 7 }).unwrap();
+    let exchange = Exchange::start(None, ExchangeConfig { circuits: 2_000, delay, hold, seed: 7 }).unwrap();
     let member = member("s-1", exchange.address(), 1, "up");
     let all = config(json!({"known": {"index": 3, "updates": [update(3, true, &[member])]}}));
     let program = Program::start(&[("--config", &file("config.json", &all.to_string()))], &[]);
