--- a/src/program/alarms.rs
+++ b/src/program/alarms.rs
@@ -1,6 +1,6 @@
 //! What is looked at each second, and from which value on it is an alarm.
 
-use super::appliance_file::AlarmMarks;
+use super::appliance_file::AlarmThresholds;
 use super::views::Scene;
 use crate::routing::interface::Micros;
 use walnuthatch_drains::drain::State;
@@ -10,7 +10,7 @@
 use walnuthatch_metrics::service::ServiceWindows;
 
 /// When alarms are raised.
-pub type Marks = AlarmMarks;
+pub type Marks = AlarmThresholds;
 
 /// With fewer calls than this in its window a share says nothing.
 const FEW: u32 = 20;
@@ -39,8 +39,8 @@
     let rule = |raise: f64, clear: f64, severity| AlarmRule {
         raise,
         clear,
-        raise_delay: marks.hold,
-        clear_delay: marks.calm,
+        raise_delay: marks.raise_delay,
+        clear_delay: marks.clear_delay,
         severity,
     };
     // A state that is so or not; the holds are for values that swing.
@@ -51,7 +51,7 @@
     let [short, minute, _] = service.windows();
     let missed =
         minute.share_within_objective().filter(|_| minute.answered() >= FEW).map_or(0.0, |share| 1.0 - share);
-    let mark = 1.0 - marks.in_aim_under;
+    let mark = 1.0 - marks.min_within_objective;
     let text = format!("{:.0}% of the last minute's calls stand within the aim", (1.0 - missed) * 100.0);
     add("service", String::new(), missed, rule(mark.max(0.001), mark * 0.7, Severity::Critical), text);
     let refused = match short.answered() {
@@ -59,7 +59,7 @@
         _ => 0.0,
     };
     let text = format!("{:.0}% of the last 10 s's calls are refused", refused * 100.0);
-    let mark = marks.refused_over.max(0.001);
+    let mark = marks.max_refused_share.max(0.001);
     add("refusals", String::new(), refused, rule(mark, mark * 0.7, Severity::Warning), text);
     for e in scene.exchanges() {
         let name = format!("exchange:{}", e.exchange);
@@ -68,13 +68,13 @@
             let age = e.report_age_ms.map(|ms| ms as f64 * 1000.0);
             let quiet = if e.connected { 0.0 } else { age.unwrap_or((scene.now - scene.born) as f64) };
             let text = format!("no connection to {} at {} for {:.0} s", e.member, e.address, quiet / 1e6);
-            let silent = AlarmRule { raise_delay: 0, ..rule(marks.silent as f64, 0.0, Severity::Critical) };
+            let silent = AlarmRule { raise_delay: 0, ..rule(marks.unresponsive_after as f64, 0.0, Severity::Critical) };
             add("unreachable", format!("{name} {}", e.member), quiet, silent, text);
         }
         if let (Some(free), Some(size)) = (e.free, e.size.filter(|s| *s >= 1.0)) {
             let busy = 1.0 - free.max(0.0) / size;
             let text = format!("{:.0} of {size:.0} circuits are busy", size - free.max(0.0));
-            let mark = marks.busy_over;
+            let mark = marks.max_busy_share;
             add(
                 "group",
                 format!("{name} {}", e.member),
--- a/src/program/appliance_file.rs
+++ b/src/program/appliance_file.rs
@@ -310,7 +310,7 @@
     /// Maintenance windows.
     pub windows: Vec<Window>,
     /// When alarms are raised.
-    pub alarms: AlarmMarks,
+    pub alarms: AlarmThresholds,
     /// Trunk groups between other exchanges; empty: not known.
     pub links: BTreeSet<(ExchangeNumber, ExchangeNumber)>,
     /// The whole list of exchanges, as a coordinator would tell it.
@@ -323,19 +323,19 @@
 
 /// When alarms are raised.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct AlarmMarks {
+pub struct AlarmThresholds {
     /// Share within the aim.
-    pub in_aim_under: f64,
+    pub min_within_objective: f64,
     /// Share refused.
-    pub refused_over: f64,
+    pub max_refused_share: f64,
     /// Time without a sign of an exchange.
-    pub silent: Micros,
+    pub unresponsive_after: Micros,
     /// Share of a group busy.
-    pub busy_over: f64,
+    pub max_busy_share: f64,
     /// Time before one is raised.
-    pub hold: Micros,
+    pub raise_delay: Micros,
     /// Time before one is cleared.
-    pub calm: Micros,
+    pub clear_delay: Micros,
 }
 
 /// The schema of the file.
@@ -416,13 +416,13 @@
         log_format: f.log.format,
         policy,
         windows,
-        alarms: AlarmMarks {
-            in_aim_under: a.in_aim_under,
-            refused_over: a.refused_over,
-            silent: Micros::from(a.silent_s) * SECOND,
-            busy_over: a.busy_over,
-            hold: Micros::from(a.hold_s) * SECOND,
-            calm: Micros::from(a.calm_s) * SECOND,
+        alarms: AlarmThresholds {
+            min_within_objective: a.in_aim_under,
+            max_refused_share: a.refused_over,
+            unresponsive_after: Micros::from(a.silent_s) * SECOND,
+            max_busy_share: a.busy_over,
+            raise_delay: Micros::from(a.hold_s) * SECOND,
+            clear_delay: Micros::from(a.calm_s) * SECOND,
         },
         links,
         list,
