--- a/src/program/appliance.rs
+++ b/src/program/appliance.rs
@@ -110,7 +110,7 @@
         log: Option<Rc<Log>>,
     ) -> Self {
         let policy = walnuthatch_drains::policy::Policy { grace: drain_grace, ..config.policy.clone() };
-        let keeps = config.folder.is_some();
+        let keeps = config.state_folder.is_some();
         let mut book = DrainRegistry::new(policy, config.windows.clone(), own.map(|o| Exchange(o.0)), keeps);
         if let Some(saved) = saved {
             book.resume(now, saved);
@@ -123,7 +123,7 @@
             exchanges: MetricsByExchange::default(),
             alarms: Alarms::default(),
             marks: config.alarms,
-            links: config.links.clone(),
+            links: config.trunk_groups.clone(),
             sessions: Sessions::default(),
             queues: HashMap::new(),
             waiters: BTreeMap::new(),
@@ -147,7 +147,7 @@
         let policy = walnuthatch_drains::policy::Policy { grace: drain_grace, ..config.policy.clone() };
         self.book.reload(policy, config.windows.clone());
         self.marks = config.alarms;
-        self.links.clone_from(&config.links);
+        self.links.clone_from(&config.trunk_groups);
         if let (Some(log), Some(filter)) = (&self.log, &config.log_filter) {
             // It was checked when the file was read.
             let _ = log.set(filter);
--- a/src/program/appliance_file.rs
+++ b/src/program/appliance_file.rs
@@ -298,9 +298,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ApplianceConfig {
     /// The control socket.
-    pub socket: Option<PathBuf>,
+    pub control_socket: Option<PathBuf>,
     /// The state folder.
-    pub folder: Option<PathBuf>,
+    pub state_folder: Option<PathBuf>,
     /// What is logged.
     pub log_filter: Option<String>,
     /// How.
@@ -312,13 +312,13 @@
     /// When alarms are raised.
     pub alarms: AlarmThresholds,
     /// Trunk groups between other exchanges; empty: not known.
-    pub links: BTreeSet<(ExchangeNumber, ExchangeNumber)>,
+    pub trunk_groups: BTreeSet<(ExchangeNumber, ExchangeNumber)>,
     /// The whole list of exchanges, as a coordinator would tell it.
-    pub list: Option<String>,
+    pub exchange_list: Option<String>,
     /// Prefixes of numbers, and whose they are.
     pub prefixes: Vec<(String, ExchangeNumber)>,
     /// All that a platform would tell, if the file has a site.
-    pub platform: Option<Value>,
+    pub site_config: Option<Value>,
 }
 
 /// When alarms are raised.
@@ -370,9 +370,9 @@
             );
         }
     }
-    let (list, prefixes) = exchanges(c, &f, &nets);
+    let (exchange_list, prefixes) = exchanges(c, &f, &nets);
     let known: BTreeSet<u16> = f.exchange.iter().map(|e| e.exchange).collect();
-    let mut links = BTreeSet::new();
+    let mut trunk_groups = BTreeSet::new();
     for (i, g) in f.group.iter().enumerate() {
         for (name, end) in [("from", g.from), ("to", g.to)] {
             if !known.contains(&end) && !known.is_empty() {
@@ -385,8 +385,8 @@
         if g.from == g.to {
             c.add(format!("group.{i}.to"), format!("found {}, the same exchange at both ends", g.to));
         }
-        links.insert((ExchangeNumber(g.from), ExchangeNumber(g.to)));
-        links.insert((ExchangeNumber(g.to), ExchangeNumber(g.from)));
+        trunk_groups.insert((ExchangeNumber(g.from), ExchangeNumber(g.to)));
+        trunk_groups.insert((ExchangeNumber(g.to), ExchangeNumber(g.from)));
     }
     let windows = windows(c, &f.window);
     let usual = Policy::default();
@@ -407,11 +407,11 @@
         controller_grace: d.own_grace_ms.map_or(usual.controller_grace, |ms| Micros::from(ms) * 1000),
         ..usual
     };
-    let platform = platform(c, &f, &nets);
+    let site_config = site_config(c, &f, &nets);
     let a = &f.alarms;
     ApplianceConfig {
-        socket: f.control.socket.clone().map(PathBuf::from),
-        folder: f.state.folder.clone().map(PathBuf::from),
+        control_socket: f.control.socket.clone().map(PathBuf::from),
+        state_folder: f.state.folder.clone().map(PathBuf::from),
         log_filter: f.log.filter.clone(),
         log_format: f.log.format,
         policy,
@@ -424,10 +424,10 @@
             raise_delay: Micros::from(a.hold_s) * SECOND,
             clear_delay: Micros::from(a.calm_s) * SECOND,
         },
-        links,
-        list,
+        trunk_groups,
+        exchange_list,
         prefixes,
-        platform,
+        site_config,
     }
 }
 
@@ -532,7 +532,7 @@
 }
 
 /// What a platform would tell, from the site that the file describes.
-fn platform(c: &mut Checker<'_>, f: &ApplianceFile, nets: &[IpNet]) -> Option<Value> {
+fn site_config(c: &mut Checker<'_>, f: &ApplianceFile, nets: &[IpNet]) -> Option<Value> {
     let Some(site) = &f.site else {
         if !f.class.is_empty() {
             c.add("class", "expected a [site] with it");
@@ -615,9 +615,9 @@
             Schedule::Weekly { days: [true, false, false, true, false, false, false], from: 7200 * SECOND }
         );
         assert!(
-            a.links.contains(&(ExchangeNumber(5), ExchangeNumber(4))) && a.list.unwrap().contains("yoff")
+            a.trunk_groups.contains(&(ExchangeNumber(5), ExchangeNumber(4))) && a.exchange_list.unwrap().contains("yoff")
         );
-        let config = super::super::config::parse(&a.platform.unwrap()).unwrap();
+        let config = super::super::config::parse(&a.site_config.unwrap()).unwrap();
         assert_eq!(
             (config.settings.own_exchange, config.settings.drain_grace),
             (Some(ExchangeNumber(0)), 250_000)
--- a/src/program/cli.rs
+++ b/src/program/cli.rs
@@ -182,7 +182,7 @@
     let name = path.display().to_string();
     let read = appliance_file::read(&name, &text)
         .map_err(|faults| faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))?;
-    read.and_then(|a| a.socket).ok_or_else(|| format!("{missing} {name} (with enabled = true)"))
+    read.and_then(|a| a.control_socket).ok_or_else(|| format!("{missing} {name} (with enabled = true)"))
 }
 
 #[cfg(test)]
--- a/src/program/config.rs
+++ b/src/program/config.rs
@@ -165,7 +165,7 @@
         None => None,
     };
     let path = arguments.config.clone().or_else(|| env("ROUTER_CONFIG").map(PathBuf::from));
-    let site = appliance.as_ref().and_then(|a| a.platform.clone());
+    let site = appliance.as_ref().and_then(|a| a.site_config.clone());
     let mut json: Value = match (path, site) {
         (Some(path), _) => {
             let text = read("ROUTER_CONFIG", &path)?;
@@ -202,7 +202,7 @@
 
 /// Brings what the appliance's file says together with the rest.
 fn join(config: &mut Config, a: ApplianceConfig, named: Option<&Path>) -> Result<(), ConfigError> {
-    if let Some(list) = &a.list {
+    if let Some(list) = &a.exchange_list {
         if config.coordinator.is_some() || !config.known.is_empty() {
             return Err(bad("appliance.exchange", "a coordinator tells of the exchanges already"));
         }
@@ -379,9 +379,9 @@
             ("gossip.enabled", self.gossip.is_some() == new.gossip.is_some()),
             ("gossip.listen", self.listens_to_gossip() == new.listens_to_gossip()),
             ("appliance.enabled", self.appliance.is_some() == new.appliance.is_some()),
-            ("appliance.control", self.of_appliance(|a| &a.socket) == new.of_appliance(|a| &a.socket)),
-            ("appliance.state", self.of_appliance(|a| &a.folder) == new.of_appliance(|a| &a.folder)),
-            ("appliance.exchange", self.of_appliance(|a| &a.list) == new.of_appliance(|a| &a.list)),
+            ("appliance.control", self.of_appliance(|a| &a.control_socket) == new.of_appliance(|a| &a.control_socket)),
+            ("appliance.state", self.of_appliance(|a| &a.state_folder) == new.of_appliance(|a| &a.state_folder)),
+            ("appliance.exchange", self.of_appliance(|a| &a.exchange_list) == new.of_appliance(|a| &a.exchange_list)),
         ];
         same.into_iter().filter(|s| !s.1).map(|s| s.0).collect()
     }
@@ -398,7 +398,7 @@
             old.policy = new.policy;
             old.windows = new.windows;
             old.alarms = new.alarms;
-            old.links = new.links;
+            old.trunk_groups = new.trunk_groups;
             old.log_filter = new.log_filter;
         }
     }
@@ -430,8 +430,8 @@
                 |p: &Option<PathBuf>| p.as_ref().map_or("none".to_owned(), |p| p.display().to_string());
             format!(
                 "control socket {}, state folder {}, {} windows",
-                path(&a.socket),
-                path(&a.folder),
+                path(&a.control_socket),
+                path(&a.state_folder),
                 a.windows.len()
             )
         });
