--- a/src/program/config.rs
+++ b/src/program/config.rs
@@ -98,7 +98,7 @@
     /// For random numbers.
     pub seed: u64,
     /// File descriptors that the process may hold.
-    pub sockets: usize,
+    pub max_descriptors: usize,
     /// Where peers' messages come in.
     pub peer_listen: Option<SocketAddr>,
     /// The peers, by their numbers.
@@ -108,15 +108,15 @@
     /// The coordinator.
     pub coordinator: Option<SocketAddr>,
     /// The list's events up to the start, each as JSON.
-    pub known: Vec<String>,
+    pub initial_list_updates: Vec<String>,
     /// The number of the last of them.
-    pub known_index: u64,
+    pub initial_list_index: u64,
     /// What the module is told.
     pub settings: Settings,
     /// The names of the classes.
     pub classes: Vec<String>,
     /// The names of the zones.
-    pub zones: Vec<String>,
+    pub failure_domains: Vec<String>,
     /// A connection that is not up after this was not made.
     pub connect_timeout: Micros,
     /// The front towards gateways, if it is on.
@@ -203,10 +203,10 @@
 /// Brings what the appliance's file says together with the rest.
 fn join(config: &mut Config, a: ApplianceConfig, named: Option<&Path>) -> Result<(), ConfigError> {
     if let Some(list) = &a.exchange_list {
-        if config.coordinator.is_some() || !config.known.is_empty() {
+        if config.coordinator.is_some() || !config.initial_list_updates.is_empty() {
             return Err(bad("appliance.exchange", "a coordinator tells of the exchanges already"));
         }
-        config.known = vec![list.clone()];
+        config.initial_list_updates = vec![list.clone()];
     }
     if let Some(m) = &mut config.mgcp {
         let file = named.unwrap_or(Path::new(appliance_file::FILE)).display().to_string();
@@ -353,26 +353,26 @@
 
     /// Callers' connections beyond which the least needed ones are ended: callers may hold a third of the
     /// descriptors.
-    pub fn usual_callers(&self) -> usize {
-        self.sockets / 2
+    pub fn soft_client_limit(&self) -> usize {
+        self.max_descriptors / 2
     }
 
     /// Callers' connections that there may be in all, those that are ending included; what is left of the
     /// descriptors is for exchanges, the coordinator and the program itself.
-    pub fn most_callers(&self) -> usize {
-        self.sockets * 5 / 8
+    pub fn hard_client_limit(&self) -> usize {
+        self.max_descriptors * 5 / 8
     }
 
     /// The keys in which `new` differs and which only a start can follow: sockets that are bound, and what the
     /// calls at hand rest on.
-    pub fn needs_restart(&self, new: &Config) -> Vec<&'static str> {
+    pub fn keys_needing_restart(&self, new: &Config) -> Vec<&'static str> {
         let same = [
             ("name", self.name == new.name),
             ("listen", self.listen == new.listen),
-            ("limits", self.sockets == new.sockets),
+            ("limits", self.max_descriptors == new.max_descriptors),
             ("peer_listen", self.peer_listen == new.peer_listen),
             ("settings", self.settings == new.settings && self.classes == new.classes),
-            ("settings.failureDomains", self.zones == new.zones),
+            ("settings.failureDomains", self.failure_domains == new.failure_domains),
             ("settings.limits.connectTimeout", self.connect_timeout == new.connect_timeout),
             ("mgcp", self.mgcp == new.mgcp),
             ("telemetry", self.telemetry == new.telemetry),
@@ -387,7 +387,7 @@
     }
 
     /// Takes over from `new` what a running program can follow.
-    pub fn follow(&mut self, new: Config) {
+    pub fn apply_reload(&mut self, new: Config) {
         self.coordinator = new.coordinator;
         self.peers = new.peers;
         self.peers_all = new.peers_all;
@@ -444,7 +444,7 @@
             self.peers.len(),
             place(&self.peer_listen),
             self.classes.join(" "),
-            self.sockets,
+            self.max_descriptors,
         )
     }
 }
@@ -491,11 +491,11 @@
             .filter(|ms| (1.0..=60_000.0).contains(ms))
             .ok_or_else(|| bad("settings.limits.connectTimeout", "not a time in milliseconds"))?,
     };
-    let known_index = match json.pointer("/known/index") {
+    let initial_list_index = match json.pointer("/known/index") {
         None => 0,
         Some(v) => v.as_u64().ok_or_else(|| bad("known.index", "not a number"))?,
     };
-    let known = match json.pointer("/known/updates") {
+    let updates = match json.pointer("/known/updates") {
         None => Vec::new(),
         Some(v) => v.as_array().ok_or_else(|| bad("known.updates", "not a list"))?.clone(),
     };
@@ -506,7 +506,7 @@
         }
         Some(_) => return Err(bad("peers", "not a list")),
     };
-    let sockets = match json.pointer("/limits/sockets") {
+    let max_descriptors = match json.pointer("/limits/sockets") {
         None => 1024,
         Some(v) => v
             .as_u64()
@@ -517,16 +517,16 @@
         name: json.get("name").and_then(Value::as_str).unwrap_or("walnuthatch").to_owned(),
         listen,
         seed: seed(json.get("seed"))?,
-        sockets,
+        max_descriptors,
         peer_listen: address(json, "peer_listen")?,
         peers,
         peers_all: address(json, "peers_all")?,
         coordinator: address(json, "coordinator")?,
-        known: known.iter().map(Value::to_string).collect(),
-        known_index,
+        initial_list_updates: updates.iter().map(Value::to_string).collect(),
+        initial_list_index,
         settings,
         classes,
-        zones: names("failureDomains"),
+        failure_domains: names("failureDomains"),
         connect_timeout: (connect_timeout * 1000.0) as Micros,
         mgcp: None,
         telemetry: None,
--- a/src/program/switchboard.rs
+++ b/src/program/switchboard.rs
@@ -138,13 +138,13 @@
             .map(|a| Appliance::new(Now::new(now, now), a, s.own_exchange, s.drain_grace, saved, log));
         let mut board = Switchboard {
             ledger: Ledger::new(config.settings.clone(), config.seed),
-            callers: ClientConnections::new(now, LINES, config.classes.clone(), config.usual_callers())
+            callers: ClientConnections::new(now, LINES, config.classes.clone(), config.soft_client_limit())
                 .with_quiet_period(s.quiet_period + s.min_batch_interval),
             links: UpstreamConnections::new(now, config.connect_timeout, config.settings.own_exchange),
             agent: config.mgcp.as_ref().map(|m| Agent::new(GATEWAYS, m.agent.clone(), config.seed)),
             appliance,
             gossip: config.gossip.as_ref().map(|g| Gossip::new(now, g, config.seed)),
-            roster: Roster::new(config.zones.clone()),
+            roster: Roster::new(config.failure_domains.clone()),
             deadlines: TimerQueue::default(),
             outboxes: HashMap::new(),
             tasks: Vec::new(),
@@ -169,7 +169,7 @@
         if let Some(agent) = &mut board.agent {
             agent.start(now);
         }
-        for update in &config.known {
+        for update in &config.initial_list_updates {
             board.list(now, update, true);
         }
         board.settle(now);
@@ -241,13 +241,13 @@
             }
         };
         self.counts.reloads += 1;
-        for key in self.config.needs_restart(&new) {
+        for key in self.config.keys_needing_restart(&new) {
             tracing::info!(key, "configuration: {key}: takes effect at the next start");
         }
         if self.config.coordinator != new.coordinator {
             self.tasks.push(Task::Follow(new.coordinator));
         }
-        self.config.follow(new);
+        self.config.apply_reload(new);
         if let (Some(a), Some(config)) = (&mut self.appliance, &self.config.appliance) {
             a.reload(config, self.config.settings.drain_grace);
         }
