--- a/src/program/config.rs
+++ b/src/program/config.rs
@@ -422,7 +422,7 @@
             format!("to {} every {} ms, spans {}", t.collector, t.interval / 1000, t.spans)
         });
         let gossip = self.gossip.as_ref().map_or("off".to_owned(), |g| {
-            let keys: Vec<String> = g.ring.ids().map(|id| id.to_string()).collect();
+            let keys: Vec<String> = g.key_ring.ids().map(|id| id.to_string()).collect();
             format!("at {}, {} seeds, keys {}", g.listen, g.node.seeds.len(), keys.join(" "))
         });
         let appliance = self.appliance.as_ref().map_or("off".to_owned(), |a| {
--- a/src/program/gossip.rs
+++ b/src/program/gossip.rs
@@ -54,7 +54,7 @@
     pub fn new(now: Micros, config: &GossipConfig, seed: u64) -> Gossip {
         let unix = now.div_euclid(SECOND);
         Gossip {
-            node: Node::new(now, unix, config.node.clone(), config.ring.clone(), seed),
+            node: Node::new(now, unix, config.node.clone(), config.key_ring.clone(), seed),
             out: BTreeMap::new(),
             numbers: BTreeMap::new(),
             links: BTreeMap::new(),
@@ -67,7 +67,7 @@
     /// Takes over seeds, networks, ceilings and keys that were read anew.
     pub fn reload(&mut self, config: &GossipConfig) {
         self.node.reload(config.node.clone());
-        self.node.set_key_ring(config.ring.clone());
+        self.node.set_key_ring(config.key_ring.clone());
     }
 
     /// Hears what the ledger does. Only set-ups that go direct are evidence of silence: what is lost over a tandem may
--- a/src/program/gossip_file.rs
+++ b/src/program/gossip_file.rs
@@ -84,7 +84,7 @@
     /// What the node is told.
     pub node: node::Config,
     /// The keys.
-    pub ring: KeyRing,
+    pub key_ring: KeyRing,
 }
 
 /// What the platform tells of peers.
@@ -130,10 +130,10 @@
     };
     let seeds = f.seeds.iter().enumerate();
     let seeds: Vec<_> = seeds.filter_map(|(i, s)| c.address(&format!("seeds.{i}"), s, &allowed)).collect();
-    let ring = keys(&mut c, Path::new(&f.key_file));
-    let (Some(listen), Some(address), Some(ring)) = (listen, address, ring) else { return c.end(None) };
+    let key_ring = keys(&mut c, Path::new(&f.key_file));
+    let (Some(listen), Some(address), Some(key_ring)) = (listen, address, key_ring) else { return c.end(None) };
     let node = node(name, (address, seeds, allowed), own, &f.limits);
-    c.end(Some(GossipConfig { listen, node, ring }))
+    c.end(Some(GossipConfig { listen, node, key_ring }))
 }
 
 fn node(
@@ -163,15 +163,15 @@
     own: Option<Exchange>,
     platform: Option<&Platform>,
 ) -> Result<Option<GossipConfig>, Vec<Fault>> {
-    let ring = keys(&mut c, Path::new(&f.key_file));
+    let key_ring = keys(&mut c, Path::new(&f.key_file));
     let Some(p) = platform else {
         c.add("listen", format!("found {PEERS:?}, expected peer_listen and peers in the configuration"));
         return c.end(None);
     };
-    let Some(ring) = ring else { return c.end(None) };
+    let Some(key_ring) = key_ring else { return c.end(None) };
     let allowed = p.peers.iter().map(|a| IpNet::from(a.ip())).collect();
     let node = node(name, (p.address, p.peers.clone(), allowed), own, &f.limits);
-    c.end(Some(GossipConfig { listen: p.listen, node, ring }))
+    c.end(Some(GossipConfig { listen: p.listen, node, key_ring }))
 }
 
 fn keys(c: &mut Checker<'_>, path: &Path) -> Option<KeyRing> {
@@ -218,7 +218,7 @@
         );
         let read = |text: &str| read("g", text, "n1", Some(Exchange(3)), None);
         let got = read(&good).unwrap().unwrap();
-        assert_eq!((got.node.seeds.len(), got.ring.signing_key_id()), (1, 1));
+        assert_eq!((got.node.seeds.len(), got.key_ring.signing_key_id()), (1, 1));
         assert!(read("enabled = false\nlisten = 7\n").unwrap().is_none());
         let open = key_file("open", 0o644);
         for (from, to, want) in [
