--- a/src/program/switchboard.rs
+++ b/src/program/switchboard.rs
@@ -7,7 +7,7 @@
 use super::counters::{self, WireCounts};
 use super::gossip::Gossip;
 use super::log::{self, CALLS, CONNECTIONS};
-use super::telemetry::ExportCounts;
+use super::telemetry::ExportCounters;
 use crate::protocol::client::{Ask, ClientConnections, ClientOutput, ClientTimer};
 use crate::protocol::json_lines::{Kind, Message, Sid};
 use crate::protocol::membership::{Place, Roster};
@@ -119,7 +119,7 @@
     /// The aim of each class.
     aims: Vec<Micros>,
     spans: Vec<CallSpan>,
-    exported: Rc<ExportCounts>,
+    exported: Rc<ExportCounters>,
     minted: u64,
 }
 
@@ -304,7 +304,7 @@
         let (callers, links) = (self.callers.counts(), self.links.counts());
         let mut table = counters::table(&self.counts, self.ledger.counts(), &callers, &links);
         if self.config.telemetry.is_some() {
-            table.extend(self.exported.table());
+            table.extend(self.exported.values());
         }
         if let Some(a) = &self.appliance {
             table.extend(a.counters());
--- a/src/program/switchboard/exports.rs
+++ b/src/program/switchboard/exports.rs
@@ -1,7 +1,7 @@
 //! What the task that owns routing hands to the exporter.
 
 use super::{Due, Switchboard, Task, SPANS};
-use crate::program::telemetry::ExportCounts;
+use crate::program::telemetry::ExportCounters;
 use crate::protocol::otlp::{CallSpan, Snapshot};
 use crate::routing::interface::{CallId, ExchangeNumber, Micros};
 use crate::routing::ledger::Answer;
@@ -9,7 +9,7 @@
 
 impl Switchboard {
     /// The exporter's counts, shared with its task.
-    pub fn exported(&self) -> Rc<ExportCounts> {
+    pub fn exported(&self) -> Rc<ExportCounters> {
         self.exported.clone()
     }
 
--- a/src/program/telemetry.rs
+++ b/src/program/telemetry.rs
@@ -20,13 +20,13 @@
 
 /// What the exporter has counted; shared with the task that prints counters.
 #[derive(Debug, Default)]
-pub struct ExportCounts {
+pub struct ExportCounters {
     /// Requests that were taken.
-    pub taken: Cell<u64>,
+    pub accepted: Cell<u64>,
     /// Items that a collector rejected.
     pub rejected: Cell<u64>,
     /// Requests that have to be sent again.
-    pub again: Cell<u64>,
+    pub retried: Cell<u64>,
     /// Spans and requests that were dropped.
     pub dropped: Cell<u64>,
 }
@@ -35,13 +35,13 @@
     cell.set(cell.get() + n);
 }
 
-impl ExportCounts {
+impl ExportCounters {
     /// As names and values.
-    pub fn table(&self) -> Vec<(String, u64)> {
+    pub fn values(&self) -> Vec<(String, u64)> {
         let rows = [
-            ("otlp.taken", &self.taken),
+            ("otlp.taken", &self.accepted),
             ("otlp.rejected", &self.rejected),
-            ("otlp.again", &self.again),
+            ("otlp.again", &self.retried),
             ("otlp.dropped", &self.dropped),
         ];
         rows.map(|(name, cell)| (name.to_owned(), cell.get())).to_vec()
@@ -54,7 +54,7 @@
     collector: SocketAddr,
     encoder: Encoder,
     queue: Receiver<Snapshot>,
-    counts: Rc<ExportCounts>,
+    counters: Rc<ExportCounters>,
 ) {
     let mut spans: Vec<CallSpan> = Vec::new();
     let mut wait = WAIT.0;
@@ -62,12 +62,12 @@
     loop {
         if newest.is_none() && spans.is_empty() {
             match queue.recv().await {
-                Ok(s) => keep(s, &mut newest, &mut spans, &counts),
+                Ok(s) => keep(s, &mut newest, &mut spans, &counters),
                 Err(_) => return,
             }
         }
         while let Ok(s) = queue.try_recv() {
-            keep(s, &mut newest, &mut spans, &counts);
+            keep(s, &mut newest, &mut spans, &counters);
         }
         let (signal, body, n) = match &newest {
             Some(s) => (Signal::Metrics, encoder.metrics(s), 0),
@@ -82,12 +82,12 @@
         };
         match verdict {
             Verdict::Taken { rejected } => {
-                add(&counts.taken, 1);
-                add(&counts.rejected, rejected);
+                add(&counters.accepted, 1);
+                add(&counters.rejected, rejected);
             }
-            Verdict::Never => add(&counts.dropped, 1),
+            Verdict::Never => add(&counters.dropped, 1),
             Verdict::Again(after) => {
-                add(&counts.again, 1);
+                add(&counters.retried, 1);
                 Timer::after(Duration::from_micros(after.unwrap_or(wait).max(0) as u64)).await;
                 wait = (wait * 2).min(WAIT.1);
                 continue;
@@ -101,10 +101,10 @@
     }
 }
 
-fn keep(mut s: Snapshot, newest: &mut Option<Snapshot>, spans: &mut Vec<CallSpan>, counts: &ExportCounts) {
+fn keep(mut s: Snapshot, newest: &mut Option<Snapshot>, spans: &mut Vec<CallSpan>, counters: &ExportCounters) {
     spans.append(&mut s.calls);
     let over = spans.len().saturating_sub(SPANS_KEPT);
     spans.drain(..over);
-    add(&counts.dropped, over as u64);
+    add(&counters.dropped, over as u64);
     *newest = Some(s);
 }
