--- a/src/program/appliance.rs
+++ b/src/program/appliance.rs
@@ -150,7 +150,7 @@
         self.links.clone_from(&config.trunk_groups);
         if let (Some(log), Some(filter)) = (&self.log, &config.log_filter) {
             // It was checked when the file was read.
-            let _ = log.set(filter);
+            let _ = log.set_filter(filter);
         }
     }
 
@@ -173,7 +173,7 @@
             ("control.unusable", c.malformed),
             ("control.requests", c.requests),
             ("control.cut", c.aborted),
-            ("log.lost", self.log.as_ref().map_or(0, |l| l.lost())),
+            ("log.lost", self.log.as_ref().map_or(0, |l| l.lost_lines())),
             ("traffic.not_told_apart", self.traffic.untracked),
             ("alarms.lost", self.alarms.dropped),
         ]
@@ -311,7 +311,7 @@
         self.exchanges.advance(now.steady);
         let list: BTreeSet<u16> = site.neighbours().iter().map(|n| n.exchange.0).collect();
         self.exchanges.retain(|e| list.contains(&e));
-        let lost = self.log.as_ref().map_or(0, |l| l.lost());
+        let lost = self.log.as_ref().map_or(0, |l| l.lost_lines());
         if lost > self.log_lost {
             tracing::warn!(lines = lost - self.log_lost, "log lines were lost: nobody read them in time");
             self.log_lost = lost;
@@ -533,7 +533,7 @@
     fn set_log(&mut self, now: Now, who: &str, filter: Option<String>) -> Result<Body, String> {
         let log = self.log.clone().ok_or("log: none is kept here")?;
         if let Some(filter) = filter {
-            log.set(&filter).map_err(|e| e.to_string())?;
+            log.set_filter(&filter).map_err(|e| e.to_string())?;
             self.event(now, "program", format!("{who} sets the log to {filter}"));
         }
         Ok(Body::Text { text: log.filter() })
--- a/src/program/log.rs
+++ b/src/program/log.rs
@@ -20,11 +20,11 @@
 /// What is logged where nobody says.
 const USUAL: &str = "info";
 /// Target of the events of calls.
-pub const CALLS: &str = "walnuthatch::calls";
+pub const CALLS_TARGET: &str = "walnuthatch::calls";
 /// Target of the events of connections.
-pub const CONNECTIONS: &str = "walnuthatch::connections";
+pub const CONNECTIONS_TARGET: &str = "walnuthatch::connections";
 /// The environment's variable for the filter.
-pub const VARIABLE: &str = "WALNUTHATCH_LOG";
+pub const FILTER_VARIABLE: &str = "WALNUTHATCH_LOG";
 
 /// `walnuthatch: ` and the message, with the level before it where it is not the usual one, and the fields after it.
 struct Plain;
@@ -63,13 +63,13 @@
 /// A filter that can't be read.
 #[derive(Debug, thiserror::Error)]
 #[error("log filter: found {found:?}, expected one as info,walnuthatch::drains=debug: {why}")]
-pub struct BadFilter {
+pub struct InvalidFilter {
     found: String,
     why: String,
 }
 
-fn parse(filter: &str) -> Result<EnvFilter, BadFilter> {
-    EnvFilter::try_new(filter).map_err(|e| BadFilter { found: filter.to_owned(), why: e.to_string() })
+fn parse(filter: &str) -> Result<EnvFilter, InvalidFilter> {
+    EnvFilter::try_new(filter).map_err(|e| InvalidFilter { found: filter.to_owned(), why: e.to_string() })
 }
 
 impl Log {
@@ -77,7 +77,7 @@
     ///
     /// # Errors
     /// If the filter can't be read.
-    pub fn start(filter: Option<&str>, format: LogFormat) -> Result<Log, BadFilter> {
+    pub fn start(filter: Option<&str>, format: LogFormat) -> Result<Log, InvalidFilter> {
         Log::onto(filter, format, io::stderr())
     }
 
@@ -85,7 +85,7 @@
         filter: Option<&str>,
         format: LogFormat,
         out: impl io::Write + Send + 'static,
-    ) -> Result<Log, BadFilter> {
+    ) -> Result<Log, InvalidFilter> {
         let (filter, handle) = reload::Layer::new(parse(filter.unwrap_or(USUAL))?);
         let queue = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(LINES);
         let (writer, guard): (NonBlocking, WorkerGuard) = queue.finish(out);
@@ -105,9 +105,9 @@
     ///
     /// # Errors
     /// If the filter can't be read; then the old one stays.
-    pub fn set(&self, filter: &str) -> Result<(), BadFilter> {
+    pub fn set_filter(&self, filter: &str) -> Result<(), InvalidFilter> {
         let new = parse(filter)?;
-        self.filter.reload(new).map_err(|e| BadFilter { found: filter.to_owned(), why: e.to_string() })
+        self.filter.reload(new).map_err(|e| InvalidFilter { found: filter.to_owned(), why: e.to_string() })
     }
 
     /// What is logged.
@@ -116,13 +116,13 @@
     }
 
     /// Lines that were lost.
-    pub fn lost(&self) -> u64 {
+    pub fn lost_lines(&self) -> u64 {
         self.lost.dropped_lines() as u64
     }
 }
 
 /// What becomes of calls, as events at the level debug. `sid` is the caller's name of the call, if it has one.
-pub fn call(output: &Output, sid: Option<Sid>) {
+pub fn log_call_output(output: &Output, sid: Option<Sid>) {
     let sid = sid.map(tracing::field::display);
     match output {
         Output::Answer { call, answer, reason, destination, last_attempt: last, .. } => {
@@ -133,21 +133,21 @@
             };
             let exchange = destination.0;
             let last = last.and_then(|l| l.failure);
-            tracing::debug!(target: CALLS, sid, call = call.0, exchange, ?reason, ?last, "{answer}");
+            tracing::debug!(target: CALLS_TARGET, sid, call = call.0, exchange, ?reason, ?last, "{answer}");
         }
         Output::SetUp { call, attempt, timeout: wait, office } => {
             let (attempt, office) = (attempt.0, u32::from_be_bytes(office.addr));
-            tracing::debug!(target: CALLS, sid, call = call.0, attempt, office, wait, "set-up sent");
+            tracing::debug!(target: CALLS_TARGET, sid, call = call.0, attempt, office, wait, "set-up sent");
         }
         Output::Clear { call, attempt, .. } => {
-            tracing::debug!(target: CALLS, sid, call = call.0, attempt = attempt.0, "given up or released");
+            tracing::debug!(target: CALLS_TARGET, sid, call = call.0, attempt = attempt.0, "given up or released");
         }
         Output::AttemptEnded { call, exchange: leg, ending, cause } => {
             let exchange = leg.map(|e| e.0);
-            tracing::debug!(target: CALLS, sid, call = call.0, exchange, ?cause, "set-up ended: {ending:?}");
+            tracing::debug!(target: CALLS_TARGET, sid, call = call.0, exchange, ?cause, "set-up ended: {ending:?}");
         }
         Output::Release { call, cut, .. } => {
-            tracing::debug!(target: CALLS, sid, call = call.0, cut, "over");
+            tracing::debug!(target: CALLS_TARGET, sid, call = call.0, cut, "over");
         }
         _ => {}
     }
--- a/src/program/switchboard.rs
+++ b/src/program/switchboard.rs
@@ -6,7 +6,7 @@
 use super::console;
 use super::counters::{self, WireCounts};
 use super::gossip::Gossip;
-use super::log::{self, CALLS, CONNECTIONS};
+use super::log::{self, CALLS_TARGET, CONNECTIONS_TARGET};
 use super::telemetry::ExportCounters;
 use crate::protocol::client::{Ask, ClientConnections, ClientOutput, ClientTimer};
 use crate::protocol::json_lines::{Kind, Message, Sid};
@@ -324,7 +324,7 @@
         match (side, news) {
             (Side::Callers, ConnNews::Accepted(outbox)) => self.accepted(now, conn, outbox),
             (Side::Exchanges, ConnNews::Connected) => {
-                tracing::debug!(target: CONNECTIONS, conn = conn.0, "up");
+                tracing::debug!(target: CONNECTIONS_TARGET, conn = conn.0, "up");
                 self.links.connected(now, conn);
             }
             (_, ConnNews::Message(message)) => {
@@ -335,7 +335,7 @@
                 }
             }
             (side, ConnNews::Bad(why)) => {
-                tracing::debug!(target: CONNECTIONS, ?side, conn = conn.0, "unreadable: {why}");
+                tracing::debug!(target: CONNECTIONS_TARGET, ?side, conn = conn.0, "unreadable: {why}");
                 self.counts.malformed += 1;
                 match side {
                     Side::Callers => self.callers.spoilt(now, conn),
@@ -350,7 +350,7 @@
             (Side::Exchanges, ConnNews::Half(half)) => self.links.half(now, conn, half),
             (Side::Callers, ConnNews::Half(half)) => self.callers.half(now, conn, half),
             (side, ConnNews::Closed(how)) => {
-                tracing::debug!(target: CONNECTIONS, ?side, conn = conn.0, "closed: {how:?}");
+                tracing::debug!(target: CONNECTIONS_TARGET, ?side, conn = conn.0, "closed: {how:?}");
                 // The one place where an outbox is given back.
                 self.outboxes.remove(&(side, conn));
                 match side {
@@ -367,7 +367,7 @@
 
     fn accepted(&mut self, now: Micros, conn: ConnId, outbox: Outbox) {
         self.counts.accepted += 1;
-        tracing::debug!(target: CONNECTIONS, conn = conn.0, "caller's connection up");
+        tracing::debug!(target: CONNECTIONS_TARGET, conn = conn.0, "caller's connection up");
         self.outboxes.insert((Side::Callers, conn), outbox);
         self.callers.opened(now, conn);
     }
@@ -376,12 +376,12 @@
         match self.callers.message(now, conn, message) {
             Ask::Offer(sid, key, offer) => {
                 let (class, left) = (offer.new_call.class, offer.new_call.remaining_time);
-                tracing::debug!(target: CALLS, %sid, conn = conn.0, class, left, "taken");
+                tracing::debug!(target: CALLS_TARGET, %sid, conn = conn.0, class, left, "taken");
                 let call = self.ledger.offer(now, *offer);
                 self.callers.taken(conn, sid, key, call);
             }
             Ask::Left(call) => {
-                tracing::debug!(target: CALLS, call = call.0, conn = conn.0, "given up or released by its caller");
+                tracing::debug!(target: CALLS_TARGET, call = call.0, conn = conn.0, "given up or released by its caller");
                 self.ledger.caller_left(now, call);
             }
             Ask::LeftEarlier(sid) => self.links.release_earlier(sid),
@@ -517,7 +517,7 @@
     fn link_output(&mut self, now: Micros, output: UpstreamOutput) {
         match output {
             UpstreamOutput::Connect(conn, Place { address, member }) => {
-                tracing::debug!(target: CONNECTIONS, conn = conn.0, %member, %address, "connecting");
+                tracing::debug!(target: CONNECTIONS_TARGET, conn = conn.0, %member, %address, "connecting");
                 let outbox = Outbox::default();
                 self.outboxes.insert((Side::Exchanges, conn), outbox.clone());
                 self.tasks.push(Task::Connect(conn, address, outbox));
@@ -538,7 +538,7 @@
                 }
             }
             UpstreamOutput::HangUp(conn, why) => {
-                tracing::debug!(target: CONNECTIONS, conn = conn.0, "exchange's connection ended: {why}");
+                tracing::debug!(target: CONNECTIONS_TARGET, conn = conn.0, "exchange's connection ended: {why}");
                 if let Some(outbox) = self.outboxes.get(&(Side::Exchanges, conn)) {
                     outbox.cut();
                 }
@@ -570,7 +570,7 @@
             ClientOutput::Tell(conn, message) => self.send(Side::Callers, conn, None, &message),
             ClientOutput::Fail(call) => self.ledger.fail_call(now, call, AnswerReason::ConnectionEnding),
             ClientOutput::Ending(conn, why) => {
-                tracing::debug!(target: CONNECTIONS, conn = conn.0, "caller's connection ends: {why:?}");
+                tracing::debug!(target: CONNECTIONS_TARGET, conn = conn.0, "caller's connection ends: {why:?}");
             }
             ClientOutput::StopReading(conn) => drop(outbox(conn).map(Outbox::stop_reading)),
             ClientOutput::End(conn) => drop(outbox(conn).map(Outbox::close)),
