--- a/src/program/console.rs
+++ b/src/program/console.rs
@@ -24,7 +24,7 @@
 
 /// What a command does besides printing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Act {
+pub enum Action {
     /// Fail the platform's tests, or no longer.
     Drain(bool),
     /// Stop.
@@ -32,9 +32,9 @@
 }
 
 /// Reads a command: what is to be printed, and what is to be done.
-pub fn run(scene: &Scene<'_>, line: &str) -> (String, Option<Act>) {
+pub fn execute(scene: &Scene<'_>, line: &str) -> (String, Option<Action>) {
     let mut words = line.split_whitespace();
-    let (mut out, mut act) = (String::new(), None);
+    let (mut out, mut action) = (String::new(), None);
     // Writing to a string can't fail.
     match (words.next(), words.next()) {
         (None, _) => {}
@@ -74,22 +74,22 @@
         }
         (Some("config"), None) => out = scene.config.summary(),
         (Some("drain"), word @ (None | Some("off"))) => {
-            act = Some(Act::Drain(word.is_none()));
+            action = Some(Action::Drain(word.is_none()));
             out = format!("tests {}\n", if word.is_none() { "fail from now on" } else { "pass again" });
         }
         (Some("quit"), None) => {
-            act = Some(Act::Stop);
+            action = Some(Action::Stop);
             out.push_str("stopping\n");
         }
         (Some(other), _) => {
             let _ = writeln!(out, "{other:?} is no command, or not in this form; 'help' lists them");
         }
     }
-    (out, act)
+    (out, action)
 }
 
 /// Reads commands from standard input in a thread of its own. Its end harms nothing: no more commands come.
-pub fn listen() -> async_channel::Receiver<String> {
+pub fn read_commands() -> async_channel::Receiver<String> {
     let (commands, queue) = async_channel::bounded(WAITING);
     std::thread::spawn(move || {
         let mut input = io::stdin().lock();
@@ -108,7 +108,7 @@
 }
 
 /// Prints answers in a thread of its own.
-pub fn print() -> async_channel::Sender<String> {
+pub fn print_answers() -> async_channel::Sender<String> {
     let (texts, queue) = async_channel::bounded::<String>(WAITING);
     std::thread::spawn(move || {
         let mut out = io::stdout();
--- a/src/program/switchboard.rs
+++ b/src/program/switchboard.rs
@@ -199,11 +199,11 @@
                 }
             }
             Inbound::Command(line) => {
-                let (text, act) = console::run(&self.scene(now), &line);
+                let (text, act) = console::execute(&self.scene(now), &line);
                 self.tasks.push(Task::Print(text));
                 match act {
-                    Some(console::Act::Drain(on)) => self.draining = on,
-                    Some(console::Act::Stop) => self.stop(now),
+                    Some(console::Action::Drain(on)) => self.draining = on,
+                    Some(console::Action::Stop) => self.stop(now),
                     None => {}
                 }
             }
