--- a/src/program/clock.rs
+++ b/src/program/clock.rs
@@ -24,7 +24,7 @@
     }
 
     /// How far the system's clock is ahead of this one, which it was level with at the start.
-    pub fn wall_ahead(&self) -> Micros {
+    pub fn wall_clock_offset(&self) -> Micros {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
         micros(unix) - self.now()
     }
@@ -35,7 +35,7 @@
     }
 
     /// How long the program has run.
-    pub fn age(&self) -> Micros {
+    pub fn uptime(&self) -> Micros {
         micros(self.start.elapsed())
     }
 }
