--- a/src/program/alarms.rs
+++ b/src/program/alarms.rs
@@ -68,7 +68,10 @@
             let age = e.report_age_ms.map(|ms| ms as f64 * 1000.0);
             let quiet = if e.connected { 0.0 } else { age.unwrap_or((scene.now - scene.born) as f64) };
             let text = format!("no connection to {} at {} for {:.0} s", e.member, e.address, quiet / 1e6);
-            let silent = AlarmRule { raise_delay: 0, ..rule(marks.unresponsive_after as f64, 0.0, Severity::Critical) };
+            let silent = AlarmRule {
+                raise_delay: 0,
+                ..rule(marks.unresponsive_after as f64, 0.0, Severity::Critical)
+            };
             add("unreachable", format!("{name} {}", e.member), quiet, silent, text);
         }
         if let (Some(free), Some(size)) = (e.free, e.size.filter(|s| *s >= 1.0)) {
--- a/src/program/appliance_file.rs
+++ b/src/program/appliance_file.rs
@@ -1,11 +1,11 @@
-//! The appliance's file, `deploy/appliance.toml`: its form, and the checks of it. All faults are told at once, each
-//! with its line, its key, what was found and what was expected.
+//! The appliance file, `deploy/appliance.toml`: its types and its validation. All errors are reported together, each
+//! with its line, its key, the value that was found and what was expected.
 //!
-//! The form is a schema derived from the types below, which `walnuthatch config schema` prints; what a schema can't
-//! say, such as two exchanges of one number, is checked after it.
+//! The file is first checked against the JSON schema derived from the types below, which `walnuthatch config schema`
+//! prints. Rules that a schema cannot express, such as distinct exchange numbers, are checked afterwards.
 
 use super::config::MgcpConfig;
-use super::toml_check::{self, Checker, Fault};
+use super::toml_check::{self, Checker, Diagnostic};
 use crate::routing::interface::{ExchangeNumber, Micros};
 use ipnet::IpNet;
 use schemars::JsonSchema;
@@ -19,32 +19,32 @@
 use walnuthatch_drains::windows::{Schedule, Window};
 use walnuthatch_drains::SECOND;
 
-/// Where the file lies, from the folder that the program is started in.
+/// Default path of the file, relative to the working directory.
 pub const FILE: &str = "deploy/appliance.toml";
 
-/// The appliance's file.
+/// Configuration of the appliance: control socket, saved state, log, drains, alarms, windows and the site.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct ApplianceFile {
-    /// Whether anything in this file counts.
+    /// Whether the appliance functions are enabled; if not, the rest of this file is ignored.
     pub enabled: bool,
-    /// The control socket.
+    /// Control socket.
     pub control: ControlFile,
-    /// The state that survives.
+    /// Persistent state.
     pub state: StateFile,
-    /// The log.
+    /// Logging.
     pub log: LogFile,
-    /// What may be drained.
+    /// Drain policy.
     pub drains: DrainsFile,
-    /// When alarms are raised.
+    /// Alarm thresholds.
     pub alarms: AlarmsFile,
-    /// Where exchanges may be.
+    /// Networks in which addresses may lie.
     pub network: NetworkFile,
-    /// The site, where no platform tells it.
+    /// This controller, for use without ROUTER_CONFIG.
     pub site: Option<SiteFile>,
-    /// Classes of call, where no platform tells them.
+    /// Classes of calls, for use without ROUTER_CONFIG.
     pub class: Vec<ClassFile>,
-    /// Exchanges that no coordinator tells of.
+    /// Exchanges, for use without a coordinator.
     pub exchange: Vec<ExchangeFile>,
     /// Trunk groups between other exchanges.
     pub group: Vec<GroupFile>,
@@ -52,96 +52,99 @@
     pub window: Vec<WindowFile>,
 }
 
-/// `[control]`
+/// Control socket.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct ControlFile {
-    /// The path of the control socket; without one there is none.
+    /// Absolute path of the control socket; if missing, no control socket is opened.
     #[schemars(length(min = 1, max = 100))]
     pub socket: Option<String>,
 }
 
-/// `[state]`
+/// Persistent state.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct StateFile {
-    /// The folder for drains and the audit log; without one nothing is written.
+    /// Directory for drains and the audit log; if missing, no state is saved.
     #[schemars(length(min = 1))]
     pub folder: Option<String>,
 }
 
-/// The form of the log.
+/// Log format.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema, clap::ValueEnum)]
 #[serde(rename_all = "lowercase")]
 pub enum LogFormat {
-    /// `walnuthatch: ` and the message.
+    /// `walnuthatch: ` and the message
     #[default]
     Plain,
-    /// The same with time, level and target.
+    /// Message with time, level and target
     Text,
-    /// A JSON object a line.
+    /// One JSON object per line
     Json,
 }
 
-/// `[log]`
+/// Logging.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogFile {
-    /// What is logged, as `info,walnuthatch::drains=debug`.
+    /// Log filter, for example `info,walnuthatch::drains=debug`.
     pub filter: Option<String>,
-    /// The form.
+    /// Log format.
     pub format: Option<LogFormat>,
 }
 
-/// `[drains]`
+/// Drain policy.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct DrainsFile {
-    /// Exchanges and groups drained at once, without force.
+    /// Maximum number of exchanges and groups drained at the same time without force.
     #[schemars(range(min = 1, max = 64))]
     pub most_at_once: Option<u32>,
-    /// Limit of a drain that names none (s); 0: no limit.
+    /// Default time limit of a drain (s); 0: no limit.
     #[schemars(range(min = 0, max = 604800))]
     pub usual_limit_s: Option<u32>,
-    /// The longest limit that may be asked for (s).
+    /// Maximum time limit that can be requested for a drain (s).
     #[schemars(range(min = 1, max = 31536000))]
     pub longest_s: Option<u32>,
-    /// Share of calls that a remaining group may block by estimate.
+    /// Maximum estimated share of calls blocked on a remaining group; a drain that exceeds it is rejected.
     #[schemars(range(min = 0.0, max = 1.0))]
     pub most_blocking: Option<f64>,
-    /// A drain ends by itself if the share of calls well served falls by more than this as it takes hold; 1: never.
+    /// A drain is ended automatically if the share of calls well served falls by more than this after its start;
+    /// 1: never.
     #[schemars(range(min = 0.0, max = 1.0))]
     pub guard_margin: Option<f64>,
-    /// For how long that is watched (s).
+    /// Time after the start of a drain during which that share is monitored (s).
     #[schemars(range(min = 0, max = 3600))]
     pub guard_s: Option<u32>,
-    /// Whether a reason must be given.
+    /// Whether a drain must be given a reason.
     pub reason_needed: Option<bool>,
-    /// How long this controller takes calls after its own drain has begun (ms).
+    /// Time during which this controller still accepts calls after its own drain has started (ms).
     #[schemars(range(min = 0, max = 600000))]
     pub own_grace_ms: Option<u32>,
 }
 
-/// `[alarms]`
+/// Alarm thresholds.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct AlarmsFile {
-    /// Share of the last minute's calls that stand within the aim, under which it is critical.
+    /// Critical alarm if a smaller share than this of the last minute's calls was established within the latency
+    /// objective.
     #[schemars(range(min = 0.0, max = 1.0))]
     pub in_aim_under: f64,
-    /// Share of the last 10 s's calls that are refused, from which on it is a warning.
+    /// Warning if at least this share of the calls of the last 10 s was refused.
     #[schemars(range(min = 0.0, max = 1.0))]
     pub refused_over: f64,
-    /// An exchange without a connection, or without figures, for so long is a warning (s).
+    /// Critical alarm if an exchange that should be in service has had no connection for this time (s), counted from
+    /// its last load report.
     #[schemars(range(min = 1, max = 86400))]
     pub silent_s: u32,
-    /// Share of a group's circuits that are busy, from which on it is a warning.
+    /// Warning if at least this share of a group's circuits is busy.
     #[schemars(range(min = 0.0, max = 1.0))]
     pub busy_over: f64,
-    /// For how long that must be so before an alarm is raised (s).
+    /// Time for which a condition must last before its alarm is raised (s).
     #[schemars(range(min = 0, max = 3600))]
     pub hold_s: u32,
-    /// For how long it must be well again before it is cleared (s).
+    /// Time for which a condition must be absent before its alarm is cleared (s).
     #[schemars(range(min = 0, max = 3600))]
     pub calm_s: u32,
 }
@@ -159,11 +162,11 @@
     }
 }
 
-/// `[network]`
+/// Networks in which addresses may lie.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct NetworkFile {
-    /// Networks in which listening addresses and exchanges may be.
+    /// Networks that must contain the listening address and the addresses of exchanges.
     #[schemars(length(min = 1))]
     pub allowed: Vec<String>,
 }
@@ -174,82 +177,82 @@
     }
 }
 
-/// `[site]`
+/// This controller, for use without ROUTER_CONFIG.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct SiteFile {
-    /// The controller's name.
+    /// Name of this controller.
     #[schemars(length(min = 1, max = 64))]
     pub name: String,
-    /// Where callers connect.
+    /// Address on which client connections are accepted.
     pub listen: String,
-    /// The exchange that this controller runs in.
+    /// Number of the exchange that this controller belongs to.
     pub own_exchange: u16,
-    /// Quiet time after an unclear end (ms).
+    /// Quiet period after an attempt whose outcome is unknown (ms).
     #[schemars(range(min = 0, max = 60000))]
     pub release_ms: Option<u32>,
-    /// How long a draining exchange may be sent to (ms).
+    /// Time during which a draining exchange may still be sent calls (ms).
     #[schemars(range(min = 0, max = 60000))]
     pub drain_grace_ms: Option<u32>,
-    /// Most attempts for a call.
+    /// Maximum number of attempts per call.
     #[schemars(range(min = 1, max = 100))]
     pub try_limit: Option<u32>,
-    /// The longest pause that callers follow (ms).
+    /// Maximum retry delay that callers honour (ms).
     #[schemars(range(min = 0, max = 600000))]
     pub longest_pause_ms: Option<u32>,
 }
 
-/// `[[class]]`
+/// A class of calls.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct ClassFile {
-    /// Its name on the wire.
+    /// Name of the class on the wire.
     #[schemars(length(min = 1, max = 64))]
     pub name: String,
-    /// Within this time a call ought to stand (ms).
+    /// Latency objective: time within which a call should be established (ms).
     #[schemars(range(min = 1, max = 600000))]
     pub aim_ms: u32,
-    /// How long a caller goes on trying (ms).
+    /// Time for which a caller keeps redialling before it gives up (ms).
     #[schemars(range(min = 1, max = 3600000))]
     pub give_up_ms: u32,
 }
 
-/// `[[exchange]]`
+/// An exchange.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct ExchangeFile {
-    /// The name of the machine that serves it.
+    /// Name of the machine that serves the exchange.
     #[schemars(length(min = 1, max = 64))]
     pub name: String,
-    /// Its number.
+    /// Exchange number.
     pub exchange: u16,
-    /// Its address and port.
+    /// Address and port of the machine.
     pub address: String,
-    /// Numbers that begin so are its, for calls from gateways.
+    /// Prefixes of the telephone numbers of this exchange, for calls from gateways.
     #[serde(default)]
     pub prefixes: Vec<String>,
 }
 
-/// `[[group]]`
+/// A trunk group between two other exchanges.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct GroupFile {
-    /// One end, by the exchange's number.
+    /// Number of the exchange at one end.
     pub from: u16,
-    /// The other.
+    /// Number of the exchange at the other end.
     pub to: u16,
 }
 
-/// What happens at a window's end to what is still there.
+/// Action at the end of a maintenance window.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum AtEnd {
-    /// The target goes back into service.
+    /// Put the target back into service.
     #[default]
     Restore,
-    /// It stays out of service until somebody ends the drain.
+    /// Leave the target out of service until an operator ends the drain.
     Keep,
-    /// What is left is cut, and it stays out of service.
+    /// Cut the remaining calls and leave the target out of service.
     Cut,
 }
 
@@ -267,162 +270,171 @@
     Sun,
 }
 
-/// `[[window]]`
+/// A maintenance window.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct WindowFile {
-    /// Its name.
+    /// Name of the window.
     #[schemars(length(min = 1, max = 64))]
     pub name: String,
-    /// `exchange:NUMBER`, `group:NUMBER` or `controller`.
+    /// Target that is drained: `exchange:NUMBER`, `group:NUMBER` or `controller`.
     pub target: String,
-    /// Once, from this moment on, as `2026-12-01T02:00:00Z`.
+    /// Start of a window that opens once, for example `2026-12-01T02:00:00Z`.
     pub once: Option<String>,
-    /// On these days of the week.
+    /// Days of the week on which the window opens.
     #[serde(default)]
     pub days: Vec<Day>,
-    /// From this time of day on, UTC, as `02:00`.
+    /// Time of day at which the window opens, in UTC, for example `02:00`.
     pub at: Option<String>,
-    /// For how long.
+    /// Length of the window (minutes).
     #[schemars(range(min = 1, max = 10080))]
     pub minutes: u32,
-    /// What happens at its end.
+    /// Action at the end of the window.
     #[serde(default)]
     pub at_end: AtEnd,
-    /// Override the policy.
+    /// Whether the drain overrides the drain policy.
     #[serde(default)]
     pub force: bool,
 }
 
-/// What the appliance is told.
+/// The validated appliance configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ApplianceConfig {
-    /// The control socket.
+    /// Path of the control socket.
     pub control_socket: Option<PathBuf>,
-    /// The state folder.
+    /// Directory of the saved state.
     pub state_folder: Option<PathBuf>,
-    /// What is logged.
+    /// Log filter.
     pub log_filter: Option<String>,
-    /// How.
+    /// Log format.
     pub log_format: Option<LogFormat>,
-    /// What may be drained.
+    /// Drain policy.
     pub policy: Policy,
     /// Maintenance windows.
     pub windows: Vec<Window>,
-    /// When alarms are raised.
+    /// Alarm thresholds.
     pub alarms: AlarmThresholds,
-    /// Trunk groups between other exchanges; empty: not known.
+    /// Trunk groups between other exchanges, in both directions; empty if unknown.
     pub trunk_groups: BTreeSet<(ExchangeNumber, ExchangeNumber)>,
-    /// The whole list of exchanges, as a coordinator would tell it.
+    /// The list of exchanges as JSON, in the format of the coordinator's events.
     pub exchange_list: Option<String>,
-    /// Prefixes of numbers, and whose they are.
+    /// Prefixes of telephone numbers with the exchange that they belong to.
     pub prefixes: Vec<(String, ExchangeNumber)>,
-    /// All that a platform would tell, if the file has a site.
+    /// Replacement for the ROUTER_CONFIG file, if the file has a site.
     pub site_config: Option<Value>,
 }
 
-/// When alarms are raised.
+/// Conditions under which alarms are raised and cleared.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AlarmThresholds {
-    /// Share within the aim.
+    /// Share of calls established within the latency objective below which an alarm is raised.
     pub min_within_objective: f64,
-    /// Share refused.
+    /// Share of refused calls from which an alarm is raised.
     pub max_refused_share: f64,
-    /// Time without a sign of an exchange.
+    /// Age of the last load report above which an exchange without a connection raises an alarm.
     pub unresponsive_after: Micros,
-    /// Share of a group busy.
+    /// Share of busy circuits of a group from which an alarm is raised.
     pub max_busy_share: f64,
-    /// Time before one is raised.
+    /// Time for which a condition must last before its alarm is raised.
     pub raise_delay: Micros,
-    /// Time before one is cleared.
+    /// Time for which a condition must be absent before its alarm is cleared.
     pub clear_delay: Micros,
 }
 
-/// The schema of the file.
+/// The JSON schema of the file.
 pub fn schema() -> Value {
     serde_json::to_value(schemars::schema_for!(ApplianceFile)).unwrap_or_default()
 }
 
-/// Reads and checks the file; `None` where it leaves the appliance off.
+/// Parses and validates the file; `None` if the appliance functions are disabled.
 ///
 /// # Errors
-/// All faults that were found, in the order of their lines.
-pub fn read(file: &str, text: &str) -> Result<Option<ApplianceConfig>, Vec<Fault>> {
-    let Some((mut c, parsed)) = toml_check::read::<ApplianceFile>(file, text, &schema())? else {
+/// All errors that were found, sorted by line.
+pub fn read(file: &str, text: &str) -> Result<Option<ApplianceConfig>, Vec<Diagnostic>> {
+    let Some((mut checker, parsed)) = toml_check::read::<ApplianceFile>(file, text, &schema())? else {
         return Ok(None);
     };
-    let config = build(&mut c, parsed);
-    c.end(Some(config))
+    let config = build(&mut checker, parsed);
+    checker.finish(Some(config))
 }
 
-fn build(c: &mut Checker<'_>, f: ApplianceFile) -> ApplianceConfig {
-    let nets = c.networks("network.allowed", &f.network.allowed);
-    if let Some(socket) = &f.control.socket {
+fn build(checker: &mut Checker<'_>, parsed: ApplianceFile) -> ApplianceConfig {
+    let networks = checker.networks("network.allowed", &parsed.network.allowed);
+    if let Some(socket) = &parsed.control.socket {
         if !PathBuf::from(socket).is_absolute() {
-            c.add("control.socket", format!("found {socket:?}, expected a path that begins with /"));
+            checker.report("control.socket", format!("found {socket:?}, expected a path that begins with /"));
         }
     }
-    if let Some(filter) = &f.log.filter {
+    if let Some(filter) = &parsed.log.filter {
         if let Err(e) = filter.parse::<tracing_subscriber::EnvFilter>() {
-            c.add(
+            checker.report(
                 "log.filter",
-                format!("found {filter:?}, expected a filter, as info,walnuthatch::drains=debug: {e}"),
+                format!(
+                    "found {filter:?}, expected a filter, for example info,walnuthatch::drains=debug: {e}"
+                ),
             );
         }
     }
-    let (exchange_list, prefixes) = exchanges(c, &f, &nets);
-    let known: BTreeSet<u16> = f.exchange.iter().map(|e| e.exchange).collect();
+    let (exchange_list, prefixes) = exchanges(checker, &parsed, &networks);
+    let known: BTreeSet<u16> = parsed.exchange.iter().map(|e| e.exchange).collect();
     let mut trunk_groups = BTreeSet::new();
-    for (i, g) in f.group.iter().enumerate() {
+    for (i, g) in parsed.group.iter().enumerate() {
         for (name, end) in [("from", g.from), ("to", g.to)] {
             if !known.contains(&end) && !known.is_empty() {
-                c.add(
+                checker.report(
                     format!("group.{i}.{name}"),
                     format!("found {end}, expected the number of an [[exchange]]"),
                 );
             }
         }
         if g.from == g.to {
-            c.add(format!("group.{i}.to"), format!("found {}, the same exchange at both ends", g.to));
+            checker.report(
+                format!("group.{i}.to"),
+                format!("found {}, expected an exchange other than that in from", g.to),
+            );
         }
         trunk_groups.insert((ExchangeNumber(g.from), ExchangeNumber(g.to)));
         trunk_groups.insert((ExchangeNumber(g.to), ExchangeNumber(g.from)));
     }
-    let windows = windows(c, &f.window);
-    let usual = Policy::default();
-    let d = &f.drains;
-    let longest = d.longest_s.map_or(usual.max_limit, |s| Micros::from(s) * SECOND);
-    let usual_limit = d.usual_limit_s.filter(|s| *s > 0).map(|s| Micros::from(s) * SECOND);
-    if usual_limit.is_some_and(|l| l > longest) {
-        c.add("drains.usual_limit_s", "longer than drains.longest_s");
+    let windows = windows(checker, &parsed.window);
+    let defaults = Policy::default();
+    let drains = &parsed.drains;
+    let max_limit = drains.longest_s.map_or(defaults.max_limit, |s| Micros::from(s) * SECOND);
+    let default_limit = drains.usual_limit_s.filter(|s| *s > 0).map(|s| Micros::from(s) * SECOND);
+    if let Some(limit) = default_limit.filter(|l| *l > max_limit) {
+        let (found, max) = (limit / SECOND, max_limit / SECOND);
+        checker.report(
+            "drains.usual_limit_s",
+            format!("found {found}, expected at most drains.longest_s, which is {max}"),
+        );
     }
     let policy = Policy {
-        max_concurrent: d.most_at_once.map_or(usual.max_concurrent, |n| n as usize),
-        default_limit: usual_limit,
-        max_limit: longest,
-        max_blocking: d.most_blocking.unwrap_or(usual.max_blocking),
-        guard_margin: d.guard_margin.unwrap_or(usual.guard_margin),
-        guard_period: d.guard_s.map_or(usual.guard_period, |s| Micros::from(s) * SECOND),
-        reason_required: d.reason_needed.unwrap_or(usual.reason_required),
-        controller_grace: d.own_grace_ms.map_or(usual.controller_grace, |ms| Micros::from(ms) * 1000),
-        ..usual
+        max_concurrent: drains.most_at_once.map_or(defaults.max_concurrent, |n| n as usize),
+        default_limit,
+        max_limit,
+        max_blocking: drains.most_blocking.unwrap_or(defaults.max_blocking),
+        guard_margin: drains.guard_margin.unwrap_or(defaults.guard_margin),
+        guard_period: drains.guard_s.map_or(defaults.guard_period, |s| Micros::from(s) * SECOND),
+        reason_required: drains.reason_needed.unwrap_or(defaults.reason_required),
+        controller_grace: drains.own_grace_ms.map_or(defaults.controller_grace, |ms| Micros::from(ms) * 1000),
+        ..defaults
     };
-    let site_config = site_config(c, &f, &nets);
-    let a = &f.alarms;
+    let site_config = site_config(checker, &parsed, &networks);
+    let alarms = &parsed.alarms;
     ApplianceConfig {
-        control_socket: f.control.socket.clone().map(PathBuf::from),
-        state_folder: f.state.folder.clone().map(PathBuf::from),
-        log_filter: f.log.filter.clone(),
-        log_format: f.log.format,
+        control_socket: parsed.control.socket.clone().map(PathBuf::from),
+        state_folder: parsed.state.folder.clone().map(PathBuf::from),
+        log_filter: parsed.log.filter.clone(),
+        log_format: parsed.log.format,
         policy,
         windows,
         alarms: AlarmThresholds {
-            min_within_objective: a.in_aim_under,
-            max_refused_share: a.refused_over,
-            unresponsive_after: Micros::from(a.silent_s) * SECOND,
-            max_busy_share: a.busy_over,
-            raise_delay: Micros::from(a.hold_s) * SECOND,
-            clear_delay: Micros::from(a.calm_s) * SECOND,
+            min_within_objective: alarms.in_aim_under,
+            max_refused_share: alarms.refused_over,
+            unresponsive_after: Micros::from(alarms.silent_s) * SECOND,
+            max_busy_share: alarms.busy_over,
+            raise_delay: Micros::from(alarms.hold_s) * SECOND,
+            clear_delay: Micros::from(alarms.calm_s) * SECOND,
         },
         trunk_groups,
         exchange_list,
@@ -432,74 +444,91 @@
 }
 
 fn exchanges(
-    c: &mut Checker<'_>,
-    f: &ApplianceFile,
-    nets: &[IpNet],
+    checker: &mut Checker<'_>,
+    parsed: &ApplianceFile,
+    networks: &[IpNet],
 ) -> (Option<String>, Vec<(String, ExchangeNumber)>) {
     let (mut members, mut prefixes) = (Vec::new(), Vec::<(String, ExchangeNumber)>::new());
-    for (i, e) in f.exchange.iter().enumerate() {
+    for (i, e) in parsed.exchange.iter().enumerate() {
         let key = |name: &str| format!("exchange.{i}.{name}");
-        let before = &f.exchange[..i];
+        let before = &parsed.exchange[..i];
         if before.iter().any(|o| o.name == e.name) {
-            c.add(key("name"), format!("found {:?}, which another [[exchange]] has already", e.name));
+            checker
+                .report(key("name"), format!("found {:?}, which another [[exchange]] already has", e.name));
         }
         if before.iter().any(|o| o.exchange == e.exchange) {
-            c.add(key("exchange"), format!("found {}, which another [[exchange]] has already", e.exchange));
+            checker.report(
+                key("exchange"),
+                format!("found {}, which another [[exchange]] already has", e.exchange),
+            );
         }
-        if f.site.as_ref().is_some_and(|s| s.own_exchange == e.exchange) {
-            c.add(key("exchange"), format!("found {}, which is site.own_exchange", e.exchange));
+        if parsed.site.as_ref().is_some_and(|s| s.own_exchange == e.exchange) {
+            checker.report(key("exchange"), format!("found {}, which is site.own_exchange", e.exchange));
         }
-        let address = c.address(&key("address"), &e.address, nets);
+        let address = checker.address(&key("address"), &e.address, networks);
         if address.is_some() && before.iter().any(|o| o.address == e.address) {
-            c.add(key("address"), format!("found {:?}, which another [[exchange]] has already", e.address));
+            checker.report(
+                key("address"),
+                format!("found {:?}, which another [[exchange]] already has", e.address),
+            );
         }
         for p in &e.prefixes {
-            overlap(c, &key("prefixes"), p, &prefixes);
+            check_prefix(checker, &key("prefixes"), p, &prefixes);
             prefixes.push((p.clone(), ExchangeNumber(e.exchange)));
         }
         members.push(json!({"id": e.name, "host_port": e.address, "cell": e.exchange, "phase": "up"}));
     }
     let list = json!({"index": 0, "endpoints": {"complete": true, "members": members}});
-    ((!f.exchange.is_empty()).then(|| list.to_string()), prefixes)
+    ((!parsed.exchange.is_empty()).then(|| list.to_string()), prefixes)
 }
 
-/// A number must be one exchange's: no prefix may be the beginning of another.
-fn overlap(c: &mut Checker<'_>, key: &str, prefix: &str, others: &[(String, ExchangeNumber)]) {
+/// Reports a prefix that is not made of digits, or that overlaps with another: each telephone number must belong to
+/// one exchange.
+fn check_prefix(checker: &mut Checker<'_>, key: &str, prefix: &str, others: &[(String, ExchangeNumber)]) {
     if prefix.is_empty() || !prefix.bytes().all(|b| b.is_ascii_digit()) {
-        c.add(key, format!("found {prefix:?}, expected digits"));
+        checker.report(key, format!("found {prefix:?}, expected digits"));
     } else if let Some(o) = others.iter().find(|o| o.0.starts_with(prefix) || prefix.starts_with(&o.0)) {
-        c.add(key, format!("found {prefix:?}, which overlaps with {:?} of exchange {}", o.0, o.1 .0));
+        checker
+            .report(key, format!("found {prefix:?}, which overlaps with {:?} of exchange {}", o.0, o.1 .0));
     }
 }
 
-/// Checks the prefixes of the appliance's file against those of the gateways' file.
+/// Checks the prefixes of the appliance file against those of the gateway file.
 ///
 /// # Errors
-/// The faults, by the keys of the appliance's file.
-pub fn against_gateways(file: &str, a: &ApplianceConfig, m: &MgcpConfig) -> Result<(), Vec<Fault>> {
-    let mut c = Checker::without_text(file);
-    let own = m.agent.gateways.iter().map(|g| (g.prefix.clone(), g.exchange));
-    let theirs: Vec<_> = own.chain(m.agent.routes.iter().cloned()).filter(|p| !p.0.is_empty()).collect();
-    for (prefix, _) in &a.prefixes {
-        overlap(&mut c, "exchange.prefixes", prefix, &theirs);
+/// The overlapping prefixes, reported under the keys of the appliance file.
+pub fn check_prefixes_against_gateways(
+    file: &str,
+    appliance: &ApplianceConfig,
+    mgcp: &MgcpConfig,
+) -> Result<(), Vec<Diagnostic>> {
+    let mut checker = Checker::without_text(file);
+    let gateways = mgcp.agent.gateways.iter().map(|g| (g.prefix.clone(), g.exchange));
+    let others: Vec<_> =
+        gateways.chain(mgcp.agent.routes.iter().cloned()).filter(|p| !p.0.is_empty()).collect();
+    for (prefix, _) in &appliance.prefixes {
+        check_prefix(&mut checker, "exchange.prefixes", prefix, &others);
     }
-    c.end(())
+    checker.finish(())
 }
 
-fn windows(c: &mut Checker<'_>, all: &[WindowFile]) -> Vec<Window> {
+fn windows(checker: &mut Checker<'_>, all: &[WindowFile]) -> Vec<Window> {
     let mut out: Vec<Window> = Vec::new();
     for (i, w) in all.iter().enumerate() {
         let key = |name: &str| format!("window.{i}.{name}");
         if all[..i].iter().any(|o| o.name == w.name) {
-            c.add(key("name"), format!("found {:?}, which another [[window]] has already", w.name));
+            checker.report(key("name"), format!("found {:?}, which another [[window]] already has", w.name));
         }
-        let target = w.target.parse::<Target>().map_err(|e| c.add(key("target"), e)).ok();
+        let target = w.target.parse::<Target>().map_err(|e| checker.report(key("target"), e)).ok();
         let length = Micros::from(w.minutes) * 60 * SECOND;
         let schedule = match (&w.once, &w.at, w.days.is_empty()) {
             (Some(once), None, true) => match once.parse::<jiff::Timestamp>() {
                 Ok(t) => Some(Schedule::Once(t.as_microsecond())),
                 Err(_) => {
-                    c.add(key("once"), format!("found {once:?}, expected a moment, as 2026-12-01T02:00:00Z"));
+                    checker.report(
+                        key("once"),
+                        format!("found {once:?}, expected a time, for example 2026-12-01T02:00:00Z"),
+                    );
                     None
                 }
             },
@@ -511,12 +540,15 @@
                     Some(Schedule::Weekly { days, from })
                 }
                 Err(_) => {
-                    c.add(key("at"), format!("found {at:?}, expected a time of day, as 02:00"));
+                    checker.report(
+                        key("at"),
+                        format!("found {at:?}, expected a time of day, for example 02:00"),
+                    );
                     None
                 }
             },
             _ => {
-                c.add(format!("window.{i}"), "expected either once, or days and at");
+                checker.report(format!("window.{i}"), "expected either once, or days and at");
                 None
             }
         };
@@ -531,23 +563,23 @@
     out
 }
 
-/// What a platform would tell, from the site that the file describes.
-fn site_config(c: &mut Checker<'_>, f: &ApplianceFile, nets: &[IpNet]) -> Option<Value> {
-    let Some(site) = &f.site else {
-        if !f.class.is_empty() {
-            c.add("class", "expected a [site] with it");
+/// Builds the configuration that ROUTER_CONFIG would otherwise provide from the site and classes of the file.
+fn site_config(checker: &mut Checker<'_>, parsed: &ApplianceFile, networks: &[IpNet]) -> Option<Value> {
+    let Some(site) = &parsed.site else {
+        if !parsed.class.is_empty() {
+            checker.report("class", "found [[class]] without [site], expected both or neither");
         }
         return None;
     };
-    c.address("site.listen", &site.listen, nets);
-    if f.class.is_empty() {
-        c.add("site", "expected a [[class]] with it");
+    checker.address("site.listen", &site.listen, networks);
+    if parsed.class.is_empty() {
+        checker.report("site", "found [site] without [[class]], expected at least one class");
     }
-    for (i, k) in f.class.iter().enumerate() {
-        if f.class[..i].iter().any(|o| o.name == k.name) {
-            c.add(
+    for (i, k) in parsed.class.iter().enumerate() {
+        if parsed.class[..i].iter().any(|o| o.name == k.name) {
+            checker.report(
                 format!("class.{i}.name"),
-                format!("found {:?}, which another [[class]] has already", k.name),
+                format!("found {:?}, which another [[class]] already has", k.name),
             );
         }
     }
@@ -555,7 +587,7 @@
         json!({"name": k.name, "aim": k.aim_ms, "giveUp": k.give_up_ms, "effect": "retryable",
             "lateWorth": 0.25, "worth": 1.0, "stream": true})
     };
-    let classes: Vec<Value> = f.class.iter().map(class).collect();
+    let classes: Vec<Value> = parsed.class.iter().map(class).collect();
     Some(json!({
         "name": site.name,
         "listen": site.listen,
@@ -576,7 +608,7 @@
 mod tests {
     use super::*;
 
-    const GOOD: &str = r#"enabled = true
+    const VALID: &str = r#"enabled = true
 [control]
 socket = "/tmp/w.sock"
 [site]
@@ -608,16 +640,17 @@
 "#;
 
     #[test]
-    fn a_good_file_is_read_and_one_that_is_off_is_not() {
-        let a = read("f", GOOD).unwrap().unwrap();
+    fn a_valid_file_is_read_and_a_disabled_one_is_ignored() {
+        let appliance = read("f", VALID).unwrap().unwrap();
         assert_eq!(
-            a.windows[0].schedule,
+            appliance.windows[0].schedule,
             Schedule::Weekly { days: [true, false, false, true, false, false, false], from: 7200 * SECOND }
         );
         assert!(
-            a.trunk_groups.contains(&(ExchangeNumber(5), ExchangeNumber(4))) && a.exchange_list.unwrap().contains("yoff")
+            appliance.trunk_groups.contains(&(ExchangeNumber(5), ExchangeNumber(4)))
+                && appliance.exchange_list.unwrap().contains("yoff")
         );
-        let config = super::super::config::parse(&a.site_config.unwrap()).unwrap();
+        let config = super::super::config::parse(&appliance.site_config.unwrap()).unwrap();
         assert_eq!(
             (config.settings.own_exchange, config.settings.drain_grace),
             (Some(ExchangeNumber(0)), 250_000)
@@ -627,8 +660,8 @@
     }
 
     #[test]
-    fn each_fault_is_named_by_file_line_key_and_what_was_expected() {
-        for (from, to, want) in [
+    fn each_error_names_file_line_key_and_what_was_expected() {
+        for (from, to, expected) in [
             ("socket = \"/tmp/w.sock\"", "socket = 7", "f:3: control.socket: 7"),
             ("[control]", "[contorl]", "contorl"),
             ("aim_ms = 1200", "aim_ms = 0", "f:10: class.0.aim_ms: 0 is less than the minimum"),
@@ -647,24 +680,24 @@
             ("enabled = true", "enabled = \"yes\"", "enabled: expected true or false"),
             ("enabled = true", "enabled = ", "f:1: TOML"),
         ] {
-            let faults = read("f", &GOOD.replacen(from, to, 1)).unwrap_err();
-            let all: Vec<String> = faults.iter().map(ToString::to_string).collect();
-            assert!(all.iter().any(|f| f.contains(want)), "{want}: {all:?}");
+            let errors = read("f", &VALID.replacen(from, to, 1)).unwrap_err();
+            let messages: Vec<String> = errors.iter().map(ToString::to_string).collect();
+            assert!(messages.iter().any(|m| m.contains(expected)), "{expected}: {messages:?}");
         }
     }
 
     #[test]
-    fn all_faults_are_told_at_once() {
-        let text = GOOD
+    fn all_errors_are_reported_at_once() {
+        let text = VALID
             .replace("minutes = 30", "minutes = 0")
             .replace("aim_ms = 1200", "aim = 1")
             .replace("name = \"yoff\"", "name = 3");
-        let faults = read("f", &text).unwrap_err();
-        assert!(faults.len() >= 4, "{faults:?}");
-        assert!(faults.windows(2).all(|w| w[0].line <= w[1].line));
-        let overlap = GOOD
+        let errors = read("f", &text).unwrap_err();
+        assert!(errors.len() >= 4, "{errors:?}");
+        assert!(errors.windows(2).all(|w| w[0].line <= w[1].line));
+        let overlapping = VALID
             .replace("5061\"", "5061\"\nprefixes = [\"70\", \"x\"]")
             .replace("name = \"ngor\"", "name = \"yoff\"");
-        assert_eq!(read("f", &overlap).unwrap_err().len(), 3);
+        assert_eq!(read("f", &overlapping).unwrap_err().len(), 3);
     }
 }
--- a/src/program/config.rs
+++ b/src/program/config.rs
@@ -1,8 +1,8 @@
-//! The one place where configuration is read, checked and given its defaults. Every error names the key.
+//! Reads and validates the configuration and fills in the defaults. Each error names the key that it is about.
 
 use super::appliance_file::{self, ApplianceConfig, LogFormat};
-use super::gossip_file::{self, GossipConfig, Platform};
-use super::toml_check::Fault;
+use super::gossip_file::{self, GossipConfig, PlatformPeers};
+use super::toml_check::Diagnostic;
 use crate::protocol::mgcp::agent::{AgentConfig, AnsweredBy, Gateway};
 use crate::protocol::{simulator, text_settings};
 use crate::routing::interface::{ExchangeNumber, Micros, Settings};
@@ -11,156 +11,157 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Why the program does not start.
+/// An error in the configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// A file can't be read.
-    #[error("{key}: cannot read {path}: {why}")]
+    #[error("{key}: cannot read {path}: {reason}")]
     File {
-        /// What named the file.
+        /// The key or file name that the error is reported under.
         key: &'static str,
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
-        why: String,
+        /// The error of the operating system.
+        reason: String,
     },
-    /// A key is missing.
+    /// A required key is missing.
     #[error("{0}: missing")]
     Missing(String),
-    /// A key has a value that it cannot have.
-    #[error("{key}: {why}")]
-    Bad {
+    /// A key has an invalid value.
+    #[error("{key}: {reason}")]
+    InvalidValue {
         /// The key.
         key: String,
-        /// What is wrong.
-        why: String,
+        /// The value that was found and what was expected.
+        reason: String,
     },
-    /// One of our files has these faults.
-    #[error("{}\n{}", count(.0.len()), lines(.0))]
-    Faults(Vec<Fault>),
+    /// A file that was checked as a whole has errors.
+    #[error("{}\n{}", fault_count(.0.len()), join_lines(.0))]
+    InvalidFile(Vec<Diagnostic>),
 }
 
-fn count(n: usize) -> String {
+fn fault_count(n: usize) -> String {
     if n == 1 {
-        "a fault".to_owned()
+        "1 fault".to_owned()
     } else {
         format!("{n} faults")
     }
 }
 
-fn lines(faults: &[Fault]) -> String {
-    faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")
+fn join_lines(diagnostics: &[Diagnostic]) -> String {
+    diagnostics.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")
 }
 
-fn bad(key: &str, why: impl ToString) -> ConfigError {
-    ConfigError::Bad { key: key.to_owned(), why: why.to_string() }
+fn invalid(key: &str, reason: impl ToString) -> ConfigError {
+    ConfigError::InvalidValue { key: key.to_owned(), reason: reason.to_string() }
 }
 
-/// What the command line says of how to serve.
+/// Command-line options for serving calls.
 #[derive(Clone, Debug, Default, PartialEq, clap::Args)]
 pub struct Arguments {
     /// Read line commands from standard input
     #[arg(long)]
     pub console: bool,
-    /// The configuration, in place of the file that ROUTER_CONFIG names
+    /// Configuration file in JSON; overrides ROUTER_CONFIG
     #[arg(long, value_name = "FILE")]
     pub config: Option<PathBuf>,
-    /// The gateways' file, in place of deploy/mgcp.toml
+    /// Gateway (MGCP) configuration file [default: deploy/mgcp.toml, if it exists]
     #[arg(long, value_name = "FILE")]
     pub mgcp: Option<PathBuf>,
-    /// The exporter's file, in place of deploy/telemetry.toml
+    /// Telemetry configuration file [default: deploy/telemetry.toml, if it exists]
     #[arg(long, value_name = "FILE")]
     pub telemetry: Option<PathBuf>,
-    /// The appliance's file, in place of deploy/appliance.toml
+    /// Appliance configuration file [default: deploy/appliance.toml, if it exists]
     #[arg(long, value_name = "FILE")]
     pub appliance: Option<PathBuf>,
-    /// The gossip's file, in place of deploy/gossip.toml
+    /// Gossip configuration file [default: deploy/gossip.toml, if it exists]
     #[arg(long, value_name = "FILE")]
     pub gossip: Option<PathBuf>,
-    /// What is logged, as info,walnuthatch::drains=debug; goes before WALNUTHATCH_LOG and the appliance's file
+    /// Log filter, for example info,walnuthatch::drains=debug; overrides WALNUTHATCH_LOG and the appliance file
     #[arg(long, value_name = "FILTER")]
     pub log: Option<String>,
-    /// How it is logged
+    /// Log format; overrides the appliance file
     #[arg(long, value_enum, value_name = "FORMAT")]
     pub log_format: Option<LogFormat>,
-    /// Only check the configuration
+    /// Check the configuration and exit
     #[arg(long)]
     pub check: bool,
 }
 
-/// Everything that the program is told before it starts.
+/// The validated configuration of the program.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Its name.
+    /// Name of this controller.
     pub name: String,
-    /// Where callers connect.
+    /// Address on which client connections are accepted.
     pub listen: SocketAddr,
-    /// For random numbers.
+    /// Seed of the random number generators.
     pub seed: u64,
-    /// File descriptors that the process may hold.
+    /// Maximum number of file descriptors that the process may have open.
     pub max_descriptors: usize,
-    /// Where peers' messages come in.
+    /// Address on which messages from peers are received.
     pub peer_listen: Option<SocketAddr>,
-    /// The peers, by their numbers.
+    /// Addresses of the peers, indexed by peer number.
     pub peers: Vec<SocketAddr>,
-    /// The address of all peers.
+    /// Address that reaches all peers.
     pub peers_all: Option<SocketAddr>,
-    /// The coordinator.
+    /// Address of the coordinator.
     pub coordinator: Option<SocketAddr>,
-    /// The list's events up to the start, each as JSON.
+    /// Updates of the exchange list that are applied at the start, each as JSON.
     pub initial_list_updates: Vec<String>,
-    /// The number of the last of them.
+    /// Index of the last of these updates; the coordinator's stream continues after it.
     pub initial_list_index: u64,
-    /// What the module is told.
+    /// Settings of the decision module.
     pub settings: Settings,
-    /// The names of the classes.
+    /// Names of the classes of calls, in the order of [`Settings::classes`].
     pub classes: Vec<String>,
-    /// The names of the zones.
+    /// Names of the failure domains.
     pub failure_domains: Vec<String>,
-    /// A connection that is not up after this was not made.
+    /// Timeout for establishing a connection.
     pub connect_timeout: Micros,
-    /// The front towards gateways, if it is on.
+    /// The MGCP front end, if enabled.
     pub mgcp: Option<MgcpConfig>,
-    /// The exporter, if it is on.
+    /// The telemetry exporter, if enabled.
     pub telemetry: Option<TelemetryConfig>,
-    /// The appliance, if it is on.
+    /// The appliance functions, if enabled.
     pub appliance: Option<ApplianceConfig>,
-    /// Gossip, if it is on.
+    /// Gossip between instances, if enabled.
     pub gossip: Option<GossipConfig>,
 }
 
-/// The exporter of metrics and spans.
+/// Configuration of the exporter of metrics and spans.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TelemetryConfig {
-    /// The collector.
+    /// Address of the OTLP collector.
     pub collector: SocketAddr,
-    /// Time between two exports.
+    /// Interval between two exports.
     pub interval: Micros,
-    /// Whether each call makes a span.
+    /// Whether a span is exported for each call.
     pub spans: bool,
 }
 
-/// The front towards gateways.
+/// Configuration of the MGCP front end.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MgcpConfig {
-    /// Where it listens.
+    /// Address on which the call agent receives datagrams.
     pub listen: SocketAddr,
-    /// What the call agent is told.
+    /// Configuration of the call agent.
     pub agent: AgentConfig,
 }
 
-/// Where the gateways' file lies, from the folder that the program is started in.
+/// Default path of the gateway file, relative to the working directory.
 const MGCP_FILE: &str = "deploy/mgcp.toml";
-/// Where the exporter's file lies.
+/// Default path of the telemetry file, relative to the working directory.
 const TELEMETRY_FILE: &str = "deploy/telemetry.toml";
 
-/// Reads the configuration: the file, then the environment's name and address where the file has none.
+/// Reads all configuration files. `ROUTER_NAME` and `ROUTER_LISTEN` give `name` and `listen` where the main
+/// configuration has none.
 pub fn load(arguments: &Arguments, env: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
-    let named = arguments.appliance.as_deref();
-    let appliance = match optional("appliance.toml", named, appliance_file::FILE)? {
+    let appliance_path = arguments.appliance.as_deref();
+    let appliance = match read_optional("appliance.toml", appliance_path, appliance_file::FILE)? {
         Some(text) => {
-            let file = named.unwrap_or(Path::new(appliance_file::FILE)).display().to_string();
-            appliance_file::read(&file, &text).map_err(ConfigError::Faults)?
+            let file = appliance_path.unwrap_or(Path::new(appliance_file::FILE)).display().to_string();
+            appliance_file::read(&file, &text).map_err(ConfigError::InvalidFile)?
         }
         None => None,
     };
@@ -168,8 +169,8 @@
     let site = appliance.as_ref().and_then(|a| a.site_config.clone());
     let mut json: Value = match (path, site) {
         (Some(path), _) => {
-            let text = read("ROUTER_CONFIG", &path)?;
-            serde_json::from_str(&text).map_err(|e| bad("ROUTER_CONFIG", e))?
+            let text = read_file("ROUTER_CONFIG", &path)?;
+            serde_json::from_str(&text).map_err(|e| invalid("ROUTER_CONFIG", e))?
         }
         (None, Some(site)) => site,
         (None, None) => return Err(ConfigError::Missing("ROUTER_CONFIG".to_owned())),
@@ -180,48 +181,60 @@
         }
     }
     let mut config = parse(&json)?;
-    if let Some(text) = optional(MGCP_FILE, arguments.mgcp.as_deref(), MGCP_FILE)? {
+    if let Some(text) = read_optional(MGCP_FILE, arguments.mgcp.as_deref(), MGCP_FILE)? {
         config.mgcp = mgcp(&text, &config)?;
     }
-    if let Some(text) = optional(TELEMETRY_FILE, arguments.telemetry.as_deref(), TELEMETRY_FILE)? {
+    if let Some(text) = read_optional(TELEMETRY_FILE, arguments.telemetry.as_deref(), TELEMETRY_FILE)? {
         config.telemetry = telemetry(&text)?;
     }
-    let named_gossip = arguments.gossip.as_deref();
-    if let Some(text) = optional("gossip.toml", named_gossip, gossip_file::FILE)? {
-        let file = named_gossip.unwrap_or(Path::new(gossip_file::FILE)).display().to_string();
-        let own = config.settings.own_exchange.map(|o| walnuthatch_gossip::Exchange(o.0));
-        let platform = config.platform_peers();
-        let read = gossip_file::read(&file, &text, &config.name, own, platform.as_ref());
-        config.gossip = read.map_err(ConfigError::Faults)?;
+    let gossip_path = arguments.gossip.as_deref();
+    if let Some(text) = read_optional("gossip.toml", gossip_path, gossip_file::FILE)? {
+        let file = gossip_path.unwrap_or(Path::new(gossip_file::FILE)).display().to_string();
+        let own_exchange = config.settings.own_exchange.map(|o| walnuthatch_gossip::Exchange(o.0));
+        let peers = config.platform_peers();
+        let gossip = gossip_file::read(&file, &text, &config.name, own_exchange, peers.as_ref());
+        config.gossip = gossip.map_err(ConfigError::InvalidFile)?;
     }
-    if let Some(a) = appliance {
-        join(&mut config, a, named)?;
+    if let Some(appliance) = appliance {
+        merge_appliance(&mut config, appliance, appliance_path)?;
     }
     Ok(config)
 }
 
-/// Brings what the appliance's file says together with the rest.
-fn join(config: &mut Config, a: ApplianceConfig, named: Option<&Path>) -> Result<(), ConfigError> {
-    if let Some(list) = &a.exchange_list {
+/// Adds the exchanges and prefixes of the appliance file to the rest of the configuration.
+fn merge_appliance(
+    config: &mut Config,
+    appliance: ApplianceConfig,
+    path: Option<&Path>,
+) -> Result<(), ConfigError> {
+    if let Some(list) = &appliance.exchange_list {
         if config.coordinator.is_some() || !config.initial_list_updates.is_empty() {
-            return Err(bad("appliance.exchange", "a coordinator tells of the exchanges already"));
+            return Err(invalid(
+                "appliance.exchange",
+                "found [[exchange]] tables, expected none: the exchanges come from coordinator or known.updates",
+            ));
         }
         config.initial_list_updates = vec![list.clone()];
     }
-    if let Some(m) = &mut config.mgcp {
-        let file = named.unwrap_or(Path::new(appliance_file::FILE)).display().to_string();
-        appliance_file::against_gateways(&file, &a, m).map_err(ConfigError::Faults)?;
-        m.agent.routes.extend(a.prefixes.iter().cloned());
+    if let Some(mgcp) = &mut config.mgcp {
+        let file = path.unwrap_or(Path::new(appliance_file::FILE)).display().to_string();
+        appliance_file::check_prefixes_against_gateways(&file, &appliance, mgcp)
+            .map_err(ConfigError::InvalidFile)?;
+        mgcp.agent.routes.extend(appliance.prefixes.iter().cloned());
     }
-    config.appliance = Some(a);
+    config.appliance = Some(appliance);
     Ok(())
 }
 
-/// The text of a file that need not be there unless it was named.
-fn optional(key: &'static str, named: Option<&Path>, usual: &str) -> Result<Option<String>, ConfigError> {
-    match named {
-        Some(path) => read(key, path).map(Some),
-        None if Path::new(usual).exists() => read(key, Path::new(usual)).map(Some),
+/// Reads the file at `path`, or the one at `default` if no path is given; only the latter may be absent.
+fn read_optional(
+    key: &'static str,
+    path: Option<&Path>,
+    default: &str,
+) -> Result<Option<String>, ConfigError> {
+    match path {
+        Some(path) => read_file(key, path).map(Some),
+        None if Path::new(default).exists() => read_file(key, Path::new(default)).map(Some),
         None => Ok(None),
     }
 }
@@ -260,49 +273,68 @@
     exchange: u16,
 }
 
-/// Checks the gateways' file; `None` where it leaves the front off.
+/// Parses and validates the gateway file; `None` if it leaves the MGCP front end disabled.
 pub fn mgcp(text: &str, config: &Config) -> Result<Option<MgcpConfig>, ConfigError> {
-    let file: MgcpFile = toml::from_str(text).map_err(|e| bad("mgcp.toml", e.to_string().trim()))?;
+    let file: MgcpFile = toml::from_str(text).map_err(|e| invalid("mgcp.toml", e.to_string().trim()))?;
     if !file.enabled {
         return Ok(None);
     }
     let listen = file.listen.ok_or_else(|| ConfigError::Missing("mgcp.listen".to_owned()))?;
-    let listen = loopback("mgcp.listen", &listen)?;
+    let listen = parse_loopback("mgcp.listen", &listen)?;
     let class = file.class.ok_or_else(|| ConfigError::Missing("mgcp.class".to_owned()))?;
     let position = config.classes.iter().position(|c| *c == class);
-    let class = position.ok_or_else(|| bad("mgcp.class", format!("{class:?} is no class")))?;
+    let class = position.ok_or_else(|| {
+        invalid("mgcp.class", format!("found {class:?}, expected a name in settings.classes"))
+    })?;
     let patience = file.patience_ms.unwrap_or(3_000);
     if !(200..=600_000).contains(&patience) {
-        return Err(bad("mgcp.patience_ms", "not from 200 to 600000"));
+        return Err(invalid("mgcp.patience_ms", format!("found {patience}, expected 200 to 600000")));
     }
     let digits = file.digits.unwrap_or(4);
     if !(1..=32).contains(&digits) {
-        return Err(bad("mgcp.digits", "not from 1 to 32"));
+        return Err(invalid("mgcp.digits", format!("found {digits}, expected 1 to 32")));
     }
     let mut gateways: Vec<Gateway> = Vec::new();
     for (i, g) in file.gateway.into_iter().enumerate() {
         let key = |name: &str| format!("mgcp.gateway.{i}.{name}");
         let name = g.name.to_ascii_lowercase();
         if name.is_empty() || name.contains('@') || gateways.iter().any(|o| o.name == name) {
-            return Err(bad(&key("name"), "empty, with an @, or there twice"));
+            return Err(invalid(
+                &key("name"),
+                format!("found {name:?}, expected a name without @ that no other gateway has"),
+            ));
         }
         let exchange = ExchangeNumber(g.exchange);
         if Some(exchange) == config.settings.own_exchange || gateways.iter().any(|o| o.exchange == exchange) {
-            return Err(bad(&key("exchange"), "the own exchange, or there twice"));
+            return Err(invalid(
+                &key("exchange"),
+                format!(
+                    "found {}, expected a number other than the own exchange and those of other gateways",
+                    g.exchange
+                ),
+            ));
         }
         let mut endpoints: Vec<String> = g.endpoints.iter().map(|e| e.to_ascii_lowercase()).collect();
         endpoints.sort();
         endpoints.dedup();
-        let odd = |e: &String| e.is_empty() || e.contains(['@', '*', '$', ' ']);
-        if endpoints.is_empty() || endpoints.len() != g.endpoints.len() || endpoints.iter().any(odd) {
-            return Err(bad(&key("endpoints"), "none, one there twice, or one with @, *, $ or a space"));
+        let malformed = |e: &String| e.is_empty() || e.contains(['@', '*', '$', ' ']);
+        if endpoints.is_empty() || endpoints.len() != g.endpoints.len() || endpoints.iter().any(malformed) {
+            return Err(invalid(
+                &key("endpoints"),
+                format!("found {:?}, expected distinct names without @, *, $ and spaces", g.endpoints),
+            ));
         }
         let answered_by = match g.answered_by.as_deref() {
             None | Some("off-hook") => AnsweredBy::OffHook,
             Some("connection") => AnsweredBy::Connection,
-            Some(_) => return Err(bad(&key("answered_by"), "neither off-hook nor connection")),
+            Some(other) => {
+                return Err(invalid(
+                    &key("answered_by"),
+                    format!("found {other:?}, expected off-hook or connection"),
+                ))
+            }
         };
-        let address = loopback(&key("address"), &g.address)?;
+        let address = parse_loopback(&key("address"), &g.address)?;
         gateways.push(Gateway { name, address, exchange, prefix: g.prefix, endpoints, answered_by });
     }
     if gateways.is_empty() {
@@ -325,48 +357,49 @@
     spans: bool,
 }
 
-/// Checks the exporter's file; `None` where it leaves the exporter off.
+/// Parses and validates the telemetry file; `None` if it leaves the exporter disabled.
 pub fn telemetry(text: &str) -> Result<Option<TelemetryConfig>, ConfigError> {
     let file: TelemetryFile =
-        toml::from_str(text).map_err(|e| bad("telemetry.toml", e.to_string().trim()))?;
+        toml::from_str(text).map_err(|e| invalid("telemetry.toml", e.to_string().trim()))?;
     if !file.enabled {
         return Ok(None);
     }
     let endpoint = file.endpoint.ok_or_else(|| ConfigError::Missing("telemetry.endpoint".to_owned()))?;
-    let place = endpoint.strip_prefix("http://").map(|p| p.strip_suffix('/').unwrap_or(p));
-    let place = place.ok_or_else(|| bad("telemetry.endpoint", "does not begin with http://"))?;
-    let collector = loopback("telemetry.endpoint", place)?;
+    let address = endpoint.strip_prefix("http://").map(|p| p.strip_suffix('/').unwrap_or(p));
+    let address = address.ok_or_else(|| {
+        invalid("telemetry.endpoint", format!("found {endpoint:?}, expected a URL that begins with http://"))
+    })?;
+    let collector = parse_loopback("telemetry.endpoint", address)?;
     let interval = file.interval_ms.unwrap_or(10_000);
     if !(100..=3_600_000).contains(&interval) {
-        return Err(bad("telemetry.interval_ms", "not from 100 to 3600000"));
+        return Err(invalid("telemetry.interval_ms", format!("found {interval}, expected 100 to 3600000")));
     }
     let interval = Micros::from(interval) * 1000;
     Ok(Some(TelemetryConfig { collector, interval, spans: file.spans }))
 }
 
 impl Config {
-    /// The path between peers, as the platform tells it; the own address is the one of its rank.
-    fn platform_peers(&self) -> Option<Platform> {
+    /// The peers that the platform configures; the own address is the one at this controller's peer number.
+    fn platform_peers(&self) -> Option<PlatformPeers> {
         let address = *self.peers.get(self.settings.own_peer.0 as usize)?;
-        Some(Platform { listen: self.peer_listen?, address, peers: self.peers.clone() })
+        Some(PlatformPeers { listen: self.peer_listen?, address, peers: self.peers.clone() })
     }
 
-    /// Callers' connections beyond which the least needed ones are ended: callers may hold a third of the
-    /// descriptors.
+    /// Number of client connections above which the least needed ones are closed: half of the descriptors.
     pub fn soft_client_limit(&self) -> usize {
         self.max_descriptors / 2
     }
 
-    /// Callers' connections that there may be in all, those that are ending included; what is left of the
-    /// descriptors is for exchanges, the coordinator and the program itself.
+    /// Maximum number of client connections, including those that are closing. The remaining descriptors are
+    /// reserved for exchanges, the coordinator and the program itself.
     pub fn hard_client_limit(&self) -> usize {
         self.max_descriptors * 5 / 8
     }
 
-    /// The keys in which `new` differs and which only a start can follow: sockets that are bound, and what the
-    /// calls at hand rest on.
+    /// Changed keys in `new` that take effect only after a restart: those of bound sockets, and those on which
+    /// the calls in progress depend.
     pub fn keys_needing_restart(&self, new: &Config) -> Vec<&'static str> {
-        let same = [
+        let unchanged = [
             ("name", self.name == new.name),
             ("listen", self.listen == new.listen),
             ("limits", self.max_descriptors == new.max_descriptors),
@@ -377,16 +410,25 @@
             ("mgcp", self.mgcp == new.mgcp),
             ("telemetry", self.telemetry == new.telemetry),
             ("gossip.enabled", self.gossip.is_some() == new.gossip.is_some()),
-            ("gossip.listen", self.listens_to_gossip() == new.listens_to_gossip()),
+            ("gossip.listen", self.gossip_listen() == new.gossip_listen()),
             ("appliance.enabled", self.appliance.is_some() == new.appliance.is_some()),
-            ("appliance.control", self.of_appliance(|a| &a.control_socket) == new.of_appliance(|a| &a.control_socket)),
-            ("appliance.state", self.of_appliance(|a| &a.state_folder) == new.of_appliance(|a| &a.state_folder)),
-            ("appliance.exchange", self.of_appliance(|a| &a.exchange_list) == new.of_appliance(|a| &a.exchange_list)),
+            (
+                "appliance.control",
+                self.in_appliance(|a| &a.control_socket) == new.in_appliance(|a| &a.control_socket),
+            ),
+            (
+                "appliance.state",
+                self.in_appliance(|a| &a.state_folder) == new.in_appliance(|a| &a.state_folder),
+            ),
+            (
+                "appliance.exchange",
+                self.in_appliance(|a| &a.exchange_list) == new.in_appliance(|a| &a.exchange_list),
+            ),
         ];
-        same.into_iter().filter(|s| !s.1).map(|s| s.0).collect()
+        unchanged.into_iter().filter(|(_, unchanged)| !unchanged).map(|(key, _)| key).collect()
     }
 
-    /// Takes over from `new` what a running program can follow.
+    /// Takes over those values of `new` that can change without a restart.
     pub fn apply_reload(&mut self, new: Config) {
         self.coordinator = new.coordinator;
         self.peers = new.peers;
@@ -403,17 +445,17 @@
         }
     }
 
-    fn listens_to_gossip(&self) -> Option<SocketAddr> {
+    fn gossip_listen(&self) -> Option<SocketAddr> {
         self.gossip.as_ref().map(|g| g.listen)
     }
 
-    fn of_appliance<T>(&self, what: impl Fn(&ApplianceConfig) -> &T) -> Option<&T> {
-        self.appliance.as_ref().map(what)
+    fn in_appliance<T>(&self, field: impl Fn(&ApplianceConfig) -> &T) -> Option<&T> {
+        self.appliance.as_ref().map(field)
     }
 
-    /// What the program was told, in lines.
+    /// A summary for operators, one line per subject.
     pub fn summary(&self) -> String {
-        let place = |a: &Option<SocketAddr>| a.map_or("none".to_owned(), |a| a.to_string());
+        let address = |a: &Option<SocketAddr>| a.map_or("none".to_owned(), |a| a.to_string());
         let gateways = self.mgcp.as_ref().map_or("off".to_owned(), |m| {
             let names: Vec<&str> = m.agent.gateways.iter().map(|g| g.name.as_str()).collect();
             format!("at {}: {}", m.listen, names.join(" "))
@@ -440,38 +482,40 @@
              gateways {gateways}\ntelemetry {export}\nappliance {appliance}\ngossip {gossip}\n",
             self.name,
             self.listen,
-            place(&self.coordinator),
+            address(&self.coordinator),
             self.peers.len(),
-            place(&self.peer_listen),
+            address(&self.peer_listen),
             self.classes.join(" "),
             self.max_descriptors,
         )
     }
 }
 
-fn loopback(key: &str, text: &str) -> Result<SocketAddr, ConfigError> {
-    let address: SocketAddr =
-        text.parse().map_err(|_| bad(key, format!("{text:?} is no address with a port")))?;
+fn parse_loopback(key: &str, text: &str) -> Result<SocketAddr, ConfigError> {
+    let address: SocketAddr = text
+        .parse()
+        .map_err(|_| invalid(key, format!("found {text:?}, expected a loopback address and a port")))?;
     match address.ip().is_loopback() {
         true => Ok(address),
-        false => Err(bad(key, format!("{text:?} is no loopback address"))),
+        false => Err(invalid(key, format!("found {text:?}, expected a loopback address"))),
     }
 }
 
-fn read(key: &'static str, path: &Path) -> Result<String, ConfigError> {
+fn read_file(key: &'static str, path: &Path) -> Result<String, ConfigError> {
     std::fs::read_to_string(path).map_err(|e| ConfigError::File {
         key,
         path: path.to_owned(),
-        why: e.to_string(),
+        reason: e.to_string(),
     })
 }
 
-/// Checks a configuration object.
+/// Validates the main configuration object and fills in the defaults.
 pub fn parse(json: &Value) -> Result<Config, ConfigError> {
-    let listen = address(json, "listen")?.ok_or_else(|| ConfigError::Missing("listen".to_owned()))?;
+    let listen =
+        optional_address(json, "listen")?.ok_or_else(|| ConfigError::Missing("listen".to_owned()))?;
     let settings_json = json.get("settings").ok_or_else(|| ConfigError::Missing("settings".to_owned()))?;
     let flat = text_settings::flatten(settings_json);
-    let settings = simulator::settings(&flat).map_err(|e| bad(&format!("settings.{}", e.key), &e))?;
+    let settings = simulator::settings(&flat).map_err(|e| invalid(&format!("settings.{}", e.key), &e))?;
     if settings.classes.is_empty() {
         return Err(ConfigError::Missing("settings.classes".to_owned()));
     }
@@ -486,42 +530,48 @@
     }
     let connect_timeout = match settings_json.pointer("/limits/connectTimeout") {
         None => 500.0,
-        Some(v) => v
-            .as_f64()
-            .filter(|ms| (1.0..=60_000.0).contains(ms))
-            .ok_or_else(|| bad("settings.limits.connectTimeout", "not a time in milliseconds"))?,
+        Some(v) => v.as_f64().filter(|ms| (1.0..=60_000.0).contains(ms)).ok_or_else(|| {
+            let reason = format!("found {v}, expected a time in milliseconds from 1 to 60000");
+            invalid("settings.limits.connectTimeout", reason)
+        })?,
     };
     let initial_list_index = match json.pointer("/known/index") {
         None => 0,
-        Some(v) => v.as_u64().ok_or_else(|| bad("known.index", "not a number"))?,
+        Some(v) => {
+            v.as_u64().ok_or_else(|| invalid("known.index", format!("found {v}, expected a number")))?
+        }
     };
     let updates = match json.pointer("/known/updates") {
         None => Vec::new(),
-        Some(v) => v.as_array().ok_or_else(|| bad("known.updates", "not a list"))?.clone(),
+        Some(v) => v
+            .as_array()
+            .ok_or_else(|| invalid("known.updates", format!("found {v}, expected a list")))?
+            .clone(),
     };
     let peers = match json.get("peers") {
         None | Some(Value::Null) => Vec::new(),
         Some(Value::Array(items)) => {
-            items.iter().map(|v| socket("peers", v)).collect::<Result<Vec<_>, _>>()?
+            items.iter().map(|v| parse_address("peers", v)).collect::<Result<Vec<_>, _>>()?
         }
-        Some(_) => return Err(bad("peers", "not a list")),
+        Some(v) => return Err(invalid("peers", format!("found {v}, expected a list"))),
     };
     let max_descriptors = match json.pointer("/limits/sockets") {
         None => 1024,
         Some(v) => v
             .as_u64()
             .filter(|n| (64..=1_000_000).contains(n))
-            .ok_or_else(|| bad("limits.sockets", "not a number from 64"))? as usize,
+            .ok_or_else(|| invalid("limits.sockets", format!("found {v}, expected 64 to 1000000")))?
+            as usize,
     };
     Ok(Config {
         name: json.get("name").and_then(Value::as_str).unwrap_or("walnuthatch").to_owned(),
         listen,
         seed: seed(json.get("seed"))?,
         max_descriptors,
-        peer_listen: address(json, "peer_listen")?,
+        peer_listen: optional_address(json, "peer_listen")?,
         peers,
-        peers_all: address(json, "peers_all")?,
-        coordinator: address(json, "coordinator")?,
+        peers_all: optional_address(json, "peers_all")?,
+        coordinator: optional_address(json, "coordinator")?,
         initial_list_updates: updates.iter().map(Value::to_string).collect(),
         initial_list_index,
         settings,
@@ -538,21 +588,22 @@
 fn seed(v: Option<&Value>) -> Result<u64, ConfigError> {
     match v {
         None | Some(Value::Null) => Ok(u64::from(std::process::id())),
-        Some(Value::String(hex)) => u64::from_str_radix(hex, 16).map_err(|e| bad("seed", e)),
-        Some(v) => v.as_u64().ok_or_else(|| bad("seed", "not a number")),
+        Some(Value::String(hex)) => u64::from_str_radix(hex, 16)
+            .map_err(|e| invalid("seed", format!("found {hex:?}, expected a hexadecimal number: {e}"))),
+        Some(v) => v.as_u64().ok_or_else(|| invalid("seed", format!("found {v}, expected a number"))),
     }
 }
 
-fn address(json: &Value, key: &str) -> Result<Option<SocketAddr>, ConfigError> {
+fn optional_address(json: &Value, key: &str) -> Result<Option<SocketAddr>, ConfigError> {
     match json.get(key) {
         None | Some(Value::Null) => Ok(None),
-        Some(v) => socket(key, v).map(Some),
+        Some(v) => parse_address(key, v).map(Some),
     }
 }
 
-fn socket(key: &str, v: &Value) -> Result<SocketAddr, ConfigError> {
-    let text = v.as_str().ok_or_else(|| bad(key, "not an address"))?;
-    text.parse().map_err(|_| bad(key, format!("{text:?} is no address with a port")))
+fn parse_address(key: &str, v: &Value) -> Result<SocketAddr, ConfigError> {
+    let malformed = || invalid(key, format!("found {v}, expected an address and a port"));
+    v.as_str().ok_or_else(malformed)?.parse().map_err(|_| malformed())
 }
 
 #[cfg(test)]
@@ -571,7 +622,7 @@
         name = \"Cab\"\naddress = \"127.0.0.1:2427\"\nexchange = 9\nendpoints = [\"Lamp/1\"]\n";
 
     #[test]
-    fn a_fault_in_a_deploy_file_is_named_by_its_key() {
+    fn errors_in_deploy_files_name_their_key() {
         assert_eq!(mgcp(GATEWAY, &base()).unwrap().unwrap().agent.gateways[0].endpoints, ["lamp/1"]);
         assert!(mgcp(&GATEWAY.replace("enabled = true", ""), &base()).unwrap().is_none());
         for (from, to, key) in [
--- a/src/program/gossip_file.rs
+++ b/src/program/gossip_file.rs
@@ -1,6 +1,6 @@
-//! The gossip's file, `deploy/gossip.toml`, and the file of its keys.
+//! The gossip configuration file, `deploy/gossip.toml`, and the key file that it names.
 
-use super::toml_check::{self, Checker, Fault};
+use super::toml_check::{self, Checker, Diagnostic};
 use ipnet::IpNet;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -14,51 +14,52 @@
 use walnuthatch_gossip::Exchange;
 use zeroize::Zeroizing;
 
-/// Where the file lies, from the folder that the program is started in.
+/// Default path of the file, relative to the working directory.
 pub const FILE: &str = "deploy/gossip.toml";
 
-/// The gossip's file.
+/// Configuration of the gossip between instances.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct GossipFile {
-    /// Whether anything in this file counts.
+    /// Whether gossip is enabled; if not, the rest of this file is ignored.
     pub enabled: bool,
-    /// Where datagrams come in; `peers`: at `peer_listen`, with `peers` as seeds, as the platform tells them.
+    /// Address on which datagrams are received, or `peers`: then `peer_listen` of the platform's configuration is
+    /// used, with its `peers` as seeds.
     pub listen: String,
-    /// Where others reach it, if that is another address.
+    /// Address under which other instances reach this one, if it is not the listening address.
     pub advertise: Option<String>,
-    /// Instances that are asked first.
+    /// Addresses of the instances that are contacted to join.
     pub seeds: Vec<String>,
-    /// Networks that instances are in.
+    /// Networks from which datagrams are accepted; those from elsewhere are ignored.
     #[schemars(length(min = 1))]
     pub allowed: Option<Vec<String>>,
-    /// The file of the keys; only its owner may read it.
+    /// Path of the key file; only its owner may have access to it (mode 600).
     #[schemars(length(min = 1))]
     pub key_file: String,
-    /// Ceilings of traffic.
+    /// Rate limits.
     pub limits: LimitsFile,
 }
 
-/// `[limits]`
+/// Rate limits of the gossip traffic.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct LimitsFile {
-    /// Bytes a second that are sent.
+    /// Maximum rate of sent traffic (bytes per second).
     #[schemars(range(min = 1024, max = 10000000))]
     pub send_bytes_per_s: u32,
-    /// Datagrams a second that are sent.
+    /// Maximum rate of sent datagrams (per second).
     #[schemars(range(min = 4, max = 100000))]
     pub send_datagrams_per_s: u32,
-    /// Bytes a second that are taken in.
+    /// Maximum rate of received traffic (bytes per second).
     #[schemars(range(min = 1024, max = 10000000))]
     pub receive_bytes_per_s: u32,
-    /// Datagrams a second that are taken in.
+    /// Maximum rate of received datagrams (per second).
     #[schemars(range(min = 4, max = 100000))]
     pub receive_datagrams_per_s: u32,
-    /// Bytes a second that are taken in from one address.
+    /// Maximum rate of traffic received from one address (bytes per second).
     #[schemars(range(min = 1024, max = 10000000))]
     pub source_bytes_per_s: u32,
-    /// Datagrams a second that are taken in from one address.
+    /// Maximum rate of datagrams received from one address (per second).
     #[schemars(range(min = 4, max = 100000))]
     pub source_datagrams_per_s: u32,
 }
@@ -76,132 +77,145 @@
     }
 }
 
-/// What the gossip is told.
+/// The validated gossip configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GossipConfig {
-    /// Where datagrams come in.
+    /// Address on which datagrams are received.
     pub listen: SocketAddr,
-    /// What the node is told.
+    /// Configuration of the gossip node.
     pub node: node::Config,
-    /// The keys.
+    /// Keys that authenticate the datagrams.
     pub key_ring: KeyRing,
 }
 
-/// What the platform tells of peers.
+/// Peer addresses from the platform's configuration.
 #[derive(Clone, Debug)]
-pub struct Platform {
-    /// Where their datagrams come in.
+pub struct PlatformPeers {
+    /// Address on which datagrams from peers are received.
     pub listen: SocketAddr,
-    /// Where this one's seem to come from.
+    /// Address under which the peers see this instance.
     pub address: SocketAddr,
-    /// All of them.
+    /// Addresses of all peers.
     pub peers: Vec<SocketAddr>,
 }
 
-/// The word for the platform's path.
+/// Value of `listen` that selects the peer addresses of the platform's configuration.
 const PEERS: &str = "peers";
 
-/// The schema of the file.
+/// The JSON schema of the file.
 pub fn schema() -> Value {
     serde_json::to_value(schemars::schema_for!(GossipFile)).unwrap_or_default()
 }
 
-/// Reads and checks the file and its keys; `None` where it leaves gossip off.
+/// Reads and validates the file and its key file; `None` if gossip is disabled.
 ///
 /// # Errors
-/// All faults that were found. Nothing of a key is shown.
+/// All errors that were found. No message contains any part of a key.
 pub fn read(
     file: &str,
     text: &str,
     name: &str,
-    own: Option<Exchange>,
-    platform: Option<&Platform>,
-) -> Result<Option<GossipConfig>, Vec<Fault>> {
-    let Some((mut c, f)) = toml_check::read::<GossipFile>(file, text, &schema())? else { return Ok(None) };
-    let usual = || vec!["127.0.0.0/8".to_owned(), "::1/128".to_owned()];
-    let allowed = c.networks("allowed", &f.allowed.clone().unwrap_or_else(usual));
-    if f.listen == PEERS {
-        return on_platform(c, &f, name, own, platform);
+    own_exchange: Option<Exchange>,
+    peers: Option<&PlatformPeers>,
+) -> Result<Option<GossipConfig>, Vec<Diagnostic>> {
+    let Some((mut checker, parsed)) = toml_check::read::<GossipFile>(file, text, &schema())? else {
+        return Ok(None);
+    };
+    let default_networks = || vec!["127.0.0.0/8".to_owned(), "::1/128".to_owned()];
+    let allowed = checker.networks("allowed", &parsed.allowed.clone().unwrap_or_else(default_networks));
+    if parsed.listen == PEERS {
+        return read_with_peers(checker, &parsed, name, own_exchange, peers);
     }
-    let listen = c.address("listen", &f.listen, &allowed);
-    let address = match &f.advertise {
-        Some(text) => c.address("advertise", text, &allowed),
+    let listen = checker.address("listen", &parsed.listen, &allowed);
+    let address = match &parsed.advertise {
+        Some(text) => checker.address("advertise", text, &allowed),
         None => listen,
     };
-    let seeds = f.seeds.iter().enumerate();
-    let seeds: Vec<_> = seeds.filter_map(|(i, s)| c.address(&format!("seeds.{i}"), s, &allowed)).collect();
-    let key_ring = keys(&mut c, Path::new(&f.key_file));
-    let (Some(listen), Some(address), Some(key_ring)) = (listen, address, key_ring) else { return c.end(None) };
-    let node = node(name, (address, seeds, allowed), own, &f.limits);
-    c.end(Some(GossipConfig { listen, node, key_ring }))
+    let seeds = parsed.seeds.iter().enumerate();
+    let seeds: Vec<_> =
+        seeds.filter_map(|(i, s)| checker.address(&format!("seeds.{i}"), s, &allowed)).collect();
+    let key_ring = read_keys(&mut checker, Path::new(&parsed.key_file));
+    let (Some(listen), Some(address), Some(key_ring)) = (listen, address, key_ring) else {
+        return checker.finish(None);
+    };
+    let node = node_config(name, (address, seeds, allowed), own_exchange, &parsed.limits);
+    checker.finish(Some(GossipConfig { listen, node, key_ring }))
 }
 
-fn node(
+fn node_config(
     name: &str,
     (address, seeds, allowed): (SocketAddr, Vec<SocketAddr>, Vec<IpNet>),
-    own: Option<Exchange>,
-    l: &LimitsFile,
+    own_exchange: Option<Exchange>,
+    limits: &LimitsFile,
 ) -> node::Config {
-    let ceiling = |bytes, datagrams| RateLimit { bytes, datagrams };
+    let rate_limit = |bytes, datagrams| RateLimit { bytes, datagrams };
     node::Config {
         name: name.to_owned(),
         address,
         seeds,
         allowed,
-        own_exchange: own,
-        send_limit: ceiling(l.send_bytes_per_s, l.send_datagrams_per_s),
-        receive_limit: ceiling(l.receive_bytes_per_s, l.receive_datagrams_per_s),
-        source_limit: ceiling(l.source_bytes_per_s, l.source_datagrams_per_s),
+        own_exchange,
+        send_limit: rate_limit(limits.send_bytes_per_s, limits.send_datagrams_per_s),
+        receive_limit: rate_limit(limits.receive_bytes_per_s, limits.receive_datagrams_per_s),
+        source_limit: rate_limit(limits.source_bytes_per_s, limits.source_datagrams_per_s),
     }
 }
 
-/// Gossip on the path that the platform has for peers: only those that it names are heard.
-fn on_platform(
-    mut c: Checker<'_>,
-    f: &GossipFile,
+/// Configures gossip over the platform's peer addresses; datagrams are accepted only from these.
+fn read_with_peers(
+    mut checker: Checker<'_>,
+    parsed: &GossipFile,
     name: &str,
-    own: Option<Exchange>,
-    platform: Option<&Platform>,
-) -> Result<Option<GossipConfig>, Vec<Fault>> {
-    let key_ring = keys(&mut c, Path::new(&f.key_file));
-    let Some(p) = platform else {
-        c.add("listen", format!("found {PEERS:?}, expected peer_listen and peers in the configuration"));
-        return c.end(None);
+    own_exchange: Option<Exchange>,
+    peers: Option<&PlatformPeers>,
+) -> Result<Option<GossipConfig>, Vec<Diagnostic>> {
+    let key_ring = read_keys(&mut checker, Path::new(&parsed.key_file));
+    let Some(peers) = peers else {
+        checker.report(
+            "listen",
+            format!("found {PEERS:?}, expected peer_listen and peers in the configuration"),
+        );
+        return checker.finish(None);
     };
-    let Some(key_ring) = key_ring else { return c.end(None) };
-    let allowed = p.peers.iter().map(|a| IpNet::from(a.ip())).collect();
-    let node = node(name, (p.address, p.peers.clone(), allowed), own, &f.limits);
-    c.end(Some(GossipConfig { listen: p.listen, node, key_ring }))
+    let Some(key_ring) = key_ring else { return checker.finish(None) };
+    let allowed = peers.peers.iter().map(|a| IpNet::from(a.ip())).collect();
+    let node = node_config(name, (peers.address, peers.peers.clone(), allowed), own_exchange, &parsed.limits);
+    checker.finish(Some(GossipConfig { listen: peers.listen, node, key_ring }))
 }
 
-fn keys(c: &mut Checker<'_>, path: &Path) -> Option<KeyRing> {
-    let shown = PathBuf::from(path).display().to_string();
+fn read_keys(checker: &mut Checker<'_>, path: &Path) -> Option<KeyRing> {
+    let shown_path = PathBuf::from(path).display().to_string();
     let mode = match std::fs::metadata(path) {
-        Ok(found) => found.permissions().mode() & 0o777,
+        Ok(metadata) => metadata.permissions().mode() & 0o777,
         Err(e) => {
-            c.add("key_file", format!("found {shown:?}, expected a file that can be read: {e}"));
+            checker
+                .report("key_file", format!("found {shown_path:?}, expected a file that can be read: {e}"));
             return None;
         }
     };
     if mode & 0o077 != 0 {
-        c.add("key_file", format!("found {shown:?} with mode {mode:o}, expected 600: others may read it"));
+        checker.report(
+            "key_file",
+            format!("found {shown_path:?} with mode {mode:o}, expected 600: others may read it"),
+        );
         return None;
     }
     let text = match std::fs::read_to_string(path) {
         Ok(text) => Zeroizing::new(text),
         Err(e) => {
-            c.add("key_file", format!("found {shown:?}, expected a file that can be read: {e}"));
+            checker
+                .report("key_file", format!("found {shown_path:?}, expected a file that can be read: {e}"));
             return None;
         }
     };
-    KeyRing::parse(&text).map_err(|e| c.add("key_file", format!("{shown:?}: {e}"))).ok()
+    KeyRing::parse(&text).map_err(|e| checker.report("key_file", format!("{shown_path:?}: {e}"))).ok()
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    fn key_file(name: &str, mode: u32) -> PathBuf {
+    fn write_key_file(name: &str, mode: u32) -> PathBuf {
         let path = std::env::temp_dir().join(format!("wh-{}-{name}", std::process::id()));
         let text = format!("[[key]]\nid = 1\nsecret = \"{}\"\nseals = true\n", "5".repeat(64));
         std::fs::write(&path, text).unwrap();
@@ -210,18 +224,18 @@
     }
 
     #[test]
-    fn faults_are_named_by_line_and_key_and_no_key_is_shown() {
-        let keys = key_file("keys", 0o600);
-        let good = format!(
+    fn errors_name_line_and_key_and_never_show_a_secret() {
+        let keys = write_key_file("keys", 0o600);
+        let valid = format!(
             "enabled = true\nlisten = \"127.0.0.1:0\"\nseeds = [\"127.0.0.2:7946\"]\nkey_file = {:?}\n",
             keys.display().to_string()
         );
         let read = |text: &str| read("g", text, "n1", Some(Exchange(3)), None);
-        let got = read(&good).unwrap().unwrap();
-        assert_eq!((got.node.seeds.len(), got.key_ring.signing_key_id()), (1, 1));
+        let config = read(&valid).unwrap().unwrap();
+        assert_eq!((config.node.seeds.len(), config.key_ring.signing_key_id()), (1, 1));
         assert!(read("enabled = false\nlisten = 7\n").unwrap().is_none());
-        let open = key_file("open", 0o644);
-        for (from, to, want) in [
+        let world_readable = write_key_file("open", 0o644);
+        for (from, to, expected) in [
             (
                 "127.0.0.1:0",
                 "10.0.0.1:0",
@@ -230,15 +244,15 @@
             ("127.0.0.2:7946", "nowhere", "g:3: seeds.0: found \"nowhere\""),
             ("enabled = true", "enabled = true\nodd = 1", "odd"),
             ("wh-", "wx-", "expected a file that can be read"),
-            (keys.to_str().unwrap(), open.to_str().unwrap(), "mode 644, expected 600"),
+            (keys.to_str().unwrap(), world_readable.to_str().unwrap(), "mode 644, expected 600"),
             ("listen = \"127.0.0.1:0\"", "listen = \"peers\"", "expected peer_listen and peers"),
             ("seeds =", "allowed = [\"x\"]\nseeds =", "allowed.0: found \"x\", expected a network"),
         ] {
-            let faults = read(&good.replacen(from, to, 1)).unwrap_err();
-            let all = faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n");
-            assert!(all.contains(want) && !all.contains("5555"), "{want}: {all}");
+            let errors = read(&valid.replacen(from, to, 1)).unwrap_err();
+            let messages = errors.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n");
+            assert!(messages.contains(expected) && !messages.contains("5555"), "{expected}: {messages}");
         }
-        let low = format!("{good}[limits]\nsend_bytes_per_s = 5\n");
-        assert!(read(&low).unwrap_err()[0].key == "limits.send_bytes_per_s");
+        let low_limit = format!("{valid}[limits]\nsend_bytes_per_s = 5\n");
+        assert!(read(&low_limit).unwrap_err()[0].key == "limits.send_bytes_per_s");
     }
 }
--- a/src/program/telemetry.rs
+++ b/src/program/telemetry.rs
@@ -101,7 +101,12 @@
     }
 }
 
-fn keep(mut s: Snapshot, newest: &mut Option<Snapshot>, spans: &mut Vec<CallSpan>, counters: &ExportCounters) {
+fn keep(
+    mut s: Snapshot,
+    newest: &mut Option<Snapshot>,
+    spans: &mut Vec<CallSpan>,
+    counters: &ExportCounters,
+) {
     spans.append(&mut s.calls);
     let over = spans.len().saturating_sub(SPANS_KEPT);
     spans.drain(..over);
--- a/src/program/toml_check.rs
+++ b/src/program/toml_check.rs
@@ -1,4 +1,5 @@
-//! Checking our own TOML files: against a schema derived from their types, all faults at once, each with its line.
+//! Validation of the TOML configuration files against schemas derived from their types. All errors are reported
+//! together, each with its line.
 
 use ipnet::IpNet;
 use serde::de::DeserializeOwned;
@@ -7,173 +8,177 @@
 use std::net::SocketAddr;
 use toml::de::{DeTable, DeValue};
 
-/// Something wrong in a file.
+/// An error in a configuration file.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
-    /// The file.
+pub struct Diagnostic {
+    /// Path of the file.
     pub file: String,
-    /// The line, from 1; 0 if it is of the whole.
+    /// Line number, from 1; 0 if the error has no line.
     pub line: usize,
-    /// The key.
+    /// Key that the error is about.
     pub key: String,
-    /// What is wrong: what was found and what was expected.
-    pub what: String,
+    /// Message with the value that was found and what was expected.
+    pub message: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for Diagnostic {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}:{}: {}: {}", self.file, self.line, self.key, self.what)
+        write!(f, "{}:{}: {}: {}", self.file, self.line, self.key, self.message)
     }
 }
 
-/// Collects the faults of one text.
+/// Collects the errors in one file.
 pub struct Checker<'a> {
     file: &'a str,
     text: &'a str,
     table: Option<toml::Spanned<DeTable<'a>>>,
-    /// Those found so far.
-    pub faults: Vec<Fault>,
+    /// Errors found so far.
+    pub diagnostics: Vec<Diagnostic>,
 }
 
 impl<'a> Checker<'a> {
-    /// One for a file whose text is not at hand: faults have no lines.
+    /// Creates a checker without the text of the file; its diagnostics have line 0.
     pub fn without_text(file: &'a str) -> Checker<'a> {
-        Checker { file, text: "", table: None, faults: Vec::new() }
+        Checker { file, text: "", table: None, diagnostics: Vec::new() }
     }
 
-    /// The line of a key, or of the nearest table round it.
-    fn line(&self, path: &str) -> usize {
+    /// Line of a key, or of the innermost enclosing table if the key is missing.
+    fn line_of(&self, path: &str) -> usize {
         let Some(table) = &self.table else { return 0 };
-        let mut at = 0;
-        let mut here: Option<&DeValue<'_>> = None;
+        let mut offset = 0;
+        let mut current: Option<&DeValue<'_>> = None;
         for part in path.split('.').filter(|p| !p.is_empty()) {
-            let next = match here {
+            let next = match current {
                 None => table.get_ref().get(part),
                 Some(DeValue::Table(t)) => t.get(part),
                 Some(DeValue::Array(a)) => part.parse().ok().and_then(|i: usize| a.get(i)),
                 Some(_) => None,
             };
             let Some(next) = next else { break };
-            at = next.span().start;
-            here = Some(next.get_ref());
+            offset = next.span().start;
+            current = Some(next.get_ref());
         }
-        self.text[..at.min(self.text.len())].matches('\n').count() + 1
+        self.text[..offset.min(self.text.len())].matches('\n').count() + 1
     }
 
-    /// Notes a fault.
-    pub fn add(&mut self, key: impl Into<String>, what: impl ToString) {
+    /// Records an error.
+    pub fn report(&mut self, key: impl Into<String>, message: impl ToString) {
         let key = key.into();
-        let (line, file) = (self.line(&key), self.file.to_owned());
-        self.faults.push(Fault { file, line, key, what: what.to_string() });
+        let (line, file) = (self.line_of(&key), self.file.to_owned());
+        self.diagnostics.push(Diagnostic { file, line, key, message: message.to_string() });
     }
 
-    /// Reads an address with a port in one of these networks.
-    pub fn address(&mut self, key: &str, text: &str, nets: &[IpNet]) -> Option<SocketAddr> {
+    /// Parses an address with a port that must be in one of `networks`.
+    pub fn address(&mut self, key: &str, text: &str, networks: &[IpNet]) -> Option<SocketAddr> {
         let Ok(address) = text.parse::<SocketAddr>() else {
-            self.add(key, format!("found {text:?}, expected an address and a port, as 127.0.0.1:5060"));
+            self.report(
+                key,
+                format!("found {text:?}, expected an address and a port, for example 127.0.0.1:5060"),
+            );
             return None;
         };
-        if !nets.iter().any(|n| n.contains(&address.ip())) {
-            let nets: Vec<String> = nets.iter().map(ToString::to_string).collect();
-            self.add(key, format!("found {text:?}, expected an address in {}", nets.join(" or ")));
+        if !networks.iter().any(|n| n.contains(&address.ip())) {
+            let networks: Vec<String> = networks.iter().map(ToString::to_string).collect();
+            self.report(key, format!("found {text:?}, expected an address in {}", networks.join(" or ")));
             return None;
         }
         Some(address)
     }
 
-    /// Reads networks.
+    /// Parses a list of networks in CIDR notation.
     pub fn networks(&mut self, key: &str, texts: &[String]) -> Vec<IpNet> {
-        let mut nets = Vec::new();
+        let mut networks = Vec::new();
         for (i, text) in texts.iter().enumerate() {
             match text.parse() {
-                Ok(net) => nets.push(net),
+                Ok(network) => networks.push(network),
                 Err(_) => {
-                    self.add(
+                    self.report(
                         format!("{key}.{i}"),
-                        format!("found {text:?}, expected a network, as 10.2.0.0/16"),
+                        format!("found {text:?}, expected a network, for example 10.2.0.0/16"),
                     );
                 }
             }
         }
-        nets
+        networks
     }
 
-    /// What was made, or the faults in the order of their lines.
+    /// Returns `value` if no error was recorded.
     ///
     /// # Errors
-    /// If there are any.
-    pub fn end<T>(mut self, made: T) -> Result<T, Vec<Fault>> {
-        if self.faults.is_empty() {
-            return Ok(made);
+    /// The recorded errors, sorted by line.
+    pub fn finish<T>(mut self, value: T) -> Result<T, Vec<Diagnostic>> {
+        if self.diagnostics.is_empty() {
+            return Ok(value);
         }
-        self.faults.sort_by_key(|f| f.line);
-        Err(self.faults)
+        self.diagnostics.sort_by_key(|d| d.line);
+        Err(self.diagnostics)
     }
 }
 
-/// Reads a text whose form is that of `T`, and which counts only with `enabled = true`.
+/// Parses a file into `T` after checking it against the schema of `T`; `None` unless it has `enabled = true`.
 ///
 /// # Errors
-/// All faults of form.
+/// All syntax errors and violations of the schema.
 pub fn read<'a, T: DeserializeOwned>(
     file: &'a str,
     text: &'a str,
     schema: &Value,
-) -> Result<Option<(Checker<'a>, T)>, Vec<Fault>> {
+) -> Result<Option<(Checker<'a>, T)>, Vec<Diagnostic>> {
     let table = match DeTable::parse(text) {
         Ok(table) => table,
         Err(e) => {
-            let at = e.span().map_or(0, |s| s.start).min(text.len());
-            let line = text[..at].matches('\n').count() + 1;
-            let fault = Fault { file: file.into(), line, key: "TOML".into(), what: e.message().into() };
-            return Err(vec![fault]);
+            let offset = e.span().map_or(0, |s| s.start).min(text.len());
+            let line = text[..offset].matches('\n').count() + 1;
+            let (file, key, message) = (file.into(), "TOML".into(), e.message().into());
+            return Err(vec![Diagnostic { file, line, key, message }]);
         }
     };
-    let mut c = Checker { file, text, table: Some(table), faults: Vec::new() };
+    let mut checker = Checker { file, text, table: Some(table), diagnostics: Vec::new() };
     let value: Value = match toml::from_str(text) {
         Ok(value) => value,
         Err(e) => {
-            c.add("TOML", e.message());
-            return Err(c.faults);
+            checker.report("TOML", e.message());
+            return Err(checker.diagnostics);
         }
     };
     if value.get("enabled") != Some(&Value::Bool(true)) {
-        // What is switched off is not checked, except that it is not a mistake.
+        // A disabled file is not validated, but `enabled` itself must be a boolean.
         if !matches!(value.get("enabled"), None | Some(Value::Bool(false))) {
-            c.add("enabled", "expected true or false");
-            return Err(c.faults);
+            checker.report("enabled", "expected true or false");
+            return Err(checker.diagnostics);
         }
         return Ok(None);
     }
-    check_form(&mut c, &value, schema);
-    if !c.faults.is_empty() {
-        return c.end(None);
+    check_schema(&mut checker, &value, schema);
+    if !checker.diagnostics.is_empty() {
+        return checker.finish(None);
     }
     match serde_json::from_value(value) {
-        Ok(parsed) => Ok(Some((c, parsed))),
+        Ok(parsed) => Ok(Some((checker, parsed))),
         Err(e) => {
-            c.add("", e);
-            Err(c.faults)
+            checker.report("", e);
+            Err(checker.diagnostics)
         }
     }
 }
 
-fn check_form(c: &mut Checker<'_>, value: &Value, schema: &Value) {
+fn check_schema(checker: &mut Checker<'_>, value: &Value, schema: &Value) {
     let validator = match jsonschema::validator_for(schema) {
         Ok(v) => v,
-        Err(e) => return c.add("", format!("the schema itself is faulty: {e}")),
+        Err(e) => return checker.report("", format!("the schema is invalid: {e}")),
     };
     for error in validator.iter_errors(value) {
         let path = error.instance_path().to_string();
         let key = path.trim_start_matches('/').replace('/', ".");
-        // A missing or unknown key is named in the text, and is the key that is wrong.
-        let text = error.to_string();
-        let named = text.split('\'').nth(1).filter(|_| text.contains("unexpected")).map(str::to_owned);
-        let key = match named {
-            Some(n) if key.is_empty() => n,
-            Some(n) => format!("{key}.{n}"),
+        // For an unknown key the path of the error is that of the enclosing table; the key is quoted in the message.
+        let message = error.to_string();
+        let unknown =
+            message.split('\'').nth(1).filter(|_| message.contains("unexpected")).map(str::to_owned);
+        let key = match unknown {
+            Some(name) if key.is_empty() => name,
+            Some(name) => format!("{key}.{name}"),
             None => key,
         };
-        c.add(key, text);
+        checker.report(key, message);
     }
 }
