--- a/src/program/demo.rs
+++ b/src/program/demo.rs
@@ -1,7 +1,7 @@
 //! `walnuthatch demo`: a real controller on loopback between stand-in exchanges and callers, to be looked at.
 
 use super::appliance_file;
-use super::cli::{fault, print, Exit};
+use super::cli::{fail, print, Exit};
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -82,7 +82,7 @@
                 Exit::Done
             }
         }
-        Err(e) => fault(&e),
+        Err(e) => fail(&e),
     }
 }
 
