--- a/src/program/log.rs
+++ b/src/program/log.rs
@@ -1,5 +1,5 @@
-//! The log: structured events (tracing) behind a bounded queue with a thread of its own, so that a log that nobody
-//! reads costs calls nothing. What does not fit in the queue is lost, and how much is counted and said.
+//! Logging: structured events (tracing) are written by a separate thread from a bounded queue, so that a blocked log
+//! reader never delays calls. Lines that do not fit in the queue are dropped and counted.
 
 use super::appliance_file::LogFormat;
 use crate::protocol::json_lines::Sid;
@@ -15,21 +15,21 @@
 use tracing_subscriber::util::SubscriberInitExt;
 use tracing_subscriber::{reload, EnvFilter, Layer, Registry};
 
-/// Lines that may wait to be written.
-const LINES: usize = 1024;
-/// What is logged where nobody says.
-const USUAL: &str = "info";
-/// Target of the events of calls.
+/// Maximum number of lines in the queue.
+const MAX_QUEUED_LINES: usize = 1024;
+/// Log filter if none is configured.
+const DEFAULT_FILTER: &str = "info";
+/// Log target of call events.
 pub const CALLS_TARGET: &str = "walnuthatch::calls";
-/// Target of the events of connections.
+/// Log target of connection events.
 pub const CONNECTIONS_TARGET: &str = "walnuthatch::connections";
-/// The environment's variable for the filter.
+/// Environment variable that sets the log filter.
 pub const FILTER_VARIABLE: &str = "WALNUTHATCH_LOG";
 
-/// `walnuthatch: ` and the message, with the level before it where it is not the usual one, and the fields after it.
-struct Plain;
+/// Formats an event as `walnuthatch: `, the level unless it is INFO, the message and the fields.
+struct PlainFormat;
 
-impl<S, N> FormatEvent<S, N> for Plain
+impl<S, N> FormatEvent<S, N> for PlainFormat
 where
     S: Subscriber + for<'a> LookupSpan<'a>,
     N: for<'a> FormatFields<'a> + 'static,
@@ -52,76 +52,80 @@
     }
 }
 
-/// The running log.
+/// The log of the process.
 pub struct Log {
     filter: reload::Handle<EnvFilter, Registry>,
     lost: ErrorCounter,
-    /// Writes what waits when it is dropped.
+    /// Writes the queued lines when dropped.
     _writer: WorkerGuard,
 }
 
-/// A filter that can't be read.
+/// A log filter that cannot be parsed.
 #[derive(Debug, thiserror::Error)]
-#[error("log filter: found {found:?}, expected one as info,walnuthatch::drains=debug: {why}")]
+#[error(
+    "log filter: found {found:?}, expected a filter, for example info,walnuthatch::drains=debug: {reason}"
+)]
 pub struct InvalidFilter {
     found: String,
-    why: String,
+    reason: String,
 }
 
 fn parse(filter: &str) -> Result<EnvFilter, InvalidFilter> {
-    EnvFilter::try_new(filter).map_err(|e| InvalidFilter { found: filter.to_owned(), why: e.to_string() })
+    EnvFilter::try_new(filter).map_err(|e| InvalidFilter { found: filter.to_owned(), reason: e.to_string() })
 }
 
 impl Log {
-    /// Starts it.
+    /// Starts logging to standard error.
     ///
     /// # Errors
-    /// If the filter can't be read.
+    /// If the filter cannot be parsed.
     pub fn start(filter: Option<&str>, format: LogFormat) -> Result<Log, InvalidFilter> {
-        Log::onto(filter, format, io::stderr())
+        Log::with_writer(filter, format, io::stderr())
     }
 
-    fn onto(
+    fn with_writer(
         filter: Option<&str>,
         format: LogFormat,
         out: impl io::Write + Send + 'static,
     ) -> Result<Log, InvalidFilter> {
-        let (filter, handle) = reload::Layer::new(parse(filter.unwrap_or(USUAL))?);
-        let queue = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(LINES);
+        let (filter, handle) = reload::Layer::new(parse(filter.unwrap_or(DEFAULT_FILTER))?);
+        let queue = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(MAX_QUEUED_LINES);
         let (writer, guard): (NonBlocking, WorkerGuard) = queue.finish(out);
         let lost = writer.error_counter();
         let layer = tracing_subscriber::fmt::layer().with_writer(writer).with_ansi(false);
         let layer: Box<dyn Layer<_> + Send + Sync> = match format {
-            LogFormat::Plain => Box::new(layer.event_format(Plain)),
+            LogFormat::Plain => Box::new(layer.event_format(PlainFormat)),
             LogFormat::Text => Box::new(layer),
             LogFormat::Json => Box::new(layer.json()),
         };
-        // One that is there already, as in tests, goes on.
+        // A subscriber that is already installed, as in tests, stays in use.
         let _ = tracing_subscriber::registry().with(filter).with(layer).try_init();
         Ok(Log { filter: handle, lost, _writer: guard })
     }
 
-    /// What is logged from now on.
+    /// Replaces the log filter.
     ///
     /// # Errors
-    /// If the filter can't be read; then the old one stays.
+    /// If the filter cannot be parsed; the current one then stays in use.
     pub fn set_filter(&self, filter: &str) -> Result<(), InvalidFilter> {
-        let new = parse(filter)?;
-        self.filter.reload(new).map_err(|e| InvalidFilter { found: filter.to_owned(), why: e.to_string() })
+        let parsed = parse(filter)?;
+        self.filter
+            .reload(parsed)
+            .map_err(|e| InvalidFilter { found: filter.to_owned(), reason: e.to_string() })
     }
 
-    /// What is logged.
+    /// The current log filter.
     pub fn filter(&self) -> String {
         self.filter.with_current(ToString::to_string).unwrap_or_default()
     }
 
-    /// Lines that were lost.
+    /// Number of lines that were dropped because the queue was full.
     pub fn lost_lines(&self) -> u64 {
         self.lost.dropped_lines() as u64
     }
 }
 
-/// What becomes of calls, as events at the level debug. `sid` is the caller's name of the call, if it has one.
+/// Logs the progress of a call at level DEBUG. `sid` is the caller's name of the call, if it has one.
 pub fn log_call_output(output: &Output, sid: Option<Sid>) {
     let sid = sid.map(tracing::field::display);
     match output {
@@ -140,14 +144,14 @@
             tracing::debug!(target: CALLS_TARGET, sid, call = call.0, attempt, office, wait, "set-up sent");
         }
         Output::Clear { call, attempt, .. } => {
-            tracing::debug!(target: CALLS_TARGET, sid, call = call.0, attempt = attempt.0, "given up or released");
+            tracing::debug!(target: CALLS_TARGET, sid, call = call.0, attempt = attempt.0, "attempt cancelled or call released");
         }
-        Output::AttemptEnded { call, exchange: leg, ending, cause } => {
-            let exchange = leg.map(|e| e.0);
+        Output::AttemptEnded { call, exchange, ending, cause } => {
+            let exchange = exchange.map(|e| e.0);
             tracing::debug!(target: CALLS_TARGET, sid, call = call.0, exchange, ?cause, "set-up ended: {ending:?}");
         }
         Output::Release { call, cut, .. } => {
-            tracing::debug!(target: CALLS_TARGET, sid, call = call.0, cut, "over");
+            tracing::debug!(target: CALLS_TARGET, sid, call = call.0, cut, "released");
         }
         _ => {}
     }
