--- a/src/bin/walnuthatch-simhost.rs
+++ b/src/bin/walnuthatch-simhost.rs
@@ -1,5 +1,5 @@
-//! Runs decision modules on the simulator's wire: batches of events on standard input, a reply for each on
-//! standard output. Instances share nothing but the numbered lists of offices.
+//! Runs instances of the decision module for the simulator: reads batches of events from standard input and writes a
+//! reply to each on standard output. Instances share only the numbered exchange lists.
 #![forbid(unsafe_code)]
 
 use std::any::Any;
@@ -13,17 +13,17 @@
 
 #[derive(Debug, thiserror::Error)]
 enum HostError {
-    #[error("reading or writing: {0}")]
+    #[error("input or output failed: {0}")]
     Io(#[from] io::Error),
     #[error("malformed batch: {0}")]
     Wire(#[from] WireError),
-    #[error("malformed batch: {0} bytes announced, {1} came")]
-    Short(u32, usize),
+    #[error("malformed batch: expected {0} bytes, found {1}")]
+    Truncated(u32, usize),
 }
 
 struct Instance {
     controller: Controller,
-    fields: Vec<ReportField>,
+    report_fields: Vec<ReportField>,
 }
 
 type Instances = BTreeMap<u16, Instance>;
@@ -43,47 +43,53 @@
     let mut lists = Lists::default();
     let mut body = Vec::new();
     loop {
-        let mut head = Vec::with_capacity(wire::HEADER);
-        input.by_ref().take(wire::HEADER as u64).read_to_end(&mut head)?;
-        if head.is_empty() {
+        let mut header = Vec::with_capacity(wire::HEADER);
+        input.by_ref().take(wire::HEADER as u64).read_to_end(&mut header)?;
+        if header.is_empty() {
             return Ok(());
         }
-        let Ok(head) = <[u8; wire::HEADER]>::try_from(head.as_slice()) else {
-            return Err(HostError::Short(wire::HEADER as u32, head.len()));
+        let Ok(header) = <[u8; wire::HEADER]>::try_from(header.as_slice()) else {
+            return Err(HostError::Truncated(wire::HEADER as u32, header.len()));
         };
-        let head = wire::header(&head)?;
+        let header = wire::header(&header)?;
         body.clear();
-        input.by_ref().take(u64::from(head.length)).read_to_end(&mut body)?;
-        if body.len() != head.length as usize {
-            return Err(HostError::Short(head.length, body.len()));
+        input.by_ref().take(u64::from(header.length)).read_to_end(&mut body)?;
+        if body.len() != header.length as usize {
+            return Err(HostError::Truncated(header.length, body.len()));
         }
-        let reply = batch(head.now, &body, &mut instances, &mut lists)?;
-        output.write_all(&reply.frame(head.batch))?;
+        let reply = handle_batch(header.now, &body, &mut instances, &mut lists)?;
+        output.write_all(&reply.frame(header.batch))?;
         output.flush()?;
     }
 }
 
-fn batch(now: Micros, body: &[u8], all: &mut Instances, lists: &mut Lists) -> Result<Reply, WireError> {
+fn handle_batch(
+    now: Micros,
+    body: &[u8],
+    instances: &mut Instances,
+    lists: &mut Lists,
+) -> Result<Reply, WireError> {
     let mut reply = Reply::default();
     let mut actions = Vec::new();
-    // A record is read with the report fields of its own instance, which the same batch may set.
-    let mut rest = Reader::new(body);
+    // Decoding an event needs the report fields of its instance, which an earlier record of the batch may set.
+    let mut reader = Reader::new(body);
     let mut current = None;
     loop {
-        let names = current.and_then(|i| all.get(&i)).map_or(&[][..], |i| &i.fields);
-        let Some(record) = rest.next(lists, names) else { return Ok(reply) };
+        let report_fields =
+            current.and_then(|i| instances.get(&i)).map_or(&[][..], |instance| &instance.report_fields);
+        let Some(record) = reader.next(lists, report_fields) else { return Ok(reply) };
         match (record?, current) {
             (Record::Instance(i), _) => current = Some(i),
             (Record::Killed, Some(i)) => {
-                all.remove(&i);
+                instances.remove(&i);
             }
             (Record::Start { seed, settings }, Some(i)) => match wire::settings(&settings) {
-                Ok(s) => start(i, s, seed, all, &mut reply),
+                Ok(s) => start_instance(i, s, seed, instances, &mut reply),
                 Err(e) => reply.failure(i, &e.to_string()),
             },
             (Record::Event(event), Some(i)) => {
-                if let Some(instance) = all.get_mut(&i) {
-                    handle(i, &mut instance.controller, now, event, &mut actions, &mut reply);
+                if let Some(instance) = instances.get_mut(&i) {
+                    handle_event(i, &mut instance.controller, now, event, &mut actions, &mut reply);
                 }
             }
             (Record::Killed | Record::Start { .. } | Record::Event(_), None) => {}
@@ -91,18 +97,18 @@
     }
 }
 
-fn start(i: u16, settings: Settings, seed: u64, all: &mut Instances, reply: &mut Reply) {
-    let fields = settings.report_fields.clone();
+fn start_instance(number: u16, settings: Settings, seed: u64, instances: &mut Instances, reply: &mut Reply) {
+    let report_fields = settings.report_fields.clone();
     match catch_unwind(AssertUnwindSafe(|| Controller::new(settings, seed))) {
         Ok(controller) => {
-            all.insert(i, Instance { controller, fields });
+            instances.insert(number, Instance { controller, report_fields });
         }
-        Err(panic) => reply.failure(i, &panic_text(panic.as_ref())),
+        Err(panic) => reply.failure(number, &panic_message(panic.as_ref())),
     }
 }
 
-fn handle(
-    i: u16,
+fn handle_event(
+    number: u16,
     controller: &mut Controller,
     now: Micros,
     event: Event,
@@ -111,12 +117,12 @@
 ) {
     actions.clear();
     match catch_unwind(AssertUnwindSafe(|| controller.handle(now, event, actions))) {
-        Ok(()) => actions.iter().for_each(|a| reply.action(i, a)),
-        Err(panic) => reply.failure(i, &panic_text(panic.as_ref())),
+        Ok(()) => actions.iter().for_each(|a| reply.action(number, a)),
+        Err(panic) => reply.failure(number, &panic_message(panic.as_ref())),
     }
 }
 
-fn panic_text(panic: &(dyn Any + Send)) -> String {
-    let text = panic.downcast_ref::<&str>().map(|s| (*s).to_owned());
-    text.or_else(|| panic.downcast_ref::<String>().cloned()).unwrap_or_else(|| "panic".to_owned())
+fn panic_message(panic: &(dyn Any + Send)) -> String {
+    let message = panic.downcast_ref::<&str>().map(|s| (*s).to_owned());
+    message.or_else(|| panic.downcast_ref::<String>().cloned()).unwrap_or_else(|| "panic".to_owned())
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The session controller as a program.
+//! Entry point of the session controller.
 #![forbid(unsafe_code)]
 
 use std::process::ExitCode;
--- a/src/program/console.rs
+++ b/src/program/console.rs
@@ -1,41 +1,41 @@
-//! The line commands on standard input. The answers are only texts; a thread of their own writes them, so that a
-//! terminal that stands still stops nothing. The full-screen console speaks through the control socket instead.
+//! Line commands on standard input. A separate thread writes the answers, so that a blocked terminal never delays the
+//! event loop. The full-screen console uses the control socket instead.
 
 use super::views::{call_line, Scene};
 use std::fmt::Write as _;
 use std::io::{self, BufRead, Read, Write};
 
-/// The longest command that is read.
-const LONGEST: u64 = 1024;
-/// Calls listed at most.
-const CALLS: usize = 50;
-/// Commands and answers that may wait.
-const WAITING: usize = 16;
+/// Maximum length of a command (bytes).
+const MAX_COMMAND_BYTES: u64 = 1024;
+/// Maximum number of calls that `calls` lists.
+const MAX_LISTED_CALLS: usize = 50;
+/// Capacity of the queues of commands and of answers.
+const QUEUE_CAPACITY: usize = 16;
 
-const HELP: &str = "help       this list
-status     the state of the program in a few lines
-exchanges  the exchanges on the list, and the gateways
-calls      the calls that are open or stand, oldest first
-counters   what was taken in, sent and answered
-config     what the program was told
-drain      fail the platform's tests, so that no new calls come; 'drain off' ends it
-quit       stop, once all calls that were taken have their answer
+const HELP: &str = "help       print this list
+status     print the state of the program
+exchanges  list the exchanges and gateways
+calls      list the open and established calls, oldest first
+counters   print all counters
+config     print the configuration
+drain      fail the platform's health checks, so that no new calls arrive; 'drain off' ends it
+quit       stop after all accepted calls have been answered
 ";
 
-/// What a command does besides printing.
+/// Effect of a command besides its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Fail the platform's tests, or no longer.
+    /// Fail the platform's health checks (true), or pass them again (false).
     Drain(bool),
-    /// Stop.
+    /// Stop the program.
     Stop,
 }
 
-/// Reads a command: what is to be printed, and what is to be done.
+/// Executes a command. Returns its answer and its effect, if any.
 pub fn execute(scene: &Scene<'_>, line: &str) -> (String, Option<Action>) {
     let mut words = line.split_whitespace();
     let (mut out, mut action) = (String::new(), None);
-    // Writing to a string can't fail.
+    // Writing to a string cannot fail.
     match (words.next(), words.next()) {
         (None, _) => {}
         (Some("help"), None) => out.push_str(HELP),
@@ -49,17 +49,17 @@
         }
         (Some("exchanges"), None) => {
             for e in scene.exchanges() {
-                let line = if e.connected { "connected" } else { "not connected" };
+                let connection = if e.connected { "connected" } else { "not connected" };
                 let (free, size) = (e.free.unwrap_or(-1.0), e.size.unwrap_or(-1.0));
                 let _ = writeln!(
                     out,
-                    "exchange {} ({}) at {}: {}, {line}, {free} of {size} circuits free",
+                    "exchange {} ({}) at {}: {}, {connection}, {free} of {size} circuits free",
                     e.exchange, e.member, e.address, e.listed
                 );
             }
         }
         (Some("calls"), None) => {
-            let (calls, total) = scene.calls("", CALLS);
+            let (calls, total) = scene.calls("", MAX_LISTED_CALLS);
             for c in &calls {
                 let _ = writeln!(out, "{}", call_line(c));
             }
@@ -75,27 +75,28 @@
         (Some("config"), None) => out = scene.config.summary(),
         (Some("drain"), word @ (None | Some("off"))) => {
             action = Some(Action::Drain(word.is_none()));
-            out = format!("tests {}\n", if word.is_none() { "fail from now on" } else { "pass again" });
+            out =
+                format!("health checks {}\n", if word.is_none() { "fail from now on" } else { "pass again" });
         }
         (Some("quit"), None) => {
             action = Some(Action::Stop);
             out.push_str("stopping\n");
         }
         (Some(other), _) => {
-            let _ = writeln!(out, "{other:?} is no command, or not in this form; 'help' lists them");
+            let _ = writeln!(out, "no command {other:?} with these arguments; 'help' lists the commands");
         }
     }
     (out, action)
 }
 
-/// Reads commands from standard input in a thread of its own. Its end harms nothing: no more commands come.
+/// Starts a thread that reads commands from standard input. The end of the input ends only this thread.
 pub fn read_commands() -> async_channel::Receiver<String> {
-    let (commands, queue) = async_channel::bounded(WAITING);
+    let (commands, queue) = async_channel::bounded(QUEUE_CAPACITY);
     std::thread::spawn(move || {
         let mut input = io::stdin().lock();
         loop {
             let mut line = Vec::new();
-            match input.by_ref().take(LONGEST).read_until(b'\n', &mut line) {
+            match input.by_ref().take(MAX_COMMAND_BYTES).read_until(b'\n', &mut line) {
                 Ok(0) | Err(_) => return,
                 Ok(_) => {}
             }
@@ -107,9 +108,9 @@
     queue
 }
 
-/// Prints answers in a thread of its own.
+/// Starts a thread that prints the answers sent to the returned queue.
 pub fn print_answers() -> async_channel::Sender<String> {
-    let (texts, queue) = async_channel::bounded::<String>(WAITING);
+    let (answers, queue) = async_channel::bounded::<String>(QUEUE_CAPACITY);
     std::thread::spawn(move || {
         let mut out = io::stdout();
         while let Ok(text) = queue.recv_blocking() {
@@ -118,5 +119,5 @@
             }
         }
     });
-    texts
+    answers
 }
--- a/src/program/demo.rs
+++ b/src/program/demo.rs
@@ -1,6 +1,5 @@
-//! `walnuthatch demo`: a real controller on loopback between stand-in exchanges and callers, to be looked at.
+//! `walnuthatch demo`: runs a real controller on loopback with simulated exchanges and callers.
 
-use super::appliance_file;
 use super::cli::{fail, print, Exit};
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -12,70 +11,74 @@
 use walnuthatch_control::frames::Operation;
 use walnuthatch_standin::{Callers, Exchange, Load, Table, Traits};
 
-/// The controller is up by then, or never.
-const START: Duration = Duration::from_secs(10);
-/// A controller that is asked to stop has this long.
-const STOP: Duration = Duration::from_secs(10);
-/// How long calls stand, on average.
-const HOLD: Duration = Duration::from_secs(2);
+/// Timeout for the start of the controller.
+const START_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time that the controller has to stop on request before it is killed.
+const STOP_TIMEOUT: Duration = Duration::from_secs(10);
+/// Maximum time to wait until the controller is serving.
+const READY_TIMEOUT: Duration = Duration::from_secs(2);
+/// Interval at which the state of the controller is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Mean hold time of established calls.
+const MEAN_HOLD_TIME: Duration = Duration::from_secs(2);
 
 /// Arguments of `demo`.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Args {
-    /// Calls a second
-    #[arg(long, default_value_t = 100.0, value_parser = rate)]
+    /// Calls per second, 0.1 to 5000
+    #[arg(long, default_value_t = 100.0, value_parser = parse_rate)]
     pub rate: f64,
-    /// Exchanges
+    /// Number of simulated exchanges
     #[arg(long, default_value_t = 4, value_parser = clap::value_parser!(u16).range(1..=64))]
     pub exchanges: u16,
-    /// Without the console: run for --seconds, then print a table
+    /// Run without the console for --seconds, then print a table of results
     #[arg(long)]
     pub headless: bool,
-    /// For how long calls are offered [default: 5 without the console, an hour with it]
+    /// Time during which calls are offered [default: 5 with --headless, else 3600]
     #[arg(long, value_parser = clap::value_parser!(u32).range(1..=86_400))]
     pub seconds: Option<u32>,
-    /// For delays, holds and names
+    /// Seed of the random delays, hold times and call names
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Where the demonstration keeps its files [default: a folder of its own under the system's for such]
+    /// Working directory [default: a temporary directory, removed at the end]
     #[arg(long, value_name = "DIR")]
     pub folder: Option<PathBuf>,
 }
 
-fn rate(text: &str) -> Result<f64, String> {
-    text.parse().ok().filter(|r| (0.1..=5000.0).contains(r)).ok_or("expected from 0.1 to 5000".to_owned())
+fn parse_rate(text: &str) -> Result<f64, String> {
+    text.parse().ok().filter(|r| (0.1..=5000.0).contains(r)).ok_or("expected 0.1 to 5000".to_owned())
 }
 
-/// Why it did not come about.
+/// An error that ends the demonstration.
 #[derive(Debug, thiserror::Error)]
 pub enum DemoError {
-    /// The system refused.
-    #[error("{what}: {why}")]
+    /// An operation of the operating system failed.
+    #[error("{operation}: {error}")]
     Io {
-        /// What.
-        what: String,
-        /// Why.
-        why: std::io::Error,
+        /// The operation that failed.
+        operation: String,
+        /// The error of the operating system.
+        error: std::io::Error,
     },
-    /// The controller did not start.
-    #[error("the controller did not start; it said:\n{0}")]
-    NotUp(String),
+    /// The controller did not start; contains its log.
+    #[error("the controller did not start; its log:\n{0}")]
+    NotStarted(String),
     /// The console failed.
     #[error("{0}")]
     Console(#[from] walnuthatch_console::ConsoleError),
 }
 
-fn io(what: &str) -> impl FnOnce(std::io::Error) -> DemoError + '_ {
-    move |why| DemoError::Io { what: what.to_owned(), why }
+fn io_error(operation: &str) -> impl FnOnce(std::io::Error) -> DemoError + '_ {
+    move |error| DemoError::Io { operation: operation.to_owned(), error }
 }
 
-/// Runs it.
+/// Runs the demonstration.
 pub fn main(args: &Args) -> Exit {
     match run(args) {
         Ok(None) => Exit::Done,
         Ok(Some(table)) => {
             print(&table.to_string());
-            // A call without an answer, or with two, is never to be.
+            // Each call must get exactly one answer.
             if table.unanswered + table.doubled > 0 {
                 Exit::Failed
             } else {
@@ -86,25 +89,25 @@
     }
 }
 
-/// A controller of the demonstration; it is ended when this is dropped.
+/// The controller process; dropping this value stops it.
 struct Controller {
     child: Child,
     folder: PathBuf,
-    /// The folder was made for it.
-    made: bool,
+    /// Whether the folder is removed at the end.
+    temporary: bool,
 }
 
 impl Drop for Controller {
     fn drop(&mut self) {
-        let asked = Connection::open(&self.folder.join("control.sock"), "demo")
+        let stop_request = Connection::open(&self.folder.join("control.sock"), "demo")
             .and_then(|mut c| c.request("stop", Operation::Stop));
-        let end = Instant::now() + if asked.is_ok() { STOP } else { Duration::ZERO };
-        while Instant::now() < end && matches!(self.child.try_wait(), Ok(None)) {
-            std::thread::sleep(Duration::from_millis(20));
+        let deadline = Instant::now() + if stop_request.is_ok() { STOP_TIMEOUT } else { Duration::ZERO };
+        while Instant::now() < deadline && matches!(self.child.try_wait(), Ok(None)) {
+            std::thread::sleep(POLL_INTERVAL);
         }
         drop(self.child.kill());
         drop(self.child.wait());
-        if self.made {
+        if self.temporary {
             drop(std::fs::remove_dir_all(&self.folder));
         }
     }
@@ -115,22 +118,22 @@
         .folder
         .clone()
         .unwrap_or_else(|| std::env::temp_dir().join(format!("walnuthatch-demo-{}", std::process::id())));
-    std::fs::create_dir_all(&folder).map_err(io("the demonstration's folder"))?;
-    // Enough circuits for the load and a half more, so that a drain of one can be seen to push calls elsewhere.
-    let each = args.rate * HOLD.as_secs_f64() / f64::from(args.exchanges);
-    let circuits = (each * 1.5).ceil() as u32 + 10;
+    std::fs::create_dir_all(&folder).map_err(io_error("creating the working directory"))?;
+    // 1.5 times the circuits that the load needs, so that the others can carry the calls of a drained exchange.
+    let busy_circuits = args.rate * MEAN_HOLD_TIME.as_secs_f64() / f64::from(args.exchanges);
+    let circuits = (busy_circuits * 1.5).ceil() as u32 + 10;
     let exchanges = (1..=args.exchanges)
         .map(|n| {
             let (delay, seed) = (Duration::from_millis(15), args.seed + u64::from(n));
-            Exchange::start(None, Traits { circuits, delay, hold: HOLD, seed })
+            Exchange::start(None, Traits { circuits, delay, hold: MEAN_HOLD_TIME, seed })
         })
         .collect::<Result<Vec<_>, _>>()
-        .map_err(io("a stand-in exchange"))?;
-    let (controller, callers) = start(&folder, args.folder.is_none(), &exchanges)?;
-    let usual = if args.headless { 5 } else { 3600 };
+        .map_err(io_error("starting a simulated exchange"))?;
+    let (controller, callers_address) = start_controller(&folder, args.folder.is_none(), &exchanges)?;
+    let default_seconds = if args.headless { 5 } else { 3600 };
     let load = Load {
         rate: args.rate,
-        span: Duration::from_secs(args.seconds.unwrap_or(usual).into()),
+        span: Duration::from_secs(args.seconds.unwrap_or(default_seconds).into()),
         destinations: (1..=args.exchanges).collect(),
         class: "status-report".to_owned(),
         patience: Duration::from_secs(3),
@@ -138,20 +141,26 @@
         connections: 8,
         seed: args.seed,
     };
-    let callers = Callers::start(callers, load).map_err(io("the stand-in callers"))?;
+    let callers =
+        Callers::start(callers_address, load).map_err(io_error("starting the simulated callers"))?;
     if args.headless {
         let table = callers.finish();
         drop(controller);
         return Ok(Some(table));
     }
-    let who = std::env::var("USER").unwrap_or_else(|_| "demo".to_owned());
-    walnuthatch_console::run(&folder.join("control.sock"), &who)?;
+    let user = std::env::var("USER").unwrap_or_else(|_| "demo".to_owned());
+    walnuthatch_console::run(&folder.join("control.sock"), &user)?;
     drop(controller);
     Ok(None)
 }
 
-/// Writes the appliance's file and starts the program's own executable with it.
-fn start(folder: &Path, made: bool, exchanges: &[Exchange]) -> Result<(Controller, SocketAddr), DemoError> {
+/// Writes the appliance file and starts this executable with it. Returns the controller and the address on which it
+/// accepts client connections.
+fn start_controller(
+    folder: &Path,
+    temporary: bool,
+    exchanges: &[Exchange],
+) -> Result<(Controller, SocketAddr), DemoError> {
     let path = |name: &str| folder.join(name).display().to_string();
     let mut text = format!(
         "enabled = true\n[control]\nsocket = {:?}\n[state]\nfolder = {:?}\n[site]\nname = \"demo\"\n\
@@ -165,12 +174,12 @@
             &format!("[[exchange]]\nname = \"standin-{n}\"\nexchange = {n}\naddress = \"{}\"\n", e.address());
     }
     let file = folder.join("appliance.toml");
-    std::fs::write(&file, text).map_err(io(appliance_file::FILE))?;
-    let program = std::env::current_exe().map_err(io("the program's own path"))?;
+    std::fs::write(&file, text).map_err(io_error("writing appliance.toml"))?;
+    let program = std::env::current_exe().map_err(io_error("finding the path of this program"))?;
     let mut child = Command::new(program)
         .args(["serve", "--log-format", "plain", "--appliance"])
         .arg(&file)
-        // What the platform would tell is not for a demonstration.
+        // A configuration of the platform must not apply to the demonstration.
         .env_remove("ROUTER_CONFIG")
         .env_remove("ROUTER_LISTEN")
         .current_dir(folder)
@@ -178,45 +187,45 @@
         .stdout(Stdio::null())
         .stderr(Stdio::piped())
         .spawn()
-        .map_err(io("the controller"))?;
-    let (said, lines) = channel();
-    if let Some(err) = child.stderr.take() {
-        // Read to its end, so that the log never stands still.
+        .map_err(io_error("starting the controller"))?;
+    let (log_lines, lines) = channel();
+    if let Some(stderr) = child.stderr.take() {
+        // Reads to the end, so that the controller never blocks on a full pipe.
         std::thread::spawn(move || {
-            BufReader::new(err).lines().map_while(Result::ok).for_each(|l| drop(said.send(l)));
+            BufReader::new(stderr).lines().map_while(Result::ok).for_each(|l| drop(log_lines.send(l)));
         });
     }
-    let controller = Controller { child, folder: folder.to_owned(), made };
-    let (end, mut all, mut callers) = (Instant::now() + START, String::new(), None);
+    let controller = Controller { child, folder: folder.to_owned(), temporary };
+    let (deadline, mut log, mut callers_address) = (Instant::now() + START_TIMEOUT, String::new(), None);
     loop {
-        match lines.recv_timeout(end.saturating_duration_since(Instant::now())) {
+        match lines.recv_timeout(deadline.saturating_duration_since(Instant::now())) {
             Ok(line) => {
                 let address = line.strip_prefix("walnuthatch: callers at ").and_then(|a| a.parse().ok());
-                callers = callers.or(address);
-                if let (true, Some(at)) = (line.contains("control socket at"), callers) {
+                callers_address = callers_address.or(address);
+                if let (true, Some(address)) = (line.contains("control socket at"), callers_address) {
                     wait_ready(&folder.join("control.sock"));
-                    return Ok((controller, at));
+                    return Ok((controller, address));
                 }
-                all += &line;
-                all.push('\n');
+                log += &line;
+                log.push('\n');
             }
             Err(RecvTimeoutError::Timeout | RecvTimeoutError::Disconnected) => {
-                return Err(DemoError::NotUp(all))
+                return Err(DemoError::NotStarted(log))
             }
         }
     }
 }
 
-/// Waits until each exchange was heard of, or a little while.
+/// Waits until the controller is serving, or for [`READY_TIMEOUT`].
 fn wait_ready(socket: &Path) {
     use walnuthatch_control::frames::{Body, Topic};
-    let end = Instant::now() + Duration::from_secs(2);
-    while Instant::now() < end {
-        let ask = Operation::Show { topic: Topic::Status, search: String::new() };
-        let got = Connection::open(socket, "demo").and_then(|mut c| c.request("ready", ask));
-        if matches!(got, Ok(Body::Status(s)) if s.state == "serving") {
+    let deadline = Instant::now() + READY_TIMEOUT;
+    while Instant::now() < deadline {
+        let operation = Operation::Show { topic: Topic::Status, search: String::new() };
+        let response = Connection::open(socket, "demo").and_then(|mut c| c.request("ready", operation));
+        if matches!(response, Ok(Body::Status(s)) if s.state == "serving") {
             return;
         }
-        std::thread::sleep(Duration::from_millis(20));
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
--- a/src/program/mod.rs
+++ b/src/program/mod.rs
@@ -1,4 +1,4 @@
-//! The program: command line, configuration, the task that owns routing, what operators see, and shutdown.
+//! The program: command line, configuration, event loop, operator interfaces, logging, telemetry and shutdown.
 
 pub mod alarms;
 pub mod appliance;
--- a/src/program/telemetry.rs
+++ b/src/program/telemetry.rs
@@ -1,5 +1,5 @@
-//! The exporter: takes snapshots from a bounded queue and brings them to the collector, in a task of its own.
-//! Nothing here is ever waited for by the task that owns routing.
+//! The telemetry exporter: a task that sends snapshots from a bounded queue to the OTLP collector. The event loop
+//! never waits for it.
 
 use crate::protocol::otlp::{verdict, CallSpan, Encoder, Signal, Snapshot, Verdict};
 use crate::routing::interface::Micros;
@@ -11,21 +11,21 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Spans kept for a collector that does not take them; more are dropped, the oldest first.
-const SPANS_KEPT: usize = 2048;
-/// Spans in one request.
-const SPANS_AT_ONCE: usize = 512;
-/// First and longest wait before a batch is sent again, where the collector says nothing (µs).
-const WAIT: (Micros, Micros) = (1_000_000, 60_000_000);
+/// Maximum number of buffered spans while the collector is unavailable; the oldest are dropped first.
+const MAX_BUFFERED_SPANS: usize = 2048;
+/// Maximum number of spans in one request.
+const MAX_SPANS_PER_REQUEST: usize = 512;
+/// Initial and maximum retry delay if the collector sends no Retry-After (µs); it doubles with each retry.
+const RETRY_DELAY: (Micros, Micros) = (1_000_000, 60_000_000);
 
-/// What the exporter has counted; shared with the task that prints counters.
+/// Counters of the exporter, shared with the event loop.
 #[derive(Debug, Default)]
 pub struct ExportCounters {
-    /// Requests that were taken.
+    /// Requests that the collector accepted.
     pub accepted: Cell<u64>,
-    /// Items that a collector rejected.
+    /// Items that the collector rejected.
     pub rejected: Cell<u64>,
-    /// Requests that have to be sent again.
+    /// Requests that are retried.
     pub retried: Cell<u64>,
     /// Spans and requests that were dropped.
     pub dropped: Cell<u64>,
@@ -36,7 +36,7 @@
 }
 
 impl ExportCounters {
-    /// As names and values.
+    /// The counters under their names.
     pub fn values(&self) -> Vec<(String, u64)> {
         let rows = [
             ("otlp.taken", &self.accepted),
@@ -48,8 +48,8 @@
     }
 }
 
-/// Exports until the queue is closed. Metrics are running totals, so that only the newest snapshot is kept while
-/// a collector is away; spans are kept up to a bound.
+/// Exports snapshots until the queue is closed. Metrics are cumulative, so only the newest snapshot is kept while the
+/// collector is unavailable; up to [`MAX_BUFFERED_SPANS`] spans are kept.
 pub async fn export(
     collector: SocketAddr,
     encoder: Encoder,
@@ -57,23 +57,23 @@
     counters: Rc<ExportCounters>,
 ) {
     let mut spans: Vec<CallSpan> = Vec::new();
-    let mut wait = WAIT.0;
+    let mut retry_delay = RETRY_DELAY.0;
     let mut newest: Option<Snapshot> = None;
     loop {
         if newest.is_none() && spans.is_empty() {
             match queue.recv().await {
-                Ok(s) => keep(s, &mut newest, &mut spans, &counters),
+                Ok(s) => buffer(s, &mut newest, &mut spans, &counters),
                 Err(_) => return,
             }
         }
         while let Ok(s) = queue.try_recv() {
-            keep(s, &mut newest, &mut spans, &counters);
+            buffer(s, &mut newest, &mut spans, &counters);
         }
-        let (signal, body, n) = match &newest {
+        let (signal, body, span_count) = match &newest {
             Some(s) => (Signal::Metrics, encoder.metrics(s), 0),
             None => {
-                let n = spans.len().min(SPANS_AT_ONCE);
-                (Signal::Spans, encoder.spans(&spans[..n]), n)
+                let span_count = spans.len().min(MAX_SPANS_PER_REQUEST);
+                (Signal::Spans, encoder.spans(&spans[..span_count]), span_count)
             }
         };
         let verdict = match http::post(collector, signal.path(), &body).await {
@@ -88,28 +88,28 @@
             Verdict::Never => add(&counters.dropped, 1),
             Verdict::Again(after) => {
                 add(&counters.retried, 1);
-                Timer::after(Duration::from_micros(after.unwrap_or(wait).max(0) as u64)).await;
-                wait = (wait * 2).min(WAIT.1);
+                Timer::after(Duration::from_micros(after.unwrap_or(retry_delay).max(0) as u64)).await;
+                retry_delay = (retry_delay * 2).min(RETRY_DELAY.1);
                 continue;
             }
         }
-        wait = WAIT.0;
+        retry_delay = RETRY_DELAY.0;
         match signal {
             Signal::Metrics => newest = None,
-            Signal::Spans => drop(spans.drain(..n)),
+            Signal::Spans => drop(spans.drain(..span_count)),
         }
     }
 }
 
-fn keep(
-    mut s: Snapshot,
+fn buffer(
+    mut snapshot: Snapshot,
     newest: &mut Option<Snapshot>,
     spans: &mut Vec<CallSpan>,
     counters: &ExportCounters,
 ) {
-    spans.append(&mut s.calls);
-    let over = spans.len().saturating_sub(SPANS_KEPT);
-    spans.drain(..over);
-    add(&counters.dropped, over as u64);
-    *newest = Some(s);
+    spans.append(&mut snapshot.calls);
+    let excess = spans.len().saturating_sub(MAX_BUFFERED_SPANS);
+    spans.drain(..excess);
+    add(&counters.dropped, excess as u64);
+    *newest = Some(snapshot);
 }
