--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,5 @@
 .PHONY: build test lint run check demo
-# The names in KNOWN-RED.txt, each passed over by `make test` and printed.
+# Names of the tests in KNOWN-RED.txt, which `make test` skips and prints.
 red := $(shell sed -n 's/^\([a-z0-9_]*\) *|.*/\1/p' KNOWN-RED.txt)
 build:
 	cargo build --locked --release
