--- a/src/program/ctl.rs
+++ b/src/program/ctl.rs
@@ -298,11 +298,11 @@
     }
 }
 
-fn format_table<const N: usize>(head: [&str; N], rows: impl Iterator<Item = [String; N]>) -> String {
-    let mut t = Table::new();
-    t.load_style(presets::NOTHING).set_header(head);
-    t.add_rows(rows);
-    t.lines().map(|l| l.trim_end().to_owned()).collect::<Vec<_>>().join("\n")
+fn format_table<const N: usize>(header: [&str; N], rows: impl Iterator<Item = [String; N]>) -> String {
+    let mut table = Table::new();
+    table.load_style(presets::NOTHING).set_header(header);
+    table.add_rows(rows);
+    table.lines().map(|l| l.trim_end().to_owned()).collect::<Vec<_>>().join("\n")
 }
 
 /// Formats a Unix time in UTC.
@@ -370,18 +370,18 @@
         }
         Body::Service(s) => {
             let outcomes: Vec<&String> = s.spans.first().map_or(Vec::new(), |x| x.by_fate.keys().collect());
-            let rows = outcomes.iter().map(|f| {
-                let of = |i: usize| or_dash(s.spans.get(i).and_then(|x| x.by_fate.get(*f)));
-                [(*f).clone(), of(0), of(1), of(2)]
+            let rows = outcomes.iter().map(|outcome| {
+                let count = |i: usize| or_dash(s.spans.get(i).and_then(|span| span.by_fate.get(*outcome)));
+                [(*outcome).clone(), count(0), count(1), count(2)]
             });
-            let total = |f: &dyn Fn(&walnuthatch_control::views::Span) -> String| {
-                let of = |i: usize| s.spans.get(i).map_or("-".to_owned(), f);
-                [of(0), of(1), of(2)]
+            let total = |value: &dyn Fn(&walnuthatch_control::views::Span) -> String| {
+                let of_span = |i: usize| s.spans.get(i).map_or("-".to_owned(), value);
+                [of_span(0), of_span(1), of_span(2)]
             };
-            let [a, b, c] = total(&|x| x.answered.to_string());
-            let [d, e, f] = total(&|x| percent(x.in_aim_share));
-            let all = [["answered".to_owned(), a, b, c], ["within objective".to_owned(), d, e, f]];
-            let table = format_table(["", "10 S", "1 MIN", "1 H"], all.into_iter().chain(rows));
+            let [a, b, c] = total(&|span| span.answered.to_string());
+            let [d, e, f] = total(&|span| percent(span.in_aim_share));
+            let totals = [["answered".to_owned(), a, b, c], ["within objective".to_owned(), d, e, f]];
+            let table = format_table(["", "10 S", "1 MIN", "1 H"], totals.into_iter().chain(rows));
             format!(
                 "{table}\nanswer time in the last minute: p50 {} ms, p99 {} ms, p99.9 {} ms",
                 s.p50_ms, s.p99_ms, s.p999_ms
--- a/src/program/log.rs
+++ b/src/program/log.rs
@@ -144,7 +144,8 @@
             tracing::debug!(target: CALLS_TARGET, sid, call = call.0, attempt, office, wait, "set-up sent");
         }
         Output::Clear { call, attempt, .. } => {
-            tracing::debug!(target: CALLS_TARGET, sid, call = call.0, attempt = attempt.0, "attempt cancelled or call released");
+            let attempt = attempt.0;
+            tracing::debug!(target: CALLS_TARGET, sid, call = call.0, attempt, "cancelled or released");
         }
         Output::AttemptEnded { call, exchange, ending, cause } => {
             let exchange = exchange.map(|e| e.0);
