--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! Entry point of the session controller.
+//! Entry point of the session controller program.
 #![forbid(unsafe_code)]
 
 use std::process::ExitCode;
--- a/src/program/telemetry.rs
+++ b/src/program/telemetry.rs
@@ -49,7 +49,7 @@
 }
 
 /// Exports snapshots until the queue is closed. Metrics are cumulative, so only the newest snapshot is kept while the
-/// collector is unavailable; up to [`MAX_BUFFERED_SPANS`] spans are kept.
+/// collector is unavailable; up to `MAX_BUFFERED_SPANS` spans are kept.
 pub async fn export(
     collector: SocketAddr,
     encoder: Encoder,
