--- a/src/program/alarms.rs
+++ b/src/program/alarms.rs
@@ -1,6 +1,6 @@
 //! The alarm conditions: the values that are checked each second, and the thresholds at which they raise an alarm.
 
-use super::appliance_file::AlarmMarks;
+use super::appliance_file::AlarmThresholds;
 use super::views::Snapshot;
 use crate::routing::interface::Micros;
 use walnuthatch_drains::drain::State;
@@ -10,7 +10,7 @@
 use walnuthatch_metrics::service::ServiceWindows;
 
 /// The configured alarm thresholds.
-pub type Thresholds = AlarmMarks;
+pub type Thresholds = AlarmThresholds;
 
 /// Minimum number of calls in a window for its shares to be meaningful.
 const MIN_CALLS: u32 = 20;
@@ -39,8 +39,8 @@
     let rule = |raise: f64, clear: f64, severity| AlarmRule {
         raise,
         clear,
-        raise_delay: thresholds.hold,
-        clear_delay: thresholds.calm,
+        raise_delay: thresholds.raise_delay,
+        clear_delay: thresholds.clear_delay,
         severity,
     };
     // For conditions that either hold or not: the delays are meant for values that fluctuate.
@@ -53,7 +53,7 @@
         .share_within_objective()
         .filter(|_| minute.answered() >= MIN_CALLS)
         .map_or(0.0, |share| 1.0 - share);
-    let threshold = 1.0 - thresholds.in_aim_under;
+    let threshold = 1.0 - thresholds.min_within_objective;
     let text = format!("{:.0}% of the last minute's calls stand within the aim", (1.0 - missed) * 100.0);
     add(
         "service",
@@ -67,7 +67,7 @@
         _ => 0.0,
     };
     let text = format!("{:.0}% of the last 10 s's calls are refused", refused * 100.0);
-    let threshold = thresholds.refused_over.max(0.001);
+    let threshold = thresholds.max_refused_share.max(0.001);
     add("refusals", String::new(), refused, rule(threshold, threshold * 0.7, Severity::Warning), text);
     for e in snapshot.exchanges() {
         let name = format!("exchange:{}", e.exchange);
@@ -79,14 +79,16 @@
                 if e.connected { 0.0 } else { age.unwrap_or((snapshot.now - snapshot.started_at) as f64) };
             let text =
                 format!("no connection to {} at {} for {:.0} s", e.member, e.address, disconnected / 1e6);
-            let rule =
-                AlarmRule { raise_delay: 0, ..rule(thresholds.silent as f64, 0.0, Severity::Critical) };
+            let rule = AlarmRule {
+                raise_delay: 0,
+                ..rule(thresholds.unresponsive_after as f64, 0.0, Severity::Critical)
+            };
             add("unreachable", format!("{name} {}", e.member), disconnected, rule, text);
         }
         if let (Some(free), Some(size)) = (e.free, e.size.filter(|s| *s >= 1.0)) {
             let busy = 1.0 - free.max(0.0) / size;
             let text = format!("{:.0} of {size:.0} circuits are busy", size - free.max(0.0));
-            let threshold = thresholds.busy_over;
+            let threshold = thresholds.max_busy_share;
             add(
                 "group",
                 format!("{name} {}", e.member),
--- a/src/program/appliance.rs
+++ b/src/program/appliance.rs
@@ -113,7 +113,7 @@
         log: Option<Rc<Log>>,
     ) -> Self {
         let policy = walnuthatch_drains::policy::Policy { grace: drain_grace, ..config.policy.clone() };
-        let has_state_folder = config.folder.is_some();
+        let has_state_folder = config.state_folder.is_some();
         let mut registry = DrainRegistry::new(
             policy,
             config.windows.clone(),
@@ -131,7 +131,7 @@
             exchange_metrics: MetricsByExchange::default(),
             alarms: Alarms::default(),
             thresholds: config.alarms,
-            links: config.links.clone(),
+            links: config.trunk_groups.clone(),
             sessions: Sessions::default(),
             write_queues: HashMap::new(),
             waiters: BTreeMap::new(),
@@ -155,10 +155,10 @@
         let policy = walnuthatch_drains::policy::Policy { grace: drain_grace, ..config.policy.clone() };
         self.registry.reload(policy, config.windows.clone());
         self.thresholds = config.alarms;
-        self.links.clone_from(&config.links);
+        self.links.clone_from(&config.trunk_groups);
         if let (Some(log), Some(filter)) = (&self.log, &config.log_filter) {
             // The filter was validated when the file was read.
-            let _ = log.set(filter);
+            let _ = log.set_filter(filter);
         }
     }
 
@@ -181,7 +181,7 @@
             ("control.unusable", c.malformed),
             ("control.requests", c.requests),
             ("control.cut", c.aborted),
-            ("log.lost", self.log.as_ref().map_or(0, |l| l.lost())),
+            ("log.lost", self.log.as_ref().map_or(0, |l| l.lost_lines())),
             ("traffic.not_told_apart", self.traffic.untracked),
             ("alarms.lost", self.alarms.dropped),
         ]
@@ -340,7 +340,7 @@
         self.exchange_metrics.advance(now.steady);
         let listed: BTreeSet<u16> = site.neighbours().iter().map(|n| n.exchange.0).collect();
         self.exchange_metrics.retain(|e| listed.contains(&e));
-        let lost = self.log.as_ref().map_or(0, |l| l.lost());
+        let lost = self.log.as_ref().map_or(0, |l| l.lost_lines());
         if lost > self.log_lost {
             tracing::warn!(
                 lines = lost - self.log_lost,
@@ -584,7 +584,7 @@
     fn set_log(&mut self, now: Now, operator: &str, filter: Option<String>) -> Result<Body, String> {
         let log = self.log.clone().ok_or("log: none is kept here")?;
         if let Some(filter) = filter {
-            log.set(&filter).map_err(|e| e.to_string())?;
+            log.set_filter(&filter).map_err(|e| e.to_string())?;
             self.publish_event(now, "program", format!("{operator} sets the log to {filter}"));
         }
         Ok(Body::Text { text: log.filter() })
--- a/src/program/event_loop.rs
+++ b/src/program/event_loop.rs
@@ -9,8 +9,8 @@
 use super::console;
 use super::counters::{self, WireCounts};
 use super::gossip::Gossip;
-use super::log::{self, CALLS, CONNECTIONS};
-use super::telemetry::ExportCounts;
+use super::log::{self, CALLS_TARGET, CONNECTIONS_TARGET};
+use super::telemetry::ExportCounters;
 use crate::protocol::client::{Ask, ClientConnections, ClientOutput, ClientTimer};
 use crate::protocol::json_lines::{Kind, Message, Sid};
 use crate::protocol::membership::{Place, Roster};
@@ -125,7 +125,7 @@
     /// The latency objective of each class.
     latency_objectives: Vec<Micros>,
     spans: Vec<CallSpan>,
-    export_counts: Rc<ExportCounts>,
+    export_counts: Rc<ExportCounters>,
     /// State of the generator of call names for calls that did not come over the JSON lines protocol.
     sid_generator: u64,
 }
@@ -149,14 +149,14 @@
                 now,
                 JSON_LINES_FRONTEND,
                 config.classes.clone(),
-                config.usual_callers(),
+                config.soft_client_limit(),
             )
             .with_quiet_period(s.quiet_period + s.min_batch_interval),
             upstream: UpstreamConnections::new(now, config.connect_timeout, config.settings.own_exchange),
             agent: config.mgcp.as_ref().map(|m| Agent::new(GATEWAY_FRONTEND, m.agent.clone(), config.seed)),
             appliance,
             gossip: config.gossip.as_ref().map(|g| Gossip::new(now, g, config.seed)),
-            roster: Roster::new(config.zones.clone()),
+            roster: Roster::new(config.failure_domains.clone()),
             timers: TimerQueue::default(),
             outboxes: HashMap::new(),
             commands: Vec::new(),
@@ -181,7 +181,7 @@
         if let Some(agent) = &mut event_loop.agent {
             agent.start(now);
         }
-        for update in &config.known {
+        for update in &config.initial_list_updates {
             event_loop.handle_list_event(now, update, true);
         }
         event_loop.process_outputs(now);
@@ -213,11 +213,11 @@
                 }
             }
             Inbound::Command(line) => {
-                let (text, action) = console::run(&self.snapshot(now), &line);
+                let (text, action) = console::execute(&self.snapshot(now), &line);
                 self.commands.push(TransportCommand::Print(text));
                 match action {
-                    Some(console::Act::Drain(on)) => self.draining = on,
-                    Some(console::Act::Stop) => self.stop(now),
+                    Some(console::Action::Drain(on)) => self.draining = on,
+                    Some(console::Action::Stop) => self.stop(now),
                     None => {}
                 }
             }
@@ -257,7 +257,7 @@
             }
         };
         self.counts.reloads += 1;
-        for key in self.config.needs_restart(&new) {
+        for key in self.config.keys_needing_restart(&new) {
             tracing::info!(
                 target: LOG_TARGET,
                 key,
@@ -267,7 +267,7 @@
         if self.config.coordinator != new.coordinator {
             self.commands.push(TransportCommand::FollowCoordinator(new.coordinator));
         }
-        self.config.follow(new);
+        self.config.apply_reload(new);
         if let (Some(a), Some(config)) = (&mut self.appliance, &self.config.appliance) {
             a.reload(config, self.config.settings.drain_grace);
         }
@@ -324,7 +324,7 @@
         let (callers, upstream) = (self.callers.counts(), self.upstream.counts());
         let mut table = counters::table(&self.counts, self.ledger.counts(), &callers, &upstream);
         if self.config.telemetry.is_some() {
-            table.extend(self.export_counts.table());
+            table.extend(self.export_counts.values());
         }
         if let Some(a) = &self.appliance {
             table.extend(a.counters());
@@ -344,7 +344,7 @@
         match (side, event) {
             (Side::Callers, ConnNews::Accepted(outbox)) => self.accept_connection(now, conn, outbox),
             (Side::Exchanges, ConnNews::Connected) => {
-                tracing::debug!(target: CONNECTIONS, conn = conn.0, "connected to the exchange");
+                tracing::debug!(target: CONNECTIONS_TARGET, conn = conn.0, "connected to the exchange");
                 self.upstream.connected(now, conn);
             }
             (_, ConnNews::Message(message)) => {
@@ -355,7 +355,7 @@
                 }
             }
             (side, ConnNews::Bad(reason)) => {
-                tracing::debug!(target: CONNECTIONS, ?side, conn = conn.0, "unreadable input: {reason}");
+                tracing::debug!(target: CONNECTIONS_TARGET, ?side, conn = conn.0, "unreadable input: {reason}");
                 self.counts.malformed += 1;
                 match side {
                     Side::Callers => self.callers.spoilt(now, conn),
@@ -370,7 +370,7 @@
             (Side::Exchanges, ConnNews::Half(half)) => self.upstream.half(now, conn, half),
             (Side::Callers, ConnNews::Half(half)) => self.callers.half(now, conn, half),
             (side, ConnNews::Closed(closing)) => {
-                tracing::debug!(target: CONNECTIONS, ?side, conn = conn.0, "closed: {closing:?}");
+                tracing::debug!(target: CONNECTIONS_TARGET, ?side, conn = conn.0, "closed: {closing:?}");
                 // The only place that removes an outbox.
                 self.outboxes.remove(&(side, conn));
                 match side {
@@ -387,7 +387,7 @@
 
     fn accept_connection(&mut self, now: Micros, conn: ConnId, outbox: Outbox) {
         self.counts.accepted += 1;
-        tracing::debug!(target: CONNECTIONS, conn = conn.0, "caller's connection accepted");
+        tracing::debug!(target: CONNECTIONS_TARGET, conn = conn.0, "caller's connection accepted");
         self.outboxes.insert((Side::Callers, conn), outbox);
         self.callers.opened(now, conn);
     }
@@ -396,13 +396,13 @@
         match self.callers.message(now, conn, message) {
             Ask::Offer(sid, key, offer) => {
                 let (class, left) = (offer.new_call.class, offer.new_call.remaining_time);
-                tracing::debug!(target: CALLS, %sid, conn = conn.0, class, left, "call accepted");
+                tracing::debug!(target: CALLS_TARGET, %sid, conn = conn.0, class, left, "call accepted");
                 let call = self.ledger.offer(now, *offer);
                 self.callers.taken(conn, sid, key, call);
             }
             Ask::Left(call) => {
                 tracing::debug!(
-                    target: CALLS,
+                    target: CALLS_TARGET,
                     call = call.0,
                     conn = conn.0,
                     "call abandoned or released by its caller"
@@ -543,7 +543,7 @@
     fn handle_upstream_output(&mut self, now: Micros, output: UpstreamOutput) {
         match output {
             UpstreamOutput::Connect(conn, Place { address, member }) => {
-                tracing::debug!(target: CONNECTIONS, conn = conn.0, %member, %address, "connecting");
+                tracing::debug!(target: CONNECTIONS_TARGET, conn = conn.0, %member, %address, "connecting");
                 let outbox = Outbox::default();
                 self.outboxes.insert((Side::Exchanges, conn), outbox.clone());
                 self.commands.push(TransportCommand::Connect(conn, address, outbox));
@@ -564,7 +564,7 @@
                 }
             }
             UpstreamOutput::HangUp(conn, reason) => {
-                tracing::debug!(target: CONNECTIONS, conn = conn.0, "connection to the exchange closed: {reason}");
+                tracing::debug!(target: CONNECTIONS_TARGET, conn = conn.0, "connection to the exchange closed: {reason}");
                 if let Some(outbox) = self.outboxes.get(&(Side::Exchanges, conn)) {
                     outbox.cut();
                 }
@@ -601,7 +601,7 @@
             ClientOutput::Tell(conn, message) => self.send(Side::Callers, conn, None, &message),
             ClientOutput::Fail(call) => self.ledger.fail_call(now, call, AnswerReason::ConnectionEnding),
             ClientOutput::Ending(conn, reason) => {
-                tracing::debug!(target: CONNECTIONS, conn = conn.0, "closing the caller's connection: {reason:?}");
+                tracing::debug!(target: CONNECTIONS_TARGET, conn = conn.0, "closing the caller's connection: {reason:?}");
             }
             ClientOutput::StopReading(conn) => drop(outbox(conn).map(Outbox::stop_reading)),
             ClientOutput::End(conn) => drop(outbox(conn).map(Outbox::close)),
--- a/src/program/event_loop/exports.rs
+++ b/src/program/event_loop/exports.rs
@@ -1,7 +1,7 @@
 //! Metrics and spans that the event loop passes to the exporter.
 
 use super::{EventLoop, TimerKey, TransportCommand, MAX_BUFFERED_SPANS};
-use crate::program::telemetry::ExportCounts;
+use crate::program::telemetry::ExportCounters;
 use crate::protocol::otlp::{CallSpan, Snapshot};
 use crate::routing::interface::{CallId, ExchangeNumber, Micros};
 use crate::routing::ledger::Answer;
@@ -9,7 +9,7 @@
 
 impl EventLoop {
     /// The counters of the exporter, shared with its task.
-    pub fn export_counts(&self) -> Rc<ExportCounts> {
+    pub fn export_counts(&self) -> Rc<ExportCounters> {
         self.export_counts.clone()
     }
 
--- a/src/program/gossip.rs
+++ b/src/program/gossip.rs
@@ -55,7 +55,7 @@
     pub fn new(now: Micros, config: &GossipConfig, seed: u64) -> Gossip {
         let unix_seconds = now.div_euclid(SECOND);
         Gossip {
-            node: Node::new(now, unix_seconds, config.node.clone(), config.ring.clone(), seed),
+            node: Node::new(now, unix_seconds, config.node.clone(), config.key_ring.clone(), seed),
             direct_setups: BTreeMap::new(),
             peer_numbers: BTreeMap::new(),
             group_bitmaps: BTreeMap::new(),
@@ -68,7 +68,7 @@
     /// Applies the seeds, networks, rate limits and keys of a reloaded configuration.
     pub fn reload(&mut self, config: &GossipConfig) {
         self.node.reload(config.node.clone());
-        self.node.set_key_ring(config.ring.clone());
+        self.node.set_key_ring(config.key_ring.clone());
     }
 
     /// Reports an output of the ledger to the node. Only a timeout on a direct route counts as evidence against the
