--- a/src/program/switchboard.rs
+++ b/src/program/switchboard.rs
@@ -11,7 +11,7 @@
 use crate::protocol::client::{Ask, ClientConnections, ClientOutput, ClientTimer};
 use crate::protocol::json_lines::{Kind, Message, Sid};
 use crate::protocol::membership::{Place, Roster};
-use crate::protocol::mgcp::agent::{Agent, AgentDue, AgentOutput};
+use crate::protocol::mgcp::agent::{Agent, AgentOutput, AgentTimer};
 use crate::protocol::otlp::{CallSpan, Snapshot};
 use crate::protocol::upstream::{UpstreamConnections, UpstreamOutput, UpstreamTimer};
 use crate::protocol::ConnId;
@@ -56,7 +56,7 @@
     /// The callers'.
     Caller(ClientTimer),
     /// The call agent's.
-    Agent(AgentDue),
+    Agent(AgentTimer),
     /// Hand the figures to the exporter.
     Export,
     /// The appliance's.
@@ -266,7 +266,7 @@
                 Due::Caller(due) => self.callers.due(now, due),
                 Due::Agent(due) => {
                     if let Some(agent) = &mut self.agent {
-                        agent.due(now, due);
+                        agent.timer_expired(now, due);
                     }
                 }
                 Due::Export => self.export(now),
@@ -585,7 +585,7 @@
                 self.counts.gateways_out += 1;
                 self.tasks.push(Task::Gateway(to, body));
             }
-            AgentOutput::Wake(at, due) => self.deadlines.add(at, Due::Agent(due)),
+            AgentOutput::SetTimer(at, due) => self.deadlines.add(at, Due::Agent(due)),
             AgentOutput::Offer(port, offer) => {
                 let call = self.ledger.offer(now, *offer);
                 if let Some(agent) = &mut self.agent {
--- a/src/protocol/mgcp/agent.rs
+++ b/src/protocol/mgcp/agent.rs
@@ -71,11 +71,11 @@
 
 /// What a deadline of the agent is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AgentDue {
+pub enum AgentTimer {
     /// Repeat the command of this transaction, or give it up.
     Transaction(u32),
     /// The caller at this port has waited for its own connection long enough.
-    Prepare(usize, u64),
+    CallerConnection(usize, u64),
     /// Audit this port.
     Audit(usize),
     /// Look whether the gateway of this port is still there, while a call of this use stands at it.
@@ -88,7 +88,7 @@
     /// Send a datagram.
     Datagram(SocketAddr, Vec<u8>),
     /// Come back then.
-    Wake(Micros, AgentDue),
+    SetTimer(Micros, AgentTimer),
     /// Offer this call to the core, and then [`Agent::taken`] with the port.
     Offer(usize, Box<OfferedCall>),
     /// The caller left.
@@ -515,7 +515,7 @@
         let params = Params::default().with("M", "recvonly").with("R", "L/hu(N)");
         let id = self.ports[p].use_id;
         self.create(now, p, params, None);
-        self.out.push(AgentOutput::Wake(until, AgentDue::Prepare(p, id)));
+        self.out.push(AgentOutput::SetTimer(until, AgentTimer::CallerConnection(p, id)));
     }
 
     // ---- Responses ----
@@ -523,7 +523,7 @@
     fn response(&mut self, now: Micros, from: SocketAddr, r: Response) {
         let answered = self.commands.response(now, from, &r);
         if let Some(at) = answered.wake {
-            self.out.push(AgentOutput::Wake(at, AgentDue::Transaction(r.transaction)));
+            self.out.push(AgentOutput::SetTimer(at, AgentTimer::Transaction(r.transaction)));
         }
         if let Some(text) = answered.acknowledge {
             self.out.push(AgentOutput::Datagram(from, text.into_bytes()));
@@ -546,7 +546,7 @@
                     // It is back, and may still hold what it held when it fell silent.
                     self.delete(now, p, Params::default(), Role::Clearing);
                 } else {
-                    self.out.push(AgentOutput::Wake(now + AUDIT, AgentDue::Audit(p)));
+                    self.out.push(AgentOutput::SetTimer(now + AUDIT, AgentTimer::Audit(p)));
                 }
             }
             _ => {}
@@ -619,25 +619,25 @@
     }
 
     /// A deadline has come.
-    pub fn due(&mut self, now: Micros, due: AgentDue) {
-        match due {
-            AgentDue::Transaction(id) => match self.commands.due(now, id) {
+    pub fn timer_expired(&mut self, now: Micros, timer: AgentTimer) {
+        match timer {
+            AgentTimer::Transaction(id) => match self.commands.due(now, id) {
                 Repeat::Nothing => {}
                 Repeat::Again(to, text, at) => {
                     self.out.push(AgentOutput::Datagram(to, text.into_bytes()));
-                    self.out.push(AgentOutput::Wake(at, due));
+                    self.out.push(AgentOutput::SetTimer(at, timer));
                 }
                 Repeat::GaveUp(purpose) => self.unanswered(now, purpose),
             },
-            AgentDue::Prepare(p, id) => {
+            AgentTimer::CallerConnection(p, id) => {
                 if self.ports[p].use_id == id && matches!(self.ports[p].role, Role::Preparing { .. }) {
                     self.counts.not_offered += 1;
                     self.delete(now, p, Params::default(), Role::Clearing);
                 }
             }
-            AgentDue::Audit(p) => self.audit(now, p),
-            AgentDue::Lease(p, id) if self.ports[p].use_id == id => self.look_at_lease(now, p),
-            AgentDue::Lease(..) => {}
+            AgentTimer::Audit(p) => self.audit(now, p),
+            AgentTimer::Lease(p, id) if self.ports[p].use_id == id => self.look_at_lease(now, p),
+            AgentTimer::Lease(..) => {}
         }
         self.tell_groups();
     }
@@ -660,7 +660,7 @@
                 self.silent(now, p);
             }
             Purpose::Audit(p) if self.ports[p].role == Role::Silent => {
-                self.out.push(AgentOutput::Wake(now + AUDIT, AgentDue::Audit(p)));
+                self.out.push(AgentOutput::SetTimer(now + AUDIT, AgentTimer::Audit(p)));
             }
             Purpose::Request(p) if self.ports[p].role == Role::Idle => self.silent(now, p),
             _ => {}
@@ -766,7 +766,7 @@
     fn stop_creating(&mut self, now: Micros, p: usize) {
         let Some(transaction) = self.ports[p].creating.take() else { return };
         if let Some(at) = self.commands.stop_repeating(now, transaction) {
-            self.out.push(AgentOutput::Wake(at, AgentDue::Transaction(transaction)));
+            self.out.push(AgentOutput::SetTimer(at, AgentTimer::Transaction(transaction)));
         }
     }
 
@@ -778,7 +778,7 @@
 
     fn silent(&mut self, now: Micros, p: usize) {
         self.begin(now, p, Role::Silent);
-        self.out.push(AgentOutput::Wake(now + AUDIT, AgentDue::Audit(p)));
+        self.out.push(AgentOutput::SetTimer(now + AUDIT, AgentTimer::Audit(p)));
     }
 
     /// What the port held is over, on its own side.
@@ -798,7 +798,7 @@
 
     /// Has the gateway of a port at which a call has come to stand looked at for as long as it stands.
     fn watch_lease(&mut self, now: Micros, p: usize) {
-        self.out.push(AgentOutput::Wake(now + LOOK, AgentDue::Lease(p, self.ports[p].use_id)));
+        self.out.push(AgentOutput::SetTimer(now + LOOK, AgentTimer::Lease(p, self.ports[p].use_id)));
     }
 
     /// Guards the far side of a call against a gateway that is gone without a word: nobody would tell of its end.
@@ -882,7 +882,7 @@
         self.counts.commands_out += 1;
         let (transaction, text, at) = self.commands.send(now, to, c, purpose);
         self.out.push(AgentOutput::Datagram(to, text.into_bytes()));
-        self.out.push(AgentOutput::Wake(at, AgentDue::Transaction(transaction)));
+        self.out.push(AgentOutput::SetTimer(at, AgentTimer::Transaction(transaction)));
         transaction
     }
 
--- a/tests/call_agent.rs
+++ b/tests/call_agent.rs
@@ -4,7 +4,7 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
-use walnuthatch::protocol::mgcp::agent::{Agent, AgentConfig, AgentDue, AgentOutput, AnsweredBy, Gateway};
+use walnuthatch::protocol::mgcp::agent::{Agent, AgentConfig, AgentOutput, AgentTimer, AnsweredBy, Gateway};
 use walnuthatch::protocol::mgcp::message::{parse, Packet, Verb};
 use walnuthatch::protocol::mgcp::transactions::SENDS;
 use walnuthatch::routing::interface::*;
@@ -40,7 +40,7 @@
 struct Model {
     agent: Agent,
     now: Micros,
-    due: TimerQueue<AgentDue>,
+    due: TimerQueue<AgentTimer>,
     gateway: SocketAddr,
     office: ExchangeId,
     next_call: u32,
@@ -110,7 +110,7 @@
                     }
                 }
             }
-            AgentOutput::Wake(at, due) => self.due.add(at, due),
+            AgentOutput::SetTimer(at, due) => self.due.add(at, due),
             AgentOutput::Offer(port, _) => {
                 let call = CallId(self.next_call);
                 self.next_call += 1;
@@ -194,7 +194,7 @@
                 while let Some(at) = self.due.next_expiry().filter(|&at| at <= now + span) {
                     self.now = self.now.max(at);
                     while let Some(due) = self.due.pop_expired(self.now) {
-                        self.agent.due(self.now, due);
+                        self.agent.timer_expired(self.now, due);
                         self.settle();
                     }
                 }
