--- a/src/program/switchboard.rs
+++ b/src/program/switchboard.rs
@@ -586,25 +586,27 @@
                 self.tasks.push(Task::Gateway(to, body));
             }
             AgentOutput::SetTimer(at, due) => self.deadlines.add(at, Due::Agent(due)),
-            AgentOutput::Offer(port, offer) => {
+            AgentOutput::OfferCall(port, offer) => {
                 let call = self.ledger.offer(now, *offer);
                 if let Some(agent) = &mut self.agent {
                     agent.taken(port, call);
                 }
             }
-            AgentOutput::Left(call) => self.ledger.caller_left(now, call),
-            AgentOutput::Answered(call, attempt, text) => {
+            AgentOutput::CallerLeft(call) => self.ledger.caller_left(now, call),
+            AgentOutput::AttemptAnswered(call, attempt, text) => {
                 if !self.ledger.attempt_answered(now, call, attempt, text) {
                     if let Some(agent) = &mut self.agent {
                         agent.clear(now, call, attempt);
                     }
                 }
             }
-            AgentOutput::Ended(call, attempt, how) => {
+            AgentOutput::AttemptEnded(call, attempt, how) => {
                 self.ledger.attempt_ended(now, call, attempt, how, LoadReport::default());
             }
-            AgentOutput::Group(office, load) => self.ledger.group_report(now, office, load),
-            AgentOutput::List(entry) => self.ledger.list_update(now, ListUpdate::Changes([entry].into())),
+            AgentOutput::GroupReport(office, load) => self.ledger.group_report(now, office, load),
+            AgentOutput::ListUpdate(entry) => {
+                self.ledger.list_update(now, ListUpdate::Changes([entry].into()))
+            }
         }
     }
 
--- a/src/protocol/mgcp/agent.rs
+++ b/src/protocol/mgcp/agent.rs
@@ -90,17 +90,17 @@
     /// Come back then.
     SetTimer(Micros, AgentTimer),
     /// Offer this call to the core, and then [`Agent::taken`] with the port.
-    Offer(usize, Box<OfferedCall>),
+    OfferCall(usize, Box<OfferedCall>),
     /// The caller left.
-    Left(CallId),
+    CallerLeft(CallId),
     /// A set-up was answered.
-    Answered(CallId, AttemptNumber, Option<SessionDescription>),
+    AttemptAnswered(CallId, AttemptNumber, Option<SessionDescription>),
     /// An attempt ended, or a call that stood is over.
-    Ended(CallId, AttemptNumber, (Ending, Cause)),
+    AttemptEnded(CallId, AttemptNumber, (Ending, Cause)),
     /// Free endpoints of a gateway, and how many there are.
-    Group(ExchangeId, LoadReport),
+    GroupReport(ExchangeId, LoadReport),
     /// A gateway drains or serves again.
-    List(ListEntry),
+    ListUpdate(ListEntry),
 }
 
 /// Counts since the start.
@@ -424,7 +424,7 @@
         // The list first: the core must know of the drain before it decides on what ended.
         if whole && self.states[g] != state {
             self.states[g] = state;
-            self.out.push(AgentOutput::List(self.entry(g)));
+            self.out.push(AgentOutput::ListUpdate(self.entry(g)));
         }
         for &p in ports {
             match method.as_str() {
@@ -477,7 +477,7 @@
                 self.ports[p].role = Role::Called { call, attempt, stage: Stage::Standing };
                 self.request(now, p, Params::default().with("R", "L/hu(N)"));
                 self.watch_lease(now, p);
-                self.out.push(AgentOutput::Answered(call, attempt, text));
+                self.out.push(AgentOutput::AttemptAnswered(call, attempt, text));
             }
             _ => {}
         }
@@ -494,7 +494,7 @@
             }
             Role::Called { call, attempt, stage: Stage::Standing } => {
                 self.legs.remove(&call);
-                self.out.push(AgentOutput::Ended(call, attempt, (Ending::Completed, Cause::None)));
+                self.out.push(AgentOutput::AttemptEnded(call, attempt, (Ending::Completed, Cause::None)));
                 self.delete(now, p, Params::default(), Role::Clearing);
             }
             Role::Idle | Role::Called { .. } | Role::Clearing | Role::Silent => {}
@@ -592,7 +592,7 @@
                     earliest_attempt: 0,
                 };
                 let offer = OfferedCall { frontend: self.front, new_call: ask, description: text };
-                self.out.push(AgentOutput::Offer(p, Box::new(offer)));
+                self.out.push(AgentOutput::OfferCall(p, Box::new(offer)));
             }
             (Role::Preparing { .. }, false) => {
                 self.counts.not_offered += 1;
@@ -604,14 +604,14 @@
                 if automatic {
                     self.ports[p].role = Role::Called { call, attempt, stage: Stage::Standing };
                     self.watch_lease(now, p);
-                    self.out.push(AgentOutput::Answered(call, attempt, text));
+                    self.out.push(AgentOutput::AttemptAnswered(call, attempt, text));
                 } else {
                     self.ports[p].role = Role::Called { call, attempt, stage: Stage::Ringing(text) };
                 }
             }
             (Role::Called { call, attempt, .. }, false) => {
                 self.legs.remove(&call);
-                self.out.push(AgentOutput::Ended(call, attempt, codes::outcome(r.code)));
+                self.out.push(AgentOutput::AttemptEnded(call, attempt, codes::outcome(r.code)));
                 self.idle(now, p);
             }
             _ => {}
@@ -649,7 +649,7 @@
                 Role::Called { call, attempt, stage: Stage::Creating } => {
                     // Nothing proves that it did not run: it counts as timed out, and is cleared.
                     self.legs.remove(&call);
-                    self.out.push(AgentOutput::Ended(call, attempt, codes::outcome(406)));
+                    self.out.push(AgentOutput::AttemptEnded(call, attempt, codes::outcome(406)));
                     self.delete(now, p, Params::default(), Role::Clearing);
                 }
                 Role::Preparing { .. } => self.silent(now, p),
@@ -724,7 +724,7 @@
         let turn = self.turns[g] % ports.len().max(1);
         let found = ports[turn..].iter().chain(&ports[..turn]).find(|&&p| self.ports[p].role == Role::Idle);
         let Some(&p) = found else {
-            return self.out.push(AgentOutput::Ended(call, attempt, codes::outcome(410)));
+            return self.out.push(AgentOutput::AttemptEnded(call, attempt, codes::outcome(410)));
         };
         self.turns[g] = ports.iter().position(|&q| q == p).unwrap_or(0) + 1;
         self.begin(now, p, Role::Called { call, attempt, stage: Stage::Creating });
@@ -786,11 +786,11 @@
         match self.ports[p].role.clone() {
             Role::Offered(Some(call)) | Role::Talking(call) => {
                 self.calls.remove(&call);
-                self.out.push(AgentOutput::Left(call));
+                self.out.push(AgentOutput::CallerLeft(call));
             }
             Role::Called { call, attempt, .. } => {
                 self.legs.remove(&call);
-                self.out.push(AgentOutput::Ended(call, attempt, codes::outcome(407)));
+                self.out.push(AgentOutput::AttemptEnded(call, attempt, codes::outcome(407)));
             }
             _ => {}
         }
@@ -898,7 +898,7 @@
                 let size = self.config.gateways[g].endpoints.len() as f64;
                 let report =
                     LoadReport { free: Some(free as f64), size: Some(size), ..LoadReport::default() };
-                self.out.push(AgentOutput::Group(Self::office(g), report));
+                self.out.push(AgentOutput::GroupReport(Self::office(g), report));
             }
         }
     }
--- a/tests/call_agent.rs
+++ b/tests/call_agent.rs
@@ -111,22 +111,22 @@
                 }
             }
             AgentOutput::SetTimer(at, due) => self.due.add(at, due),
-            AgentOutput::Offer(port, _) => {
+            AgentOutput::OfferCall(port, _) => {
                 let call = CallId(self.next_call);
                 self.next_call += 1;
                 self.calls.insert(call, Call::Open);
                 self.agent.taken(port, call);
             }
-            AgentOutput::Left(call) => assert!(self.calls.remove(&call).is_some(), "leaves once"),
-            AgentOutput::Answered(call, ..) => {
+            AgentOutput::CallerLeft(call) => assert!(self.calls.remove(&call).is_some(), "leaves once"),
+            AgentOutput::AttemptAnswered(call, ..) => {
                 assert_eq!(self.legs.insert(call, Call::Standing), Some(Call::Open));
             }
-            AgentOutput::Ended(call, ..) => assert!(self.legs.remove(&call).is_some(), "ends once"),
-            AgentOutput::Group(office, load) => {
+            AgentOutput::AttemptEnded(call, ..) => assert!(self.legs.remove(&call).is_some(), "ends once"),
+            AgentOutput::GroupReport(office, load) => {
                 assert_eq!((office, load.size), (self.office, Some(3.0)));
                 assert!(load.free.is_some_and(|f| (0.0..=3.0).contains(&f)));
             }
-            AgentOutput::List(entry) => assert_eq!(entry.exchange_id, self.office),
+            AgentOutput::ListUpdate(entry) => assert_eq!(entry.exchange_id, self.office),
         }
     }
 
