--- a/src/program/switchboard.rs
+++ b/src/program/switchboard.rs
@@ -431,7 +431,7 @@
     }
 
     fn gateway_entries(&self) -> Vec<ListEntry> {
-        self.agent.as_ref().map_or_else(Vec::new, Agent::entries)
+        self.agent.as_ref().map_or_else(Vec::new, Agent::list_entries)
     }
 
     // ---- What follows ----
@@ -478,7 +478,7 @@
         self.observe(now, &output);
         match output {
             Output::SetUp { call, attempt, office, timeout: wait } => match &mut self.agent {
-                Some(agent) if agent.has(office) => {
+                Some(agent) if agent.serves(office) => {
                     let description = self.ledger.offered_call(call).and_then(|o| o.description.as_ref());
                     agent.set_up(now, (call, attempt), office, description);
                 }
@@ -489,7 +489,7 @@
                 }
             },
             Output::Clear { call, attempt, office } => match &mut self.agent {
-                Some(agent) if agent.has(office) => agent.clear(now, call, attempt),
+                Some(agent) if agent.serves(office) => agent.clear(now, call, attempt),
                 _ => self.links.clear(now, call, attempt),
             },
             Output::Answer { frontend, call, answer, offered_at: taken, destination, .. } => {
@@ -589,7 +589,7 @@
             AgentOutput::OfferCall(port, offer) => {
                 let call = self.ledger.offer(now, *offer);
                 if let Some(agent) = &mut self.agent {
-                    agent.taken(port, call);
+                    agent.call_offered(port, call);
                 }
             }
             AgentOutput::CallerLeft(call) => self.ledger.caller_left(now, call),
@@ -618,7 +618,7 @@
             None => {
                 // A call of another front has no name on this wire yet.
                 self.minted = self.minted.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
-                let number = self.agent.as_ref().and_then(|a| a.number(call));
+                let number = self.agent.as_ref().and_then(|a| a.dialled_number(call));
                 (Sid(self.minted), number.map(Value::from))
             }
         };
--- a/src/program/views.rs
+++ b/src/program/views.rs
@@ -118,7 +118,7 @@
             let exchange = list.exchange_of(office)?;
             Some(of(&office, exchange, &place.member, place.address.to_string(), state, up))
         });
-        let gateways = self.agent.iter().flat_map(|a| a.views().zip(a.entries()));
+        let gateways = self.agent.iter().flat_map(|a| a.gateway_summaries().zip(a.list_entries()));
         let gateways = gateways.map(|((name, state, free, all), e)| {
             let mut x =
                 of(&e.exchange_id, e.exchange, name, "gateway".to_owned(), state, state == ListState::Ready);
--- a/src/protocol/mgcp/agent.rs
+++ b/src/protocol/mgcp/agent.rs
@@ -89,7 +89,7 @@
     Datagram(SocketAddr, Vec<u8>),
     /// Come back then.
     SetTimer(Micros, AgentTimer),
-    /// Offer this call to the core, and then [`Agent::taken`] with the port.
+    /// Offer this call to the core, and then [`Agent::call_offered`] with the port.
     OfferCall(usize, Box<OfferedCall>),
     /// The caller left.
     CallerLeft(CallId),
@@ -260,17 +260,17 @@
     }
 
     /// The gateways as entries of the list.
-    pub fn entries(&self) -> Vec<ListEntry> {
+    pub fn list_entries(&self) -> Vec<ListEntry> {
         (0..self.config.gateways.len()).map(|g| self.entry(g)).collect()
     }
 
     /// Whether this office is a gateway of the agent's.
-    pub fn has(&self, office: ExchangeId) -> bool {
+    pub fn serves(&self, office: ExchangeId) -> bool {
         self.gateway_of(office).is_some()
     }
 
     /// The number that the caller of this call dialled.
-    pub fn number(&self, call: CallId) -> Option<&str> {
+    pub fn dialled_number(&self, call: CallId) -> Option<&str> {
         self.calls.get(&call).and_then(|&p| self.ports[p].number.as_deref())
     }
 
@@ -290,7 +290,7 @@
     }
 
     /// The gateways, for the console: name, state, free endpoints, endpoints.
-    pub fn views(&self) -> impl Iterator<Item = (&str, ListState, usize, usize)> + '_ {
+    pub fn gateway_summaries(&self) -> impl Iterator<Item = (&str, ListState, usize, usize)> + '_ {
         let named = self.config.gateways.iter().zip(&self.states).enumerate();
         named.map(|(i, (g, s))| (g.name.as_str(), s.0, self.free(i), g.endpoints.len()))
     }
@@ -670,7 +670,7 @@
     // ---- What the core asks for ----
 
     /// The core has taken the call that this port offered.
-    pub fn taken(&mut self, p: usize, call: CallId) {
+    pub fn call_offered(&mut self, p: usize, call: CallId) {
         self.ports[p].role = Role::Offered(Some(call));
         self.calls.insert(call, p);
     }
--- a/tests/call_agent.rs
+++ b/tests/call_agent.rs
@@ -115,7 +115,7 @@
                 let call = CallId(self.next_call);
                 self.next_call += 1;
                 self.calls.insert(call, Call::Open);
-                self.agent.taken(port, call);
+                self.agent.call_offered(port, call);
             }
             AgentOutput::CallerLeft(call) => assert!(self.calls.remove(&call).is_some(), "leaves once"),
             AgentOutput::AttemptAnswered(call, ..) => {
@@ -231,7 +231,7 @@
             patience: 3_000 * MS,
         };
         let mut agent = Agent::new(FrontendId(1), config, 5);
-        let office = agent.entries()[0].exchange_id;
+        let office = agent.list_entries()[0].exchange_id;
         agent.start(0);
         let mut m = Model {
             agent,
