--- a/src/program/config.rs
+++ b/src/program/config.rs
@@ -310,7 +310,7 @@
     }
     let routes = file.route.into_iter().map(|r| (r.prefix, ExchangeNumber(r.exchange))).collect();
     let patience = Micros::from(patience) * 1000;
-    let agent = AgentConfig { gateways, routes, digits, class, patience };
+    let agent = AgentConfig { gateways, routes, number_length: digits, class, client_timeout: patience };
     Ok(Some(MgcpConfig { listen, agent }))
 }
 
--- a/src/protocol/mgcp/agent.rs
+++ b/src/protocol/mgcp/agent.rs
@@ -62,11 +62,11 @@
     /// Further numbers: prefix and exchange.
     pub routes: Vec<(String, ExchangeNumber)>,
     /// Digits of a number; dialling is over when they are complete.
-    pub digits: usize,
+    pub number_length: usize,
     /// The class of calls from endpoints.
     pub class: usize,
     /// How long a caller at an endpoint waits.
-    pub patience: Micros,
+    pub client_timeout: Micros,
 }
 
 /// What a deadline of the agent is for.
@@ -454,7 +454,7 @@
                         if !ended && digits.len() < DIGITS_MOST {
                             digits.push_str(digit);
                         }
-                        if ended || digits.len() >= self.config.digits {
+                        if ended || digits.len() >= self.config.number_length {
                             let number = std::mem::take(digits);
                             self.dialled(now, p, number);
                         }
@@ -510,7 +510,7 @@
             self.ports[p].role = Role::Tone;
             return self.request(now, p, Params::default().with("R", "L/hu(N)").with("S", "L/ro"));
         };
-        let until = now + self.config.patience;
+        let until = now + self.config.client_timeout;
         self.begin(now, p, Role::Preparing { to, number, until });
         let params = Params::default().with("M", "recvonly").with("R", "L/hu(N)");
         let id = self.ports[p].use_id;
--- a/tests/call_agent.rs
+++ b/tests/call_agent.rs
@@ -226,9 +226,9 @@
         let config = AgentConfig {
             gateways: vec![cab],
             routes: Vec::new(),
-            digits: 2,
+            number_length: 2,
             class: 0,
-            patience: 3_000 * MS,
+            client_timeout: 3_000 * MS,
         };
         let mut agent = Agent::new(FrontendId(1), config, 5);
         let office = agent.list_entries()[0].exchange_id;
