--- a/src/protocol/mgcp/agent.rs
+++ b/src/protocol/mgcp/agent.rs
@@ -8,7 +8,7 @@
 
 use super::super::upstream::lease::LEASE;
 use super::codes;
-use super::message::{self, events, Command, Endpoint, Packet, Params, Response, Verb};
+use super::message::{self, events, Command, Endpoint, Message, Params, Response, Verb};
 use super::transactions::{command, Commands, History, Repeat};
 use crate::routing::interface::{
     AttemptNumber, CallId, Cause, Ending, ExchangeId, ExchangeNumber, ListEntry, ListState, LoadReport,
@@ -319,8 +319,8 @@
         }
         for packet in message::parse(body) {
             match packet {
-                Ok(Packet::Command(c)) => self.command(now, from, &c),
-                Ok(Packet::Response(r)) => self.response(now, from, r),
+                Ok(Message::Command(c)) => self.command(now, from, &c),
+                Ok(Message::Response(r)) => self.response(now, from, r),
                 Err(u) => {
                     self.counts.unusable += 1;
                     if let Some(id) = u.transaction {
@@ -403,7 +403,7 @@
                 self.idle(now, first);
                 250
             }
-            Verb::Rqnt | Verb::Crcx | Verb::Mdcx | Verb::Auep => message::unusable::VERB,
+            Verb::Rqnt | Verb::Crcx | Verb::Mdcx | Verb::Auep => message::parse_error::VERB,
         }
     }
 
--- a/src/protocol/mgcp/message.rs
+++ b/src/protocol/mgcp/message.rs
@@ -3,9 +3,9 @@
 use std::fmt::Write;
 
 /// The longest datagram that is taken or sent.
-pub const LONGEST: usize = 16 * 1024;
+pub const MAX_DATAGRAM_BYTES: usize = 16 * 1024;
 /// Transaction identifiers are numbers from 1 to this.
-pub const LAST_TRANSACTION: u32 = 999_999_999;
+pub const MAX_TRANSACTION_ID: u32 = 999_999_999;
 
 /// The verbs that this program sends or takes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -115,7 +115,7 @@
 
 /// One message of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Packet {
+pub enum Message {
     /// A command.
     Command(Command),
     /// A response.
@@ -125,7 +125,7 @@
 /// A message that can't be used. With a transaction it is answered by the code; without one it is passed over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("code {code} for transaction {transaction:?}")]
-pub struct Unusable {
+pub struct InvalidMessage {
     /// The transaction, where it could be read and is a command's.
     pub transaction: Option<u32>,
     /// The return code that says why.
@@ -133,7 +133,7 @@
 }
 
 /// Return codes for messages that can't be used.
-pub mod unusable {
+pub mod parse_error {
     /// A protocol error.
     pub const SYNTAX: u16 = 510;
     /// The verb is not known, or not for a call agent.
@@ -176,11 +176,11 @@
 }
 
 /// Reads a datagram: one message, or several parted by lines with a single dot.
-pub fn parse(datagram: &[u8]) -> Vec<Result<Packet, Unusable>> {
+pub fn parse(datagram: &[u8]) -> Vec<Result<Message, InvalidMessage>> {
     let Ok(text) = std::str::from_utf8(datagram) else {
         let head = datagram.split(|&b| b == b'\n').next().unwrap_or_default();
         let transaction = command_transaction(&String::from_utf8_lossy(head));
-        return vec![Err(Unusable { transaction, code: unusable::SYNTAX })];
+        return vec![Err(InvalidMessage { transaction, code: parse_error::SYNTAX })];
     };
     let mut out = Vec::new();
     let mut begin = 0;
@@ -198,7 +198,7 @@
 
 fn number(text: &str) -> Option<u32> {
     let digits = text.bytes().all(|b| b.is_ascii_digit()) && (1..=9).contains(&text.len());
-    digits.then(|| text.parse().ok()).flatten().filter(|n| (1..=LAST_TRANSACTION).contains(n))
+    digits.then(|| text.parse().ok()).flatten().filter(|n| (1..=MAX_TRANSACTION_ID).contains(n))
 }
 
 /// The transaction of what may be meant as a command.
@@ -211,17 +211,17 @@
     number(words.next()?).filter(|_| letters)
 }
 
-fn message(text: &str) -> Result<Packet, Unusable> {
+fn message(text: &str) -> Result<Message, InvalidMessage> {
     let (head, body) = text.split_once('\n').unwrap_or((text, ""));
     let transaction = command_transaction(head);
-    let unusable = |code| Unusable { transaction, code };
-    let syntax = unusable(unusable::SYNTAX);
+    let unusable = |code| InvalidMessage { transaction, code };
+    let syntax = unusable(parse_error::SYNTAX);
     let mut words = head.split_whitespace();
     let (Some(first), Some(id)) = (words.next(), words.next()) else { return Err(syntax) };
     if first.len() == 3 && first.bytes().all(|b| b.is_ascii_digit()) {
         let (params, sdp) = lines(body).ok_or(syntax)?;
         let (Ok(code), Some(transaction)) = (first.parse(), number(id)) else { return Err(syntax) };
-        return Ok(Packet::Response(Response { code, transaction, params, sdp }));
+        return Ok(Message::Response(Response { code, transaction, params, sdp }));
     }
     if transaction.is_none() {
         return Err(syntax);
@@ -230,7 +230,7 @@
     let verb = match verb {
         Some(verb) => verb,
         // Any four letters may be the verb of an extension.
-        None if first.len() == 4 => return Err(unusable(unusable::VERB)),
+        None if first.len() == 4 => return Err(unusable(parse_error::VERB)),
         None => return Err(syntax),
     };
     let (Some(endpoint), Some(protocol), Some(version)) = (words.next(), words.next(), words.next()) else {
@@ -241,11 +241,11 @@
         return Err(syntax);
     }
     if version != "1.0" {
-        return Err(unusable(unusable::VERSION));
+        return Err(unusable(parse_error::VERSION));
     }
     let (params, sdp) = lines(body).ok_or(syntax)?;
     let transaction = transaction.unwrap_or_default();
-    Ok(Packet::Command(Command { verb, transaction, endpoint, params, sdp }))
+    Ok(Message::Command(Command { verb, transaction, endpoint, params, sdp }))
 }
 
 /// The parameter lines and, after an empty line, the description as it is.
@@ -300,7 +300,7 @@
         let sdp = "v=0\r\nc=IN IP4 127.0.0.9\r\nm=audio 31000 RTP/AVP 0\r\n";
         let text = format!("CRCX 1204 lamp/1@cab-1 MGCP 1.0\r\nC: a1\r\nM: recvonly\r\n\r\n{sdp}");
         let read = parse(text.as_bytes());
-        let [Ok(Packet::Command(c))] = &read[..] else { panic!("{read:?}") };
+        let [Ok(Message::Command(c))] = &read[..] else { panic!("{read:?}") };
         assert_eq!((c.verb, c.transaction, c.params.get("M")), (Verb::Crcx, 1204, Some("recvonly")));
         assert_eq!(c.sdp.as_deref(), Some(sdp));
         assert_eq!(c.text(), text);
@@ -310,7 +310,7 @@
     fn several_messages_come_in_one_datagram() {
         let text = "200 7 OK\nI: fde2\n\nv=0\n.\nntfy 8 Lamp/2@CAB-1 mgcp 1.0\nO: L/hd\n";
         let read = parse(text.as_bytes());
-        let [Ok(Packet::Response(r)), Ok(Packet::Command(c))] = &read[..] else { panic!("{read:?}") };
+        let [Ok(Message::Response(r)), Ok(Message::Command(c))] = &read[..] else { panic!("{read:?}") };
         assert_eq!((r.code, r.sdp.as_deref(), r.params.get("I")), (200, Some("v=0\n"), Some("fde2")));
         assert_eq!((c.verb, c.endpoint.to_string().as_str()), (Verb::Ntfy, "lamp/2@cab-1"));
     }
@@ -329,7 +329,10 @@
         assert_eq!(code("200 x OK\r\n"), (None, 510));
         assert_eq!(code("2000 5 OK\r\n"), (None, 510));
         assert_eq!(code(""), (None, 510));
-        assert_eq!(parse(b"NTFY 5 \xff@b MGCP 1.0\r\n"), [Err(Unusable { transaction: Some(5), code: 510 })]);
+        assert_eq!(
+            parse(b"NTFY 5 \xff@b MGCP 1.0\r\n"),
+            [Err(InvalidMessage { transaction: Some(5), code: 510 })]
+        );
     }
 
     #[test]
--- a/src/protocol/mgcp/transactions.rs
+++ b/src/protocol/mgcp/transactions.rs
@@ -1,7 +1,7 @@
 //! Transactions in both directions: commands that are repeated until they are answered, and answers that are
 //! kept so that a repeated command is answered again and never run twice.
 
-use super::message::{Command, Params, Response, Verb, LAST_TRANSACTION};
+use super::message::{Command, Params, Response, Verb, MAX_TRANSACTION_ID};
 use crate::routing::interface::Micros;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
 /// First wait before a command is repeated (µs); it doubles.
 pub const FIRST_WAIT: Micros = 200_000;
 /// Times that a command is sent in all.
-pub const SENDS: u32 = 6;
+pub const MAX_TRANSMISSIONS: u32 = 6;
 /// A command that was answered provisionally is waited for this long for its final answer (µs).
 pub const LONG_WAIT: Micros = 5_000_000;
 /// How long an answer is kept (T-HIST; µs).
@@ -57,7 +57,7 @@
     /// None yet; the first transaction is drawn from the seed, so that a restart does not use the numbers of
     /// the life before.
     pub fn new(seed: u64) -> Self {
-        let next = (seed % u64::from(LAST_TRANSACTION)) as u32 + 1;
+        let next = (seed % u64::from(MAX_TRANSACTION_ID)) as u32 + 1;
         Commands { next, sent: BTreeMap::new(), unacknowledged: BTreeMap::new(), repeats: 0 }
     }
 
@@ -85,7 +85,7 @@
     }
 
     fn step(&mut self) {
-        self.next = if self.next >= LAST_TRANSACTION { 1 } else { self.next + 1 };
+        self.next = if self.next >= MAX_TRANSACTION_ID { 1 } else { self.next + 1 };
     }
 
     /// The deadline of a transaction has come.
@@ -93,7 +93,7 @@
         let Some(sent) = self.sent.get_mut(&transaction).filter(|s| s.due <= now) else {
             return Repeat::Nothing;
         };
-        if sent.sends >= SENDS || sent.provisional {
+        if sent.sends >= MAX_TRANSMISSIONS || sent.provisional {
             return self.sent.remove(&transaction).map_or(Repeat::Nothing, |s| Repeat::GaveUp(s.key));
         }
         sent.sends += 1;
@@ -268,7 +268,7 @@
                 }
             }
         }
-        assert_eq!(waits, (0..SENDS).map(|n| FIRST_WAIT << n).collect::<Vec<_>>());
+        assert_eq!(waits, (0..MAX_TRANSMISSIONS).map(|n| FIRST_WAIT << n).collect::<Vec<_>>());
         assert_eq!(commands.waiting(), 0);
     }
 
--- a/tests/call_agent.rs
+++ b/tests/call_agent.rs
@@ -5,8 +5,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use walnuthatch::protocol::mgcp::agent::{Agent, AgentConfig, AgentOutput, AgentTimer, AnsweredBy, Gateway};
-use walnuthatch::protocol::mgcp::message::{parse, Packet, Verb};
-use walnuthatch::protocol::mgcp::transactions::SENDS;
+use walnuthatch::protocol::mgcp::message::{parse, Message, Verb};
+use walnuthatch::protocol::mgcp::transactions::MAX_TRANSMISSIONS;
 use walnuthatch::routing::interface::*;
 use walnuthatch::routing::ledger::{Answer, FrontendId, SessionDescription};
 use walnuthatch::routing::timer_queue::TimerQueue;
@@ -91,7 +91,7 @@
                 assert_eq!(to, self.gateway);
                 for packet in parse(&bytes) {
                     match packet.expect("the agent writes what can be read") {
-                        Packet::Command(c) => {
+                        Message::Command(c) => {
                             let call = c.params.get("C").unwrap_or("").to_owned();
                             if c.verb == Verb::Dlcx {
                                 self.deleted.insert(call);
@@ -100,13 +100,13 @@
                             }
                             let seen = self.got.entry(c.transaction).or_insert((c.verb, 0));
                             seen.1 += 1;
-                            assert!(seen.1 <= SENDS && seen.0 == c.verb);
+                            assert!(seen.1 <= MAX_TRANSMISSIONS && seen.0 == c.verb);
                         }
-                        Packet::Response(r) if r.code > 0 => {
+                        Message::Response(r) if r.code > 0 => {
                             let first = self.responses.entry(r.transaction).or_insert_with(|| bytes.clone());
                             assert_eq!(*first, bytes, "a repeat gets the same response");
                         }
-                        Packet::Response(_) => {}
+                        Message::Response(_) => {}
                     }
                 }
             }
