--- a/src/program/switchboard.rs
+++ b/src/program/switchboard.rs
@@ -20,7 +20,7 @@
 use crate::routing::timer_queue::TimerQueue;
 use crate::transport::outbox::Outbox;
 use crate::transport::saver::Saving;
-use crate::transport::{ConnNews, Inbound, Side};
+use crate::transport::{ConnEvent, Inbound, Side};
 use serde_json::Value;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -320,21 +320,21 @@
 
     // ---- News ----
 
-    fn conn(&mut self, now: Micros, side: Side, conn: ConnId, news: ConnNews) {
+    fn conn(&mut self, now: Micros, side: Side, conn: ConnId, news: ConnEvent) {
         match (side, news) {
-            (Side::Callers, ConnNews::Accepted(outbox)) => self.accepted(now, conn, outbox),
-            (Side::Exchanges, ConnNews::Connected) => {
+            (Side::Callers, ConnEvent::Accepted(outbox)) => self.accepted(now, conn, outbox),
+            (Side::Exchanges, ConnEvent::Connected) => {
                 tracing::debug!(target: CONNECTIONS, conn = conn.0, "up");
                 self.links.connected(now, conn);
             }
-            (_, ConnNews::Message(message)) => {
+            (_, ConnEvent::Message(message)) => {
                 self.counts.messages_in += 1;
                 match side {
                     Side::Callers => self.caller(now, conn, message),
                     Side::Exchanges => self.links.message(now, conn, message),
                 }
             }
-            (side, ConnNews::Bad(why)) => {
+            (side, ConnEvent::InvalidLine(why)) => {
                 tracing::debug!(target: CONNECTIONS, ?side, conn = conn.0, "unreadable: {why}");
                 self.counts.malformed += 1;
                 match side {
@@ -342,14 +342,14 @@
                     Side::Exchanges => self.links.spoilt(now, conn),
                 }
             }
-            (side, ConnNews::ReadingStopped) => {
+            (side, ConnEvent::ReadingStopped) => {
                 if side == Side::Callers {
                     self.callers.reading_stopped(conn);
                 }
             }
-            (Side::Exchanges, ConnNews::Half(half)) => self.links.half(now, conn, half),
-            (Side::Callers, ConnNews::Half(half)) => self.callers.half(now, conn, half),
-            (side, ConnNews::Closed(how)) => {
+            (Side::Exchanges, ConnEvent::PartialLine(half)) => self.links.half(now, conn, half),
+            (Side::Callers, ConnEvent::PartialLine(half)) => self.callers.half(now, conn, half),
+            (side, ConnEvent::Closed(how)) => {
                 tracing::debug!(target: CONNECTIONS, ?side, conn = conn.0, "closed: {how:?}");
                 // The one place where an outbox is given back.
                 self.outboxes.remove(&(side, conn));
@@ -361,7 +361,7 @@
                     Side::Exchanges => self.links.closed(now, conn, how),
                 }
             }
-            (Side::Callers, ConnNews::Connected) | (Side::Exchanges, ConnNews::Accepted(_)) => {}
+            (Side::Callers, ConnEvent::Connected) | (Side::Exchanges, ConnEvent::Accepted(_)) => {}
         }
     }
 
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -31,7 +31,7 @@
 
 /// What a connection has to tell.
 #[derive(Debug)]
-pub enum ConnNews {
+pub enum ConnEvent {
     /// A caller connected.
     Accepted(Outbox),
     /// The connection that was asked for is up.
@@ -39,11 +39,11 @@
     /// A message came.
     Message(Message),
     /// A line came that is no message, and nothing more is read: what follows it can't be trusted.
-    Bad(LineError),
+    InvalidLine(LineError),
     /// Nothing more is read, as was asked for; all that was read has been told.
     ReadingStopped,
     /// A message has begun and not ended (`true`), or what had begun is whole.
-    Half(bool),
+    PartialLine(bool),
     /// It is no more.
     Closed(Closing),
 }
@@ -67,7 +67,7 @@
 #[derive(Debug)]
 pub enum Inbound {
     /// News of a connection.
-    Conn(Side, ConnId, ConnNews),
+    Conn(Side, ConnId, ConnEvent),
     /// An event of the coordinator.
     List(ServerEvent),
     /// The coordinator's stream came up, or was lost for this reason.
--- a/src/transport/streams.rs
+++ b/src/transport/streams.rs
@@ -1,7 +1,7 @@
 //! TCP: the listener for callers and the task of each connection.
 
 use super::outbox::Outbox;
-use super::{ConnNews, Inbound, Side};
+use super::{ConnEvent, Inbound, Side};
 use crate::fault_injection::{fault_injected, InjectedFault};
 use crate::protocol::json_lines::{LineSplitter, Message};
 use crate::protocol::upstream::Closing;
@@ -96,7 +96,7 @@
         let (conn, outbox) = (ConnId(self.next), Outbox::default());
         self.next += 1;
         prepare(&stream);
-        let accepted = ConnNews::Accepted(outbox.clone());
+        let accepted = ConnEvent::Accepted(outbox.clone());
         self.inbox.send(Inbound::Conn(Side::Callers, conn, accepted)).await?;
         let served = serve(stream, Side::Callers, conn, outbox, self.inbox.clone());
         let until_its_end = async move {
@@ -119,7 +119,7 @@
     let closing = match future::or(connect, cut).await {
         Some(Ok(stream)) => {
             prepare(&stream);
-            if inbox.send(news(ConnNews::Connected)).await.is_ok() {
+            if inbox.send(news(ConnEvent::Connected)).await.is_ok() {
                 serve(stream, Side::Exchanges, conn, outbox, inbox).await;
             }
             return;
@@ -129,7 +129,7 @@
         None => Closing::Ours,
     };
     // The program ends when its queue is gone; nobody is left to hear of this connection then.
-    drop(inbox.send(news(ConnNews::Closed(closing))).await);
+    drop(inbox.send(news(ConnEvent::Closed(closing))).await);
 }
 
 fn prepare(stream: &Async<TcpStream>) {
@@ -159,7 +159,7 @@
         std::mem::forget(stream.get_ref().try_clone());
     }
     drop(stream);
-    drop(inbox.send(Inbound::Conn(side, conn, ConnNews::Closed(closing))).await);
+    drop(inbox.send(Inbound::Conn(side, conn, ConnEvent::Closed(closing))).await);
 }
 
 /// Ends a connection whose caller may still be sending. Guards the answers on their way to it: a close with bytes
@@ -213,24 +213,24 @@
             Some(Ok(0)) => return Closing::Ended,
             Some(Ok(n)) => n,
             Some(Err(_)) => return Closing::Broken,
-            None if inbox.send(Inbound::Conn(side, conn, ConnNews::ReadingStopped)).await.is_err() => {
+            None if inbox.send(Inbound::Conn(side, conn, ConnEvent::ReadingStopped)).await.is_err() => {
                 return Closing::Ours;
             }
             None => return future::pending().await,
         };
         let (mut news, mut bad) = (Vec::new(), None);
         lines.push(&buffer[..n], |line| match line.and_then(Message::parse) {
-            Ok(message) if bad.is_none() => news.push(ConnNews::Message(message)),
+            Ok(message) if bad.is_none() => news.push(ConnEvent::Message(message)),
             Ok(_) => {}
             Err(e) => drop(bad.get_or_insert(e)),
         });
         // A half line is told when it begins, so that its time counts from then however slowly the rest comes.
         let was = std::mem::replace(&mut half, lines.half());
         if half != was || (half && !news.is_empty()) {
-            news.push(ConnNews::Half(half));
+            news.push(ConnEvent::PartialLine(half));
         }
         spent.set(bad.is_some());
-        for n in news.into_iter().chain(bad.map(ConnNews::Bad)) {
+        for n in news.into_iter().chain(bad.map(ConnEvent::InvalidLine)) {
             if inbox.send(Inbound::Conn(side, conn, n)).await.is_err() {
                 return Closing::Ours;
             }
