--- a/src/program/appliance.rs
+++ b/src/program/appliance.rs
@@ -11,7 +11,7 @@
 use super::views::{Loads, Scene, CALLS};
 use crate::routing::interface::{Cause, Ending, ExchangeNumber, Micros, OutOfService};
 use crate::routing::ledger::{Answer, LastAttempt, Ledger, Output as LedgerOutput};
-use crate::transport::ControlNews;
+use crate::transport::ControlEvent;
 use async_channel::Sender;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::rc::Rc;
@@ -245,25 +245,25 @@
     }
 
     /// Takes news of the control socket or of the state folder.
-    pub fn take(&mut self, now: Now, news: ControlNews, scene: &Scene<'_>) {
+    pub fn take(&mut self, now: Now, news: ControlEvent, scene: &Scene<'_>) {
         match news {
-            ControlNews::Opened(client, queue) => {
+            ControlEvent::Connected(client, queue) => {
                 self.queues.insert(client, queue);
                 self.sessions.opened(now.steady, client);
             }
-            ControlNews::Bytes(client, bytes) => {
+            ControlEvent::Received(client, bytes) => {
                 for asked in self.sessions.receive(now.steady, client, &bytes) {
                     self.request(now, asked, scene);
                 }
             }
-            ControlNews::Wrote(client) => self.feed(client),
-            ControlNews::Closed(client) => {
+            ControlEvent::Written(client) => self.feed(client),
+            ControlEvent::Disconnected(client) => {
                 // The one place where a connection is given back. Orders that came on it go on.
                 self.queues.remove(&client);
                 self.sessions.closed(client);
                 self.waiters.retain(|_, w| w.0 != client);
             }
-            ControlNews::Saved(n, how) => {
+            ControlEvent::StateSaved(n, how) => {
                 self.book.save_finished(now, n, how);
                 self.follow_book(now);
             }
--- a/src/transport/control.rs
+++ b/src/transport/control.rs
@@ -4,7 +4,7 @@
 //! Each program that connects has two tasks, and what it sends is taken in at a bounded pace, so that one that talks
 //! without end keeps no call waiting.
 
-use super::{ControlNews, Inbound};
+use super::{ControlEvent, Inbound};
 use async_channel::{bounded, Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
@@ -126,14 +126,14 @@
         next += 1;
         // One message at a time: the next is made when this one has left.
         let (frames, queue) = bounded(1);
-        if inbox.send(Inbound::Control(ControlNews::Opened(client, frames))).await.is_err() {
+        if inbox.send(Inbound::Control(ControlEvent::Connected(client, frames))).await.is_err() {
             return;
         }
         let inbox = inbox.clone();
         let serve = async move {
             future::or(read(&stream, client, &inbox), write(&stream, client, &queue, &inbox)).await;
             drop(place);
-            let _ = inbox.send(Inbound::Control(ControlNews::Closed(client))).await;
+            let _ = inbox.send(Inbound::Control(ControlEvent::Disconnected(client))).await;
         };
         executor.spawn(serve).detach();
     }
@@ -145,7 +145,7 @@
         match stream.read(&mut chunk).await {
             Ok(0) | Err(_) => return,
             Ok(n) => {
-                let news = ControlNews::Bytes(client, chunk[..n].to_vec());
+                let news = ControlEvent::Received(client, chunk[..n].to_vec());
                 if inbox.send(Inbound::Control(news)).await.is_err() {
                     return;
                 }
@@ -176,7 +176,7 @@
         if !future::or(sent, late).await {
             return;
         }
-        if inbox.send(Inbound::Control(ControlNews::Wrote(client))).await.is_err() {
+        if inbox.send(Inbound::Control(ControlEvent::Written(client))).await.is_err() {
             return;
         }
     }
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -50,17 +50,17 @@
 
 /// What operators' programs and the state folder have to tell.
 #[derive(Debug)]
-pub enum ControlNews {
+pub enum ControlEvent {
     /// A program connected; what it is to read goes into this queue, one piece at a time.
-    Opened(ClientId, async_channel::Sender<Vec<u8>>),
+    Connected(ClientId, async_channel::Sender<Vec<u8>>),
     /// It sent this.
-    Bytes(ClientId, Vec<u8>),
+    Received(ClientId, Vec<u8>),
     /// It was written what was in its queue.
-    Wrote(ClientId),
+    Written(ClientId),
     /// Its connection is no more.
-    Closed(ClientId),
+    Disconnected(ClientId),
     /// The state of this number was saved, or not for this reason.
-    Saved(u64, Result<(), String>),
+    StateSaved(u64, Result<(), String>),
 }
 
 /// What reaches the task that owns routing.
@@ -94,7 +94,7 @@
         body: Vec<u8>,
     },
     /// News of the control socket or the state folder.
-    Control(ControlNews),
+    Control(ControlEvent),
     /// A line from the console.
     Command(String),
     /// The counters are asked for.
--- a/src/transport/saver.rs
+++ b/src/transport/saver.rs
@@ -1,7 +1,7 @@
 //! The thread that writes the state folder. The task that owns routing hands it whole states and never waits; a newer
 //! one takes the place of one that has not begun to be written.
 
-use super::{ControlNews, Inbound};
+use super::{ControlEvent, Inbound};
 use async_channel::{bounded, Receiver, Sender};
 use walnuthatch_drains::folder::Folder;
 use walnuthatch_drains::saved::Saved;
@@ -29,7 +29,7 @@
 /// Passes on what became of savings.
 pub async fn pass_on(told: Receiver<Outcome>, inbox: Sender<Inbound>) {
     while let Ok((n, how)) = told.recv().await {
-        if inbox.send(Inbound::Control(ControlNews::Saved(n, how))).await.is_err() {
+        if inbox.send(Inbound::Control(ControlEvent::StateSaved(n, how))).await.is_err() {
             return;
         }
     }
