--- a/src/program/switchboard.rs
+++ b/src/program/switchboard.rs
@@ -180,25 +180,25 @@
     pub fn take(&mut self, now: Micros, news: Inbound) {
         match news {
             Inbound::Conn(side, conn, news) => self.conn(now, side, conn, news),
-            Inbound::List(event) => self.list(now, &event.data, false),
-            Inbound::Stream(Ok(())) => tracing::debug!("coordinator: stream up"),
-            Inbound::Stream(Err(why)) => {
+            Inbound::CoordinatorEvent(event) => self.list(now, &event.data, false),
+            Inbound::CoordinatorStream(Ok(())) => tracing::debug!("coordinator: stream up"),
+            Inbound::CoordinatorStream(Err(why)) => {
                 self.counts.stream_losses += 1;
                 tracing::info!("coordinator: {why}");
             }
-            Inbound::Peer { from, body } => {
+            Inbound::PeerDatagram { from, body } => {
                 if let Some(at) = self.config.peers.iter().position(|p| *p == from) {
                     self.counts.peers_in += 1;
                     self.ledger.peer_message(now, PeerNumber(at as u32), body);
                 }
             }
-            Inbound::Gateway { from, body } => {
+            Inbound::GatewayDatagram { from, body } => {
                 self.counts.gateways_in += 1;
                 if let Some(agent) = &mut self.agent {
                     agent.datagram(now, from, &body);
                 }
             }
-            Inbound::Command(line) => {
+            Inbound::ConsoleLine(line) => {
                 let (text, act) = console::run(&self.scene(now), &line);
                 self.tasks.push(Task::Print(text));
                 match act {
@@ -207,10 +207,10 @@
                     None => {}
                 }
             }
-            Inbound::Report => {
+            Inbound::LogCounters => {
                 tracing::info!("{}", counters::line(&self.counters()));
             }
-            Inbound::Gossip { from, body } => {
+            Inbound::GossipDatagram { from, body } => {
                 if let Some(g) = &mut self.gossip {
                     g.datagram(now, from, &body);
                 }
@@ -219,7 +219,7 @@
                 self.with_appliance(now, |a, clocks, scene| a.take(clocks, news, scene));
             }
             Inbound::Stop => self.stop(now),
-            Inbound::NotListening => {
+            Inbound::ListenerClosed => {
                 if let Some(stop) = &mut self.stopping {
                     stop.listener = ListenerState::Closed;
                 }
--- a/src/transport/coordinator.rs
+++ b/src/transport/coordinator.rs
@@ -78,7 +78,7 @@
                 continue;
             }
             e => {
-                if inbox.send(Inbound::Stream(Err(e.to_string()))).await.is_err() {
+                if inbox.send(Inbound::CoordinatorStream(Err(e.to_string()))).await.is_err() {
                     return;
                 }
             }
@@ -190,7 +190,7 @@
 
 async fn read(address: SocketAddr, last: &mut u64, inbox: &Sender<Inbound>) -> Result<(), Lost> {
     let Opened { mut stream, chunked, body } = open_with_spare(address, *last, MOST_ASKED).await?;
-    inbox.send(Inbound::Stream(Ok(()))).await.map_err(|_| Lost::Over)?;
+    inbox.send(Inbound::CoordinatorStream(Ok(()))).await.map_err(|_| Lost::Over)?;
     let mut buffer = vec![0; CHUNK];
     let (mut chunks, mut reader) = (Dechunker::default(), EventReader::default());
     let mut bytes = body;
@@ -208,7 +208,7 @@
             if id.is_some_and(|id| id <= *last) {
                 continue;
             }
-            inbox.send(Inbound::List(event)).await.map_err(|_| Lost::Over)?;
+            inbox.send(Inbound::CoordinatorEvent(event)).await.map_err(|_| Lost::Over)?;
             *last = id.unwrap_or(*last);
         }
         if over {
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -69,25 +69,25 @@
     /// News of a connection.
     Conn(Side, ConnId, ConnEvent),
     /// An event of the coordinator.
-    List(ServerEvent),
+    CoordinatorEvent(ServerEvent),
     /// The coordinator's stream came up, or was lost for this reason.
-    Stream(Result<(), String>),
+    CoordinatorStream(Result<(), String>),
     /// A peer's datagram.
-    Peer {
+    PeerDatagram {
         /// Its address.
         from: SocketAddr,
         /// Its content.
         body: Vec<u8>,
     },
     /// A gateway's datagram.
-    Gateway {
+    GatewayDatagram {
         /// Its address.
         from: SocketAddr,
         /// Its content.
         body: Vec<u8>,
     },
     /// A datagram of an instance that gossips.
-    Gossip {
+    GossipDatagram {
         /// Its address.
         from: SocketAddr,
         /// Its content.
@@ -96,13 +96,13 @@
     /// News of the control socket or the state folder.
     Control(ControlEvent),
     /// A line from the console.
-    Command(String),
+    ConsoleLine(String),
     /// The counters are asked for.
-    Report,
+    LogCounters,
     /// The configuration is to be read anew.
     Reload,
     /// The program is asked to stop.
     Stop,
     /// No caller's connection comes up any more; all that did have been told.
-    NotListening,
+    ListenerClosed,
 }
--- a/src/transport/signals.rs
+++ b/src/transport/signals.rs
@@ -17,7 +17,7 @@
 pub async fn watch(mut signals: Signals, inbox: Sender<Inbound>) {
     while let Some(signal) = signals.next().await {
         let news = match signal {
-            Ok(Signal::Usr1) => Inbound::Report,
+            Ok(Signal::Usr1) => Inbound::LogCounters,
             Ok(Signal::Hup) => Inbound::Reload,
             _ => Inbound::Stop,
         };
--- a/src/transport/streams.rs
+++ b/src/transport/streams.rs
@@ -77,7 +77,7 @@
         acceptor.accept(stream, places.try_acquire_arc()).await?;
     }
     drop(listener);
-    acceptor.inbox.send(Inbound::NotListening).await
+    acceptor.inbox.send(Inbound::ListenerClosed).await
 }
 
 /// Numbers callers' connections and starts their tasks.
