--- a/src/transport/coordinator.rs
+++ b/src/transport/coordinator.rs
@@ -43,16 +43,16 @@
     #[error("it ended")]
     Ended,
     #[error("something else is wished for")]
-    Wish(Wish),
+    Command(StreamCommand),
     #[error("the program ends")]
     Over,
 }
 
 /// What may be wished of the task that follows the stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wish {
+pub enum StreamCommand {
     /// The whole list, from the first event on.
-    WholeList,
+    FetchList,
     /// The stream at this address; `None`: no stream.
     Follow(Option<SocketAddr>),
 }
@@ -62,15 +62,15 @@
 pub async fn follow(
     mut address: Option<SocketAddr>,
     mut last: u64,
-    wishes: Receiver<Wish>,
+    wishes: Receiver<StreamCommand>,
     inbox: Sender<Inbound>,
 ) {
     loop {
         let began = Instant::now();
         match once(address, &mut last, &wishes, &inbox).await {
             Lost::Over => return,
-            Lost::Wish(Wish::WholeList) => last = 0,
-            Lost::Wish(Wish::Follow(other)) => {
+            Lost::Command(StreamCommand::FetchList) => last = 0,
+            Lost::Command(StreamCommand::Follow(other)) => {
                 address = other;
                 if fault_injected(InjectedFault::NewsMissedAfterReload) {
                     last = u64::MAX / 2;
@@ -100,12 +100,12 @@
 async fn once(
     address: Option<SocketAddr>,
     last: &mut u64,
-    wishes: &Receiver<Wish>,
+    wishes: &Receiver<StreamCommand>,
     inbox: &Sender<Inbound>,
 ) -> Lost {
     let wished = async {
         match wishes.recv().await {
-            Ok(wish) => Lost::Wish(wish),
+            Ok(wish) => Lost::Command(wish),
             // Nobody can ask any more.
             Err(_) => future::pending().await,
         }
