--- a/src/program/switchboard.rs
+++ b/src/program/switchboard.rs
@@ -527,20 +527,20 @@
             }
             UpstreamOutput::TakeBack { conn, call, message } => {
                 let outbox = self.outboxes.get(&(Side::Exchanges, conn));
-                if !outbox.is_some_and(|o| o.take_back(call)) {
+                if !outbox.is_some_and(|o| o.remove_unsent(call)) {
                     self.send(Side::Exchanges, conn, None, &message);
                 }
             }
             UpstreamOutput::Unsend { conn, call, attempt } => {
                 let outbox = self.outboxes.get(&(Side::Exchanges, conn));
-                if outbox.is_some_and(|o| o.take_back(call)) {
+                if outbox.is_some_and(|o| o.remove_unsent(call)) {
                     self.links.unsent(call, attempt);
                 }
             }
             UpstreamOutput::HangUp(conn, why) => {
                 tracing::debug!(target: CONNECTIONS, conn = conn.0, "exchange's connection ended: {why}");
                 if let Some(outbox) = self.outboxes.get(&(Side::Exchanges, conn)) {
-                    outbox.cut();
+                    outbox.abort();
                 }
             }
             UpstreamOutput::Wake(at, due) => self.deadlines.add(at, Due::Link(due)),
@@ -574,7 +574,7 @@
             }
             ClientOutput::StopReading(conn) => drop(outbox(conn).map(Outbox::stop_reading)),
             ClientOutput::End(conn) => drop(outbox(conn).map(Outbox::close)),
-            ClientOutput::Cut(conn) => drop(outbox(conn).map(Outbox::cut)),
+            ClientOutput::Cut(conn) => drop(outbox(conn).map(Outbox::abort)),
             ClientOutput::Wake(at, due) => self.deadlines.add(at, Due::Caller(due)),
         }
     }
@@ -637,7 +637,7 @@
         if !outbox.push(set_up, message.line()) {
             // Guards this task and its memory against a peer that does not read.
             self.counts.overflows += 1;
-            outbox.cut();
+            outbox.abort();
         }
     }
 
--- a/src/transport/outbox.rs
+++ b/src/transport/outbox.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 
 /// Bytes that may wait for one connection. What a slow reader has not taken by then costs it the connection.
-pub const CAPACITY: usize = 512 * 1024;
+pub const CAPACITY_BYTES: usize = 512 * 1024;
 
 #[derive(Debug, Default)]
 struct Queue {
@@ -16,7 +16,7 @@
     /// Nothing more is taken; what waits still goes out.
     closed: bool,
     /// The connection is to end at once.
-    cut: bool,
+    aborted: bool,
     /// Nothing more is to be read from the connection.
     stop_reading: bool,
 }
@@ -33,7 +33,7 @@
     #[must_use]
     pub fn push(&self, set_up: Option<CallId>, line: Vec<u8>) -> bool {
         let mut q = self.queue.borrow_mut();
-        if q.closed || q.cut || q.bytes + line.len() > CAPACITY {
+        if q.closed || q.aborted || q.bytes + line.len() > CAPACITY_BYTES {
             return false;
         }
         q.bytes += line.len();
@@ -44,7 +44,7 @@
 
     /// Takes back the set-up of a call that has not begun to leave. Guards the drain limit and the rule of one
     /// attempt: what still waits behind a slow reader must not reach the exchange after it was given up.
-    pub fn take_back(&self, call: CallId) -> bool {
+    pub fn remove_unsent(&self, call: CallId) -> bool {
         let mut q = self.queue.borrow_mut();
         let Some(at) = q.lines.iter().position(|l| l.0 == Some(call)) else { return false };
         let line = q.lines.remove(at);
@@ -59,9 +59,9 @@
     }
 
     /// Ends the connection at once.
-    pub fn cut(&self) {
+    pub fn abort(&self) {
         let mut q = self.queue.borrow_mut();
-        q.cut = true;
+        q.aborted = true;
         q.lines.clear();
         q.bytes = 0;
         self.news.notify(usize::MAX);
@@ -74,17 +74,17 @@
     }
 
     /// Bytes that wait.
-    pub fn waiting(&self) -> usize {
+    pub fn queued_bytes(&self) -> usize {
         self.queue.borrow().bytes
     }
 
     /// Waits for lines and takes up to about `most` bytes of them; `None`: the connection is to end.
-    pub async fn take(&self, most: usize) -> Option<Vec<u8>> {
+    pub async fn next_batch(&self, most: usize) -> Option<Vec<u8>> {
         loop {
             let listener = self.news.listen();
             {
                 let mut q = self.queue.borrow_mut();
-                if q.cut {
+                if q.aborted {
                     return None;
                 }
                 let mut bytes = Vec::new();
@@ -105,12 +105,12 @@
     }
 
     /// Waits until the connection is to end at once.
-    pub async fn until_cut(&self) {
-        self.until(|q| q.cut).await;
+    pub async fn wait_for_abort(&self) {
+        self.until(|q| q.aborted).await;
     }
 
     /// Waits until nothing more is to be read from the connection.
-    pub async fn until_stop_reading(&self) {
+    pub async fn wait_for_stop_reading(&self) {
         self.until(|q| q.stop_reading).await;
     }
 
@@ -135,23 +135,23 @@
         let o = Outbox::default();
         assert!(o.push(Some(CallId(1)), b"one\n".to_vec()));
         assert!(o.push(Some(CallId(2)), b"two\n".to_vec()));
-        assert!(!o.push(None, vec![0; CAPACITY]));
-        assert!(o.take_back(CallId(1)));
-        assert_eq!(block_on(o.take(100)), Some(b"two\n".to_vec()));
-        assert!(!o.take_back(CallId(2)), "it has left");
-        assert_eq!(o.waiting(), 0);
+        assert!(!o.push(None, vec![0; CAPACITY_BYTES]));
+        assert!(o.remove_unsent(CallId(1)));
+        assert_eq!(block_on(o.next_batch(100)), Some(b"two\n".to_vec()));
+        assert!(!o.remove_unsent(CallId(2)), "it has left");
+        assert_eq!(o.queued_bytes(), 0);
         o.close();
         assert!(!o.push(None, vec![0]));
-        assert_eq!(block_on(o.take(100)), None);
+        assert_eq!(block_on(o.next_batch(100)), None);
     }
 
     #[test]
     fn a_cut_ends_the_wait_and_drops_what_waits() {
         let o = Outbox::default();
-        assert!(block_on(poll_once(o.until_cut())).is_none());
+        assert!(block_on(poll_once(o.wait_for_abort())).is_none());
         assert!(o.push(None, vec![1]));
-        o.cut();
-        assert_eq!(block_on(o.take(9)), None);
-        block_on(o.until_cut());
+        o.abort();
+        assert_eq!(block_on(o.next_batch(9)), None);
+        block_on(o.wait_for_abort());
     }
 }
--- a/src/transport/streams.rs
+++ b/src/transport/streams.rs
@@ -113,7 +113,7 @@
     let news = |n| Inbound::Conn(Side::Exchanges, conn, n);
     let connect = async { Some(Async::<TcpStream>::connect(address).await) };
     let cut = async {
-        outbox.until_cut().await;
+        outbox.wait_for_abort().await;
         None
     };
     let closing = match future::or(connect, cut).await {
@@ -146,14 +146,14 @@
     let spent = Cell::new(false);
     let closing = future::or(write(&stream, &outbox), async {
         future::or(read(&stream, side, conn, &inbox, &outbox, &spent), async {
-            outbox.until_cut().await;
+            outbox.wait_for_abort().await;
             Closing::Ours
         })
         .await
     })
     .await;
     if side == Side::Callers && closing == Closing::Ours {
-        future::or(outbox.until_cut(), see_off(&stream, spent.get())).await;
+        future::or(outbox.wait_for_abort(), see_off(&stream, spent.get())).await;
     }
     if fault_injected(InjectedFault::LeakedConnection) {
         std::mem::forget(stream.get_ref().try_clone());
@@ -182,7 +182,7 @@
 }
 
 async fn write(mut stream: &Async<TcpStream>, outbox: &Outbox) -> Closing {
-    while let Some(bytes) = outbox.take(CHUNK).await {
+    while let Some(bytes) = outbox.next_batch(CHUNK).await {
         if stream.write_all(&bytes).await.is_err() {
             return Closing::Broken;
         }
@@ -206,7 +206,7 @@
             if half {
                 future::pending::<()>().await;
             }
-            outbox.until_stop_reading().await;
+            outbox.wait_for_stop_reading().await;
             None
         };
         let n = match future::or(stopped, async { Some(stream.read(&mut buffer).await) }).await {
