--- a/src/program/switchboard.rs
+++ b/src/program/switchboard.rs
@@ -19,7 +19,7 @@
 use crate::routing::ledger::{AnswerReason, FrontendId, Ledger, LedgerTimer, Output};
 use crate::routing::timer_queue::TimerQueue;
 use crate::transport::outbox::Outbox;
-use crate::transport::saver::Saving;
+use crate::transport::saver::SaveRequest;
 use crate::transport::{ConnEvent, Inbound, Side};
 use serde_json::Value;
 use std::collections::HashMap;
@@ -85,7 +85,7 @@
     /// Print the answer to a command.
     Print(String),
     /// Write the state that survives.
-    Save(Saving),
+    Save(SaveRequest),
     /// Ask the coordinator anew.
     Refetch,
     /// Follow the coordinator at this address from now on.
--- a/src/transport/saver.rs
+++ b/src/transport/saver.rs
@@ -7,13 +7,13 @@
 use walnuthatch_drains::saved::Saved;
 
 /// A state with its number.
-pub type Saving = (u64, Box<Saved>);
+pub type SaveRequest = (u64, Box<Saved>);
 /// What became of the saving of that number.
-pub type Outcome = (u64, Result<(), String>);
+pub type SaveResult = (u64, Result<(), String>);
 
 /// Starts the thread: states go in, what became of them comes out.
-pub fn start(mut folder: Folder) -> (Sender<Saving>, Receiver<Outcome>) {
-    let (savings, queue) = bounded::<Saving>(1);
+pub fn start(mut folder: Folder) -> (Sender<SaveRequest>, Receiver<SaveResult>) {
+    let (savings, queue) = bounded::<SaveRequest>(1);
     let (outcomes, told) = bounded(1);
     std::thread::spawn(move || {
         while let Ok((n, saved)) = queue.recv_blocking() {
@@ -27,7 +27,7 @@
 }
 
 /// Passes on what became of savings.
-pub async fn pass_on(told: Receiver<Outcome>, inbox: Sender<Inbound>) {
+pub async fn forward_results(told: Receiver<SaveResult>, inbox: Sender<Inbound>) {
     while let Ok((n, how)) = told.recv().await {
         if inbox.send(Inbound::Control(ControlEvent::StateSaved(n, how))).await.is_err() {
             return;
