--- a/src/protocol/mgcp/agent.rs
+++ b/src/protocol/mgcp/agent.rs
@@ -8,8 +8,8 @@
 
 use super::super::upstream::lease::LEASE;
 use super::codes;
-use super::message::{self, events, Command, Endpoint, Message, Params, Response, Verb};
-use super::transactions::{command, Commands, History, Repeat};
+use super::message::{self, events, Command, EndpointName, Message, Params, Response, Verb};
+use super::transactions::{new_command, CommandTransactions, ResponseHistory, TimeoutAction};
 use crate::routing::interface::{
     AttemptNumber, CallId, Cause, Ending, ExchangeId, ExchangeNumber, ListEntry, ListState, LoadReport,
     Micros, NewCall,
@@ -106,17 +106,17 @@
 /// Counts since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct AgentCounts {
-    /// Commands in, repeats not counted.
+    /// CommandTransactions in, repeats not counted.
     pub commands_in: u64,
-    /// Commands out, repeats not counted.
+    /// CommandTransactions out, repeats not counted.
     pub commands_out: u64,
     /// Messages that could not be used.
     pub unusable: u64,
-    /// Commands about endpoints that are not known.
+    /// CommandTransactions about endpoints that are not known.
     pub unknown_endpoint: u64,
     /// Set-ups answered after they were given up; each was released.
     pub late_answers: u64,
-    /// Commands that got no answer.
+    /// CommandTransactions that got no answer.
     pub unanswered: u64,
     /// Calls cut since their gateway said nothing any more.
     pub lease_expired: u64,
@@ -177,7 +177,7 @@
 
 #[derive(Debug)]
 struct Port {
-    endpoint: Endpoint,
+    endpoint: EndpointName,
     gateway: usize,
     role: Role,
     /// The call identifier of the present use.
@@ -203,8 +203,8 @@
     turns: Vec<usize>,
     calls: BTreeMap<CallId, usize>,
     legs: BTreeMap<CallId, usize>,
-    commands: Commands<Purpose>,
-    history: History,
+    transactions: CommandTransactions<Purpose>,
+    history: ResponseHistory,
     next_use: u64,
     next_request: u32,
     out: Vec<AgentOutput>,
@@ -217,7 +217,7 @@
         let mut ports = Vec::new();
         for (gateway, g) in config.gateways.iter().enumerate() {
             for local in &g.endpoints {
-                let endpoint = Endpoint { local: local.clone(), domain: g.name.clone() };
+                let endpoint = EndpointName { local: local.clone(), domain: g.name.clone() };
                 let (role, use_id, request) = (Role::Idle, 0, 0);
                 ports.push(Port {
                     endpoint,
@@ -241,8 +241,8 @@
             turns: vec![0; n],
             calls: BTreeMap::new(),
             legs: BTreeMap::new(),
-            commands: Commands::new(seed),
-            history: History::default(),
+            transactions: CommandTransactions::new(seed),
+            history: ResponseHistory::default(),
             // Not the identifiers of the life before: a gateway may still hold those.
             next_use: seed.rotate_left(17) | 1,
             next_request: (seed >> 40) as u32,
@@ -286,7 +286,7 @@
 
     /// Repeats: commands sent again, and commands answered again.
     pub fn repeats(&self) -> (u64, u64) {
-        (self.commands.repeats, self.history.repeats)
+        (self.transactions.retransmissions, self.history.repeated_commands)
     }
 
     /// The gateways, for the console: name, state, free endpoints, endpoints.
@@ -347,11 +347,11 @@
     fn reply(&mut self, now: Micros, from: SocketAddr, id: u32, run: impl FnOnce(&mut Self) -> Response) {
         // The response goes before the commands that follow from it.
         let place = self.out.len();
-        let text = match self.history.answered(now, from, id) {
+        let text = match self.history.lookup(now, from, id) {
             Some(text) => text,
             None => {
-                let text = run(self).text();
-                self.history.keep(now, from, id, text.clone());
+                let text = run(self).encode();
+                self.history.insert(now, from, id, text.clone());
                 text
             }
         };
@@ -521,15 +521,15 @@
     // ---- Responses ----
 
     fn response(&mut self, now: Micros, from: SocketAddr, r: Response) {
-        let answered = self.commands.response(now, from, &r);
-        if let Some(at) = answered.wake {
+        let outcome = self.transactions.handle_response(now, from, &r);
+        if let Some(at) = outcome.deadline {
             self.out.push(AgentOutput::SetTimer(at, AgentTimer::Transaction(r.transaction)));
         }
-        if let Some(text) = answered.acknowledge {
+        if let Some(text) = outcome.acknowledgement {
             self.out.push(AgentOutput::Datagram(from, text.into_bytes()));
         }
         let good = (200..300).contains(&r.code);
-        match answered.key {
+        match outcome.purpose {
             Some(Purpose::Create(p, id)) => self.created(now, p, id, r),
             Some(Purpose::Join(p, id)) if !good && self.ports[p].use_id == id => {
                 // The caller can't be joined to its call: the call is over on both sides.
@@ -562,7 +562,7 @@
             if good {
                 // Guards against a connection that nobody owns: it was given up while its answer was on the way.
                 self.counts.late_answers += 1;
-                let mut c = command(Verb::Dlcx, self.ports[p].endpoint.clone());
+                let mut c = new_command(Verb::Dlcx, self.ports[p].endpoint.clone());
                 c.params = Params::default().with("C", use_name(id));
                 if let Some(i) = connection {
                     c.params = c.params.with("I", i);
@@ -621,13 +621,13 @@
     /// A deadline has come.
     pub fn timer_expired(&mut self, now: Micros, timer: AgentTimer) {
         match timer {
-            AgentTimer::Transaction(id) => match self.commands.due(now, id) {
-                Repeat::Nothing => {}
-                Repeat::Again(to, text, at) => {
+            AgentTimer::Transaction(id) => match self.transactions.timer_expired(now, id) {
+                TimeoutAction::Ignore => {}
+                TimeoutAction::Retransmit(to, text, at) => {
                     self.out.push(AgentOutput::Datagram(to, text.into_bytes()));
                     self.out.push(AgentOutput::SetTimer(at, timer));
                 }
-                Repeat::GaveUp(purpose) => self.unanswered(now, purpose),
+                TimeoutAction::GiveUp(purpose) => self.unanswered(now, purpose),
             },
             AgentTimer::CallerConnection(p, id) => {
                 if self.ports[p].use_id == id && matches!(self.ports[p].role, Role::Preparing { .. }) {
@@ -683,7 +683,7 @@
             (Answer::Established(text), _) => {
                 self.ports[p].role = Role::Talking(call);
                 self.watch_lease(now, p);
-                let mut c = command(Verb::Mdcx, self.ports[p].endpoint.clone());
+                let mut c = new_command(Verb::Mdcx, self.ports[p].endpoint.clone());
                 c.params = self.connection_params(p).with("M", "sendrecv");
                 c.sdp = text.as_ref().map(|t| t.0.to_string());
                 let purpose = Purpose::Join(p, self.ports[p].use_id);
@@ -765,7 +765,7 @@
     /// is still heard, and what it made is deleted.
     fn stop_creating(&mut self, now: Micros, p: usize) {
         let Some(transaction) = self.ports[p].creating.take() else { return };
-        if let Some(at) = self.commands.stop_repeating(now, transaction) {
+        if let Some(at) = self.transactions.stop_retransmitting(now, transaction) {
             self.out.push(AgentOutput::SetTimer(at, AgentTimer::Transaction(transaction)));
         }
     }
@@ -821,7 +821,7 @@
     }
 
     fn audit(&mut self, now: Micros, p: usize) {
-        let c = command(Verb::Auep, self.ports[p].endpoint.clone());
+        let c = new_command(Verb::Auep, self.ports[p].endpoint.clone());
         self.send(now, p, c, Purpose::Audit(p));
     }
 
@@ -844,7 +844,7 @@
         if matches!(self.ports[p].role, Role::Silent) {
             self.ports[p].use_id = 0;
         }
-        let mut c = command(Verb::Dlcx, self.ports[p].endpoint.clone());
+        let mut c = new_command(Verb::Dlcx, self.ports[p].endpoint.clone());
         c.params = self.connection_params(p);
         if !more.0.is_empty() {
             c.params = c.params.with("X", self.new_request(p));
@@ -856,7 +856,7 @@
     }
 
     fn create(&mut self, now: Micros, p: usize, params: Params, sdp: Option<String>) {
-        let mut c = command(Verb::Crcx, self.ports[p].endpoint.clone());
+        let mut c = new_command(Verb::Crcx, self.ports[p].endpoint.clone());
         c.params = self.connection_params(p).with("X", self.new_request(p));
         c.params.0.extend(params.0);
         c.sdp = sdp;
@@ -865,7 +865,7 @@
     }
 
     fn request(&mut self, now: Micros, p: usize, params: Params) {
-        let mut c = command(Verb::Rqnt, self.ports[p].endpoint.clone());
+        let mut c = new_command(Verb::Rqnt, self.ports[p].endpoint.clone());
         c.params = Params::default().with("X", self.new_request(p));
         c.params.0.extend(params.0);
         self.send(now, p, c, Purpose::Request(p));
@@ -880,7 +880,7 @@
     fn send(&mut self, now: Micros, p: usize, c: Command, purpose: Purpose) -> u32 {
         let to = self.config.gateways[self.ports[p].gateway].address;
         self.counts.commands_out += 1;
-        let (transaction, text, at) = self.commands.send(now, to, c, purpose);
+        let (transaction, text, at) = self.transactions.send(now, to, c, purpose);
         self.out.push(AgentOutput::Datagram(to, text.into_bytes()));
         self.out.push(AgentOutput::SetTimer(at, AgentTimer::Transaction(transaction)));
         transaction
--- a/src/protocol/mgcp/message.rs
+++ b/src/protocol/mgcp/message.rs
@@ -45,24 +45,24 @@
 
 /// The name of an endpoint: `local@domain`. Case means nothing in it, so that it is kept in small letters.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Endpoint {
+pub struct EndpointName {
     /// The name within the gateway; `*` stands for all of them.
     pub local: String,
     /// The gateway.
     pub domain: String,
 }
 
-impl Endpoint {
+impl EndpointName {
     /// Reads a name.
-    pub fn parse(text: &str) -> Option<Endpoint> {
+    pub fn parse(text: &str) -> Option<EndpointName> {
         let (local, domain) = text.split_once('@')?;
         let good = |s: &str| !s.is_empty() && s.bytes().all(|b| b.is_ascii_graphic() && b != b'@');
         let lower = str::to_ascii_lowercase;
-        (good(local) && good(domain)).then(|| Endpoint { local: lower(local), domain: lower(domain) })
+        (good(local) && good(domain)).then(|| EndpointName { local: lower(local), domain: lower(domain) })
     }
 }
 
-impl std::fmt::Display for Endpoint {
+impl std::fmt::Display for EndpointName {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "{}@{}", self.local, self.domain)
     }
@@ -93,7 +93,7 @@
     /// Its transaction.
     pub transaction: u32,
     /// The endpoint that it is about.
-    pub endpoint: Endpoint,
+    pub endpoint: EndpointName,
     /// Its parameters.
     pub params: Params,
     /// The session description, unchanged.
@@ -144,7 +144,7 @@
 
 impl Command {
     /// The message.
-    pub fn text(&self) -> String {
+    pub fn encode(&self) -> String {
         let head = format!("{} {} {} MGCP 1.0\r\n", self.verb.name(), self.transaction, self.endpoint);
         rest(head, &self.params, self.sdp.as_deref())
     }
@@ -157,7 +157,7 @@
     }
 
     /// The message.
-    pub fn text(&self) -> String {
+    pub fn encode(&self) -> String {
         let head = format!("{:03} {} {}\r\n", self.code, self.transaction, super::codes::comment(self.code));
         rest(head, &self.params, self.sdp.as_deref())
     }
@@ -236,7 +236,7 @@
     let (Some(endpoint), Some(protocol), Some(version)) = (words.next(), words.next(), words.next()) else {
         return Err(syntax);
     };
-    let endpoint = Endpoint::parse(endpoint).ok_or(syntax)?;
+    let endpoint = EndpointName::parse(endpoint).ok_or(syntax)?;
     if !protocol.eq_ignore_ascii_case("MGCP") {
         return Err(syntax);
     }
@@ -303,7 +303,7 @@
         let [Ok(Message::Command(c))] = &read[..] else { panic!("{read:?}") };
         assert_eq!((c.verb, c.transaction, c.params.get("M")), (Verb::Crcx, 1204, Some("recvonly")));
         assert_eq!(c.sdp.as_deref(), Some(sdp));
-        assert_eq!(c.text(), text);
+        assert_eq!(c.encode(), text);
     }
 
     #[test]
--- a/src/protocol/mgcp/transactions.rs
+++ b/src/protocol/mgcp/transactions.rs
@@ -1,202 +1,231 @@
-//! Transactions in both directions: commands that are repeated until they are answered, and answers that are
-//! kept so that a repeated command is answered again and never run twice.
+//! MGCP transactions in both directions (RFC 3435, section 3.5).
+//!
+//! Commands are retransmitted until they are answered. Responses are kept for a time, so that a repeated command
+//! gets the same response again and is not executed twice.
 
 use super::message::{Command, Params, Response, Verb, MAX_TRANSACTION_ID};
 use crate::routing::interface::Micros;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-/// First wait before a command is repeated (µs); it doubles.
-pub const FIRST_WAIT: Micros = 200_000;
-/// Times that a command is sent in all.
+/// Time before a command is first retransmitted (µs); it doubles with each retransmission.
+pub const INITIAL_RETRANSMISSION_TIMEOUT: Micros = 200_000;
+/// Number of times a command is sent, the first transmission included.
 pub const MAX_TRANSMISSIONS: u32 = 6;
-/// A command that was answered provisionally is waited for this long for its final answer (µs).
-pub const LONG_WAIT: Micros = 5_000_000;
-/// How long an answer is kept (T-HIST; µs).
-pub const HISTORY: Micros = 30_000_000;
-/// Answers kept at most; the oldest goes first, those acknowledged before all others.
-pub const HISTORY_CAP: usize = 4096;
+/// How long the final response is waited for after a provisional one (µs).
+pub const LONG_TRANSACTION_TIMEOUT: Micros = 5_000_000;
+/// How long a response is kept (T-HIST of RFC 3435; µs).
+pub const HISTORY_TIME: Micros = 30_000_000;
+/// Maximum number of responses kept; acknowledged responses are evicted first, then the oldest.
+pub const MAX_HISTORY_ENTRIES: usize = 4096;
+/// Maximum number of transactions that one command acknowledges.
+const MAX_ACKNOWLEDGED_IDS: usize = 32;
 
-// ---- Commands of this side ----
+// ---- Commands sent by the call agent ----
 
 #[derive(Debug)]
-struct Sent<K> {
+struct PendingCommand<K> {
     to: SocketAddr,
     text: String,
-    key: K,
-    wait: Micros,
-    /// When it is to be repeated; a deadline that comes earlier is of the past.
-    due: Micros,
-    sends: u32,
-    provisional: bool,
+    purpose: K,
+    retransmission_timeout: Micros,
+    /// When the command is retransmitted or given up; timers that expire earlier are outdated.
+    deadline: Micros,
+    transmissions: u32,
+    /// Set by a provisional response or by [`CommandTransactions::stop_retransmitting`].
+    retransmission_stopped: bool,
 }
 
-/// What came of a deadline.
+/// What to do when the timer of a transaction expires.
 #[derive(Debug, PartialEq)]
-pub enum Repeat<K> {
-    /// Nothing: the transaction is over, or the deadline is of the past.
-    Nothing,
-    /// Send this again, and come back then.
-    Again(SocketAddr, String, Micros),
-    /// It was sent as often as it may be, and no answer came.
-    GaveUp(K),
+pub enum TimeoutAction<K> {
+    /// Nothing: the transaction has ended, or the timer is outdated.
+    Ignore,
+    /// Send this text to this address again; the next timer expires at the given time.
+    Retransmit(SocketAddr, String, Micros),
+    /// No response came in time; the value is the purpose of the command.
+    GiveUp(K),
 }
 
-/// Commands that wait for an answer; `K` says what each is for.
+/// Commands that wait for a response; `K` is the purpose of a command.
 #[derive(Debug)]
-pub struct Commands<K> {
-    next: u32,
-    sent: BTreeMap<u32, Sent<K>>,
-    /// Transactions whose final answer came, to be acknowledged with the next command there.
+pub struct CommandTransactions<K> {
+    next_id: u32,
+    pending: BTreeMap<u32, PendingCommand<K>>,
+    /// For each gateway, the transactions whose final response the next command acknowledges.
     unacknowledged: BTreeMap<SocketAddr, Vec<u32>>,
-    /// Repeats sent.
-    pub repeats: u64,
+    /// Number of retransmissions.
+    pub retransmissions: u64,
 }
 
-impl<K> Commands<K> {
-    /// None yet; the first transaction is drawn from the seed, so that a restart does not use the numbers of
-    /// the life before.
+impl<K> CommandTransactions<K> {
+    /// Creates an empty table. The first transaction identifier comes from the seed, so that a restarted program
+    /// does not reuse the identifiers of the previous run.
     pub fn new(seed: u64) -> Self {
-        let next = (seed % u64::from(MAX_TRANSACTION_ID)) as u32 + 1;
-        Commands { next, sent: BTreeMap::new(), unacknowledged: BTreeMap::new(), repeats: 0 }
+        let next_id = (seed % u64::from(MAX_TRANSACTION_ID)) as u32 + 1;
+        CommandTransactions {
+            next_id,
+            pending: BTreeMap::new(),
+            unacknowledged: BTreeMap::new(),
+            retransmissions: 0,
+        }
     }
 
-    /// Sends a command: its transaction, the text to send, and when to come back.
+    /// Starts a transaction and returns its identifier, the text to send and the time of its timer.
     pub fn send(
         &mut self,
         now: Micros,
         to: SocketAddr,
         mut command: Command,
-        key: K,
+        purpose: K,
     ) -> (u32, String, Micros) {
-        while self.sent.contains_key(&self.next) {
-            self.step();
+        while self.pending.contains_key(&self.next_id) {
+            self.advance_next_id();
         }
-        command.transaction = self.next;
-        self.step();
+        command.transaction = self.next_id;
+        self.advance_next_id();
         if let Some(ids) = self.unacknowledged.remove(&to) {
             let ids: Vec<String> = ids.iter().map(u32::to_string).collect();
             command.params.0.insert(0, ("K".to_owned(), ids.join(",")));
         }
-        let (text, due) = (command.text(), now + FIRST_WAIT);
-        let sent = Sent { to, text: text.clone(), key, wait: FIRST_WAIT, due, sends: 1, provisional: false };
-        self.sent.insert(command.transaction, sent);
-        (command.transaction, text, due)
+        let (text, deadline) = (command.encode(), now + INITIAL_RETRANSMISSION_TIMEOUT);
+        let pending = PendingCommand {
+            to,
+            text: text.clone(),
+            purpose,
+            retransmission_timeout: INITIAL_RETRANSMISSION_TIMEOUT,
+            deadline,
+            transmissions: 1,
+            retransmission_stopped: false,
+        };
+        self.pending.insert(command.transaction, pending);
+        (command.transaction, text, deadline)
     }
 
-    fn step(&mut self) {
-        self.next = if self.next >= MAX_TRANSACTION_ID { 1 } else { self.next + 1 };
+    fn advance_next_id(&mut self) {
+        self.next_id = if self.next_id >= MAX_TRANSACTION_ID { 1 } else { self.next_id + 1 };
     }
 
-    /// The deadline of a transaction has come.
-    pub fn due(&mut self, now: Micros, transaction: u32) -> Repeat<K> {
-        let Some(sent) = self.sent.get_mut(&transaction).filter(|s| s.due <= now) else {
-            return Repeat::Nothing;
+    /// Handles the timer of a transaction.
+    pub fn timer_expired(&mut self, now: Micros, transaction: u32) -> TimeoutAction<K> {
+        let Some(pending) = self.pending.get_mut(&transaction).filter(|p| p.deadline <= now) else {
+            return TimeoutAction::Ignore;
         };
-        if sent.sends >= MAX_TRANSMISSIONS || sent.provisional {
-            return self.sent.remove(&transaction).map_or(Repeat::Nothing, |s| Repeat::GaveUp(s.key));
+        if pending.transmissions >= MAX_TRANSMISSIONS || pending.retransmission_stopped {
+            let removed = self.pending.remove(&transaction);
+            return removed.map_or(TimeoutAction::Ignore, |p| TimeoutAction::GiveUp(p.purpose));
         }
-        sent.sends += 1;
-        sent.wait *= 2;
-        sent.due = now + sent.wait;
-        self.repeats += 1;
-        Repeat::Again(sent.to, sent.text.clone(), sent.due)
+        pending.transmissions += 1;
+        pending.retransmission_timeout *= 2;
+        pending.deadline = now + pending.retransmission_timeout;
+        self.retransmissions += 1;
+        TimeoutAction::Retransmit(pending.to, pending.text.clone(), pending.deadline)
     }
 
-    /// A response came: what its command was for, if it is the final one; and what else to do.
-    pub fn response(&mut self, now: Micros, from: SocketAddr, r: &Response) -> Answered<K> {
-        // An empty acknowledgement parameter asks for one at once, also with a repeat of the response.
-        let asked = r.code >= 200 && r.params.get("K").is_some_and(str::is_empty);
-        let acknowledge = asked.then(|| Response::new(0, r.transaction).text());
-        let Some(sent) = self.sent.get_mut(&r.transaction).filter(|s| s.to.ip() == from.ip()) else {
-            return Answered { key: None, acknowledge, wake: None };
+    /// Handles a response. A final response ends its transaction; a provisional one stops the retransmissions.
+    pub fn handle_response(
+        &mut self,
+        now: Micros,
+        from: SocketAddr,
+        response: &Response,
+    ) -> ResponseOutcome<K> {
+        // An empty K parameter asks for an immediate acknowledgement, also in a repeated response.
+        let ack_requested = response.code >= 200 && response.params.get("K").is_some_and(str::is_empty);
+        let acknowledgement = ack_requested.then(|| Response::new(0, response.transaction).encode());
+        let pending = self.pending.get_mut(&response.transaction).filter(|p| p.to.ip() == from.ip());
+        let Some(pending) = pending else {
+            return ResponseOutcome { purpose: None, acknowledgement, deadline: None };
         };
-        if r.code < 200 {
-            sent.provisional = true;
-            sent.due = now + LONG_WAIT;
-            return Answered { key: None, acknowledge: None, wake: Some(sent.due) };
+        if response.code < 200 {
+            pending.retransmission_stopped = true;
+            pending.deadline = now + LONG_TRANSACTION_TIMEOUT;
+            let deadline = Some(pending.deadline);
+            return ResponseOutcome { purpose: None, acknowledgement: None, deadline };
         }
-        let to = sent.to;
-        let key = self.sent.remove(&r.transaction).map(|s| s.key);
-        if !asked {
+        let to = pending.to;
+        let purpose = self.pending.remove(&response.transaction).map(|p| p.purpose);
+        if !ack_requested {
             let ids = self.unacknowledged.entry(to).or_default();
-            ids.push(r.transaction);
-            // They ride on one line of the next command; an old one is forgotten by the gateway itself.
-            ids.drain(..ids.len().saturating_sub(32));
+            ids.push(response.transaction);
+            // All of them go into one parameter line of the next command. The oldest can be left out: the gateway
+            // removes old responses from its history by itself.
+            ids.drain(..ids.len().saturating_sub(MAX_ACKNOWLEDGED_IDS));
         }
-        Answered { key, acknowledge, wake: None }
+        ResponseOutcome { purpose, acknowledgement, deadline: None }
     }
 
-    /// Stops repeating a command, but still learns of its answer once.
-    pub fn stop_repeating(&mut self, now: Micros, transaction: u32) -> Option<Micros> {
-        let sent = self.sent.get_mut(&transaction)?;
-        sent.provisional = true;
-        sent.due = now + LONG_WAIT;
-        Some(sent.due)
+    /// Stops retransmitting a command while still accepting its response; returns the new time of its timer.
+    pub fn stop_retransmitting(&mut self, now: Micros, transaction: u32) -> Option<Micros> {
+        let pending = self.pending.get_mut(&transaction)?;
+        pending.retransmission_stopped = true;
+        pending.deadline = now + LONG_TRANSACTION_TIMEOUT;
+        Some(pending.deadline)
     }
 
-    /// Commands that wait.
-    pub fn waiting(&self) -> usize {
-        self.sent.len()
+    /// Number of commands that wait for a response.
+    pub fn pending_count(&self) -> usize {
+        self.pending.len()
     }
 }
 
-/// What came of a response.
+/// The result of handling a response.
 #[derive(Debug, PartialEq)]
-pub struct Answered<K> {
-    /// What the command was for, if this was its first final response.
-    pub key: Option<K>,
+pub struct ResponseOutcome<K> {
+    /// The purpose of the command, if this is its first final response.
+    pub purpose: Option<K>,
     /// A response acknowledgement to send back.
-    pub acknowledge: Option<String>,
-    /// When to come back for this transaction.
-    pub wake: Option<Micros>,
+    pub acknowledgement: Option<String>,
+    /// The new time of the transaction's timer.
+    pub deadline: Option<Micros>,
 }
 
-// ---- Commands of the other side ----
+// ---- Responses to the gateways' commands ----
 
 #[derive(Debug)]
-struct Kept {
-    until: Micros,
+struct HistoryEntry {
+    expires: Micros,
     text: String,
     acknowledged: bool,
 }
 
-/// The answers given to gateways' commands.
+/// The responses sent to the gateways' commands, by gateway address and transaction.
 #[derive(Debug, Default)]
-pub struct History {
-    kept: BTreeMap<(SocketAddr, u32), Kept>,
+pub struct ResponseHistory {
+    entries: BTreeMap<(SocketAddr, u32), HistoryEntry>,
+    /// Expiry time and key of each entry, oldest first.
     order: VecDeque<(Micros, SocketAddr, u32)>,
-    /// Repeated commands that were answered from here.
-    pub repeats: u64,
+    /// Number of repeated commands that got their response from the history.
+    pub repeated_commands: u64,
 }
 
-impl History {
-    /// The answer to a command that came before.
-    pub fn answered(&mut self, now: Micros, from: SocketAddr, transaction: u32) -> Option<String> {
-        self.forget(now);
-        let text = self.kept.get(&(from, transaction)).map(|k| k.text.clone())?;
-        self.repeats += 1;
+impl ResponseHistory {
+    /// The response to a command that was received before.
+    pub fn lookup(&mut self, now: Micros, from: SocketAddr, transaction: u32) -> Option<String> {
+        self.expire(now);
+        let text = self.entries.get(&(from, transaction)).map(|entry| entry.text.clone())?;
+        self.repeated_commands += 1;
         Some(text)
     }
 
-    /// Keeps the answer to a command.
-    pub fn keep(&mut self, now: Micros, from: SocketAddr, transaction: u32, text: String) {
-        self.forget(now);
-        if self.kept.len() >= HISTORY_CAP {
-            let acknowledged =
-                |o: &(Micros, SocketAddr, u32)| self.kept.get(&(o.1, o.2)).is_some_and(|k| k.acknowledged);
-            let at = self.order.iter().position(acknowledged).unwrap_or(0);
-            if let Some((_, from, transaction)) = self.order.remove(at) {
-                self.kept.remove(&(from, transaction));
+    /// Stores the response to a command.
+    pub fn insert(&mut self, now: Micros, from: SocketAddr, transaction: u32, text: String) {
+        self.expire(now);
+        if self.entries.len() >= MAX_HISTORY_ENTRIES {
+            let acknowledged = |o: &(Micros, SocketAddr, u32)| {
+                self.entries.get(&(o.1, o.2)).is_some_and(|entry| entry.acknowledged)
+            };
+            let evicted = self.order.iter().position(acknowledged).unwrap_or(0);
+            if let Some((_, from, transaction)) = self.order.remove(evicted) {
+                self.entries.remove(&(from, transaction));
             }
         }
-        let until = now + HISTORY;
-        self.kept.insert((from, transaction), Kept { until, text, acknowledged: false });
-        self.order.push_back((until, from, transaction));
+        let expires = now + HISTORY_TIME;
+        self.entries.insert((from, transaction), HistoryEntry { expires, text, acknowledged: false });
+        self.order.push_back((expires, from, transaction));
     }
 
-    /// Notes a response acknowledgement: single transactions and ranges. The answer is kept all the same, for
-    /// a repeat that was on its way; it is only the first to go when room is short.
+    /// Handles a response acknowledgement, a list of transactions and ranges of them. The responses stay in the
+    /// history, because a repeated command may still be in transit, but are evicted before all others.
     pub fn acknowledge(&mut self, from: SocketAddr, list: &str) {
         for part in list.split(',') {
             let (low, high) = part.split_once('-').unwrap_or((part, part));
@@ -204,106 +233,112 @@
                 continue;
             };
             if low <= high {
-                for (_, k) in self.kept.range_mut((from, low)..=(from, high)) {
-                    k.acknowledged = true;
+                for (_, entry) in self.entries.range_mut((from, low)..=(from, high)) {
+                    entry.acknowledged = true;
                 }
             }
         }
     }
 
-    /// Answers kept.
+    /// Number of responses kept.
     pub fn len(&self) -> usize {
-        self.kept.len()
+        self.entries.len()
     }
 
-    /// Whether none is kept.
+    /// Whether the history is empty.
     pub fn is_empty(&self) -> bool {
-        self.kept.is_empty()
+        self.entries.is_empty()
     }
 
-    fn forget(&mut self, now: Micros) {
-        while let Some(&(until, from, transaction)) = self.order.front().filter(|o| o.0 <= now) {
+    fn expire(&mut self, now: Micros) {
+        while let Some(&(expires, from, transaction)) = self.order.front().filter(|o| o.0 <= now) {
             self.order.pop_front();
-            if self.kept.get(&(from, transaction)).is_some_and(|k| k.until == until) {
-                self.kept.remove(&(from, transaction));
+            if self.entries.get(&(from, transaction)).is_some_and(|entry| entry.expires == expires) {
+                self.entries.remove(&(from, transaction));
             }
         }
     }
 }
 
-/// A command without parameters; its transaction is given when it is sent.
-pub fn command(verb: Verb, endpoint: super::message::Endpoint) -> Command {
+/// A command without parameters; [`CommandTransactions::send`] assigns its transaction identifier.
+pub fn new_command(verb: Verb, endpoint: super::message::EndpointName) -> Command {
     Command { verb, transaction: 0, endpoint, params: Params::default(), sdp: None }
 }
 
 #[cfg(test)]
 mod tests {
-    use super::super::message::Endpoint;
+    use super::super::message::EndpointName;
     use super::*;
 
-    fn place(port: u16) -> SocketAddr {
+    fn address(port: u16) -> SocketAddr {
         SocketAddr::from(([127, 0, 0, 1], port))
     }
 
-    fn audit() -> Command {
-        command(Verb::Auep, Endpoint { local: "lamp/1".to_owned(), domain: "cab".to_owned() })
+    fn audit_endpoint() -> Command {
+        new_command(Verb::Auep, EndpointName { local: "lamp/1".to_owned(), domain: "cab".to_owned() })
     }
 
     #[test]
-    fn a_command_is_repeated_at_doubling_waits_and_then_given_up() {
-        let mut commands = Commands::new(7);
-        let (id, text, mut due) = commands.send(0, place(1), audit(), 'a');
-        let mut waits = vec![due];
+    fn a_command_is_retransmitted_with_doubling_timeouts_and_then_given_up() {
+        let mut transactions = CommandTransactions::new(7);
+        let (id, text, mut deadline) = transactions.send(0, address(1), audit_endpoint(), 'a');
+        let mut timeouts = vec![deadline];
         loop {
-            assert_eq!(commands.due(due - 1, id), Repeat::Nothing, "not before its time");
-            match commands.due(due, id) {
-                Repeat::Again(_, again, at) => {
-                    assert_eq!(again, text);
-                    waits.push(at - due);
-                    due = at;
+            assert_eq!(
+                transactions.timer_expired(deadline - 1, id),
+                TimeoutAction::Ignore,
+                "before the deadline"
+            );
+            match transactions.timer_expired(deadline, id) {
+                TimeoutAction::Retransmit(_, retransmitted, next) => {
+                    assert_eq!(retransmitted, text);
+                    timeouts.push(next - deadline);
+                    deadline = next;
                 }
                 end => {
-                    assert_eq!(end, Repeat::GaveUp('a'));
+                    assert_eq!(end, TimeoutAction::GiveUp('a'));
                     break;
                 }
             }
         }
-        assert_eq!(waits, (0..MAX_TRANSMISSIONS).map(|n| FIRST_WAIT << n).collect::<Vec<_>>());
-        assert_eq!(commands.waiting(), 0);
+        let expected = (0..MAX_TRANSMISSIONS).map(|n| INITIAL_RETRANSMISSION_TIMEOUT << n);
+        assert_eq!(timeouts, expected.collect::<Vec<_>>());
+        assert_eq!(transactions.pending_count(), 0);
     }
 
     #[test]
-    fn a_provisional_answer_stops_the_repeats_and_the_final_one_is_acknowledged_with_the_next_command() {
-        let mut commands = Commands::new(7);
-        let (id, _, due) = commands.send(0, place(1), audit(), 'a');
-        let later = commands.response(0, place(1), &Response::new(100, id)).wake;
-        assert_eq!(later, Some(LONG_WAIT));
-        assert_eq!(commands.due(due, id), Repeat::Nothing);
-        // From elsewhere it is nobody's answer.
+    fn a_provisional_response_stops_retransmission_and_the_next_command_acknowledges_the_final_one() {
+        let mut transactions = CommandTransactions::new(7);
+        let (id, _, deadline) = transactions.send(0, address(1), audit_endpoint(), 'a');
+        let extended = transactions.handle_response(0, address(1), &Response::new(100, id)).deadline;
+        assert_eq!(extended, Some(LONG_TRANSACTION_TIMEOUT));
+        assert_eq!(transactions.timer_expired(deadline, id), TimeoutAction::Ignore);
+        // A response from another address is ignored.
         let other = SocketAddr::from(([127, 0, 0, 2], 1));
-        assert_eq!(commands.response(0, other, &Response::new(200, id)).key, None);
-        assert_eq!(commands.response(0, place(1), &Response::new(200, id)).key, Some('a'));
-        assert_eq!(commands.response(0, place(1), &Response::new(200, id)).key, None, "once");
-        let (_, text, _) = commands.send(0, place(1), audit(), 'b');
+        let ok = Response::new(200, id);
+        assert_eq!(transactions.handle_response(0, other, &ok).purpose, None);
+        assert_eq!(transactions.handle_response(0, address(1), &ok).purpose, Some('a'));
+        assert_eq!(transactions.handle_response(0, address(1), &ok).purpose, None, "only once");
+        let (_, text, _) = transactions.send(0, address(1), audit_endpoint(), 'b');
         assert!(text.contains(&format!("\r\nK: {id}\r\n")), "{text}");
     }
 
     #[test]
-    fn answers_are_kept_for_their_time_and_never_more_than_the_bound() {
-        let mut history = History::default();
-        for id in 0..HISTORY_CAP as u32 {
-            history.keep(0, place(1), id, format!("200 {id}"));
+    fn responses_are_kept_for_the_history_time_and_within_the_maximum_number() {
+        let mut history = ResponseHistory::default();
+        for id in 0..MAX_HISTORY_ENTRIES as u32 {
+            history.insert(0, address(1), id, format!("200 {id}"));
         }
-        history.acknowledge(place(1), "7-8, 4000000000, x, 20-10");
-        // The first to go are those acknowledged, then the oldest.
-        for (n, gone) in [(0, 7), (1, 8), (2, 0)] {
-            assert!(history.answered(1, place(1), gone).is_some());
-            history.keep(1, place(2), n, "200".to_owned());
-            assert_eq!(history.answered(1, place(1), gone), None);
+        history.acknowledge(address(1), "7-8, 4000000000, x, 20-10");
+        // Acknowledged responses are evicted first, then the oldest.
+        for (n, evicted) in [(0, 7), (1, 8), (2, 0)] {
+            assert!(history.lookup(1, address(1), evicted).is_some());
+            history.insert(1, address(2), n, "200".to_owned());
+            assert_eq!(history.lookup(1, address(1), evicted), None);
         }
-        assert_eq!(history.len(), HISTORY_CAP);
-        assert_eq!(history.answered(HISTORY - 1, place(1), 9).as_deref(), Some("200 9"));
-        assert_eq!(history.answered(HISTORY, place(1), 9), None);
+        assert_eq!(history.len(), MAX_HISTORY_ENTRIES);
+        assert_eq!(history.lookup(HISTORY_TIME - 1, address(1), 9).as_deref(), Some("200 9"));
+        assert_eq!(history.lookup(HISTORY_TIME, address(1), 9), None);
         assert_eq!(history.len(), 3);
     }
 }
