--- a/src/protocol/mgcp/agent.rs
+++ b/src/protocol/mgcp/agent.rs
@@ -8,7 +8,7 @@
 
 use super::super::upstream::lease::LEASE;
 use super::codes;
-use super::message::{self, events, Command, EndpointName, Message, Params, Response, Verb};
+use super::message::{self, parse_events, Command, EndpointName, Message, Params, Response, Verb};
 use super::transactions::{new_command, CommandTransactions, ResponseHistory, TimeoutAction};
 use crate::routing::interface::{
     AttemptNumber, CallId, Cause, Ending, ExchangeId, ExchangeNumber, ListEntry, ListState, LoadReport,
@@ -383,7 +383,7 @@
                 let current = x == "0" || x.eq_ignore_ascii_case(&request_name(self.ports[first].request));
                 let Some(observed) = c.params.get("O") else { return 510 };
                 if current {
-                    self.notified(now, first, &events(observed));
+                    self.notified(now, first, &parse_events(observed));
                 }
                 200
             }
@@ -678,7 +678,7 @@
     /// The final answer to a call from an endpoint.
     pub fn answer(&mut self, now: Micros, call: CallId, answer: &Answer) {
         let Some(&p) = self.calls.get(&call) else { return };
-        let (code, tone) = codes::answer(answer);
+        let (code, tone) = codes::answer_code_and_tone(answer);
         match (answer, tone) {
             (Answer::Established(text), _) => {
                 self.ports[p].role = Role::Talking(call);
--- a/src/protocol/mgcp/codes.rs
+++ b/src/protocol/mgcp/codes.rs
@@ -1,22 +1,22 @@
-//! The one table between MGCP's return codes and the core's outcomes, read in both directions.
+//! The mapping between MGCP return codes and the outcomes used by the routing core, in both directions.
 
 use crate::routing::interface::{Cause, Ending};
 use crate::routing::ledger::Answer;
 
-struct Row {
+struct CodeMapping {
     code: u16,
-    comment: &'static str,
+    commentary: &'static str,
     ending: Ending,
     cause: Cause,
 }
 
-const fn row(code: u16, comment: &'static str, ending: Ending, cause: Cause) -> Row {
-    Row { code, comment, ending, cause }
+const fn row(code: u16, commentary: &'static str, ending: Ending, cause: Cause) -> CodeMapping {
+    CodeMapping { code, commentary, ending, cause }
 }
 
-/// Only what proves that nothing was set up is `Full` or `NotSent`: such calls may be tried elsewhere at once.
-/// The first row of an outcome is the code that stands for it the other way round.
-const TABLE: [Row; 28] = [
+/// Only codes that prove that no connection was created map to `Full` or `NotSent`, since such calls may be tried
+/// elsewhere at once. The first row with an outcome gives the code for that outcome.
+const TABLE: [CodeMapping; 28] = [
     row(403, "Insufficient resources now", Ending::Full, Cause::NoCircuit),
     row(409, "Processing overload", Ending::Full, Cause::ProcessorFull(None)),
     row(401, "Off hook", Ending::Fault, Cause::LinesBusy),
@@ -47,41 +47,41 @@
     row(540, "Connection limit exceeded", Ending::Full, Cause::NoCircuit),
 ];
 
-/// What the final return code of a set-up means to the core. A code that is not in the table counts as the
-/// general one of its kind.
+/// The outcome of a set-up that got this final return code. Codes that are not in the table map to a fault without
+/// a cause.
 pub fn outcome(code: u16) -> (Ending, Cause) {
     TABLE.iter().find(|r| r.code == code).map_or((Ending::Fault, Cause::None), |r| (r.ending, r.cause))
 }
 
-/// The return code that stands for an outcome.
-pub fn code(ending: Ending, cause: Cause) -> u16 {
+/// The return code for an outcome.
+pub fn return_code(ending: Ending, cause: Cause) -> u16 {
     let cause = match cause {
         Cause::ProcessorFull(_) | Cause::FarProcessorFull => Cause::ProcessorFull(None),
         Cause::TurnedBack => Cause::NoCircuit,
         c => c,
     };
-    let fits = |r: &&Row| r.ending == ending && r.cause == cause;
+    let matches = |r: &&CodeMapping| r.ending == ending && r.cause == cause;
     let ending_only = || TABLE.iter().find(|r| r.ending == ending);
-    TABLE.iter().find(fits).or_else(ending_only).map_or(400, |r| r.code)
+    TABLE.iter().find(matches).or_else(ending_only).map_or(400, |r| r.code)
 }
 
-/// The return code that stands for a final answer, and the tone that tells it to the caller: congestion where
-/// trying again is harmless, reorder where it failed.
-pub fn answer(answer: &Answer) -> (u16, Option<&'static str>) {
+/// The return code for a final answer, and the tone that the caller hears: congestion if the call may be retried,
+/// reorder if it failed.
+pub fn answer_code_and_tone(answer: &Answer) -> (u16, Option<&'static str>) {
     match answer {
         Answer::Established(_) => (200, None),
-        Answer::Refused { .. } => (code(Ending::Full, Cause::NoCircuit), Some("G/cg")),
-        Answer::Failed => (code(Ending::Fault, Cause::None), Some("L/ro")),
+        Answer::Refused { .. } => (return_code(Ending::Full, Cause::NoCircuit), Some("G/cg")),
+        Answer::Failed => (return_code(Ending::Fault, Cause::None), Some("L/ro")),
     }
 }
 
-/// The words beside a return code.
-pub fn comment(code: u16) -> &'static str {
+/// The commentary that follows a return code in a response line.
+pub fn commentary(code: u16) -> &'static str {
     match code {
         0 => "Response acknowledged",
         100 => "Pending",
         200 => "OK",
-        _ => TABLE.iter().find(|r| r.code == code).map_or("See code", |r| r.comment),
+        _ => TABLE.iter().find(|r| r.code == code).map_or("See code", |r| r.commentary),
     }
 }
 
@@ -90,17 +90,17 @@
     use super::*;
 
     #[test]
-    fn each_outcome_that_the_table_has_comes_back_from_its_code() {
+    fn each_outcome_in_the_table_is_recovered_from_its_return_code() {
         for r in &TABLE {
-            assert_eq!(outcome(code(r.ending, r.cause)), (r.ending, r.cause), "{}", r.code);
+            assert_eq!(outcome(return_code(r.ending, r.cause)), (r.ending, r.cause), "{}", r.code);
         }
-        assert_eq!(code(Ending::Full, Cause::FarProcessorFull), 409);
+        assert_eq!(return_code(Ending::Full, Cause::FarProcessorFull), 409);
         assert_eq!(outcome(499), (Ending::Fault, Cause::None));
-        assert_eq!(code(Ending::Unreachable, Cause::None), 400);
+        assert_eq!(return_code(Ending::Unreachable, Cause::None), 400);
     }
 
     #[test]
-    fn no_code_stands_twice() {
+    fn each_return_code_appears_once() {
         let mut codes: Vec<u16> = TABLE.iter().map(|r| r.code).collect();
         codes.sort_unstable();
         assert!(codes.windows(2).all(|w| w[0] != w[1]));
--- a/src/protocol/mgcp/message.rs
+++ b/src/protocol/mgcp/message.rs
@@ -1,13 +1,13 @@
-//! MGCP messages: commands, responses, and datagrams that carry several of them.
+//! Encoding and parsing of MGCP messages: commands, responses, and datagrams that carry several of them.
 
 use std::fmt::Write;
 
-/// The longest datagram that is taken or sent.
+/// Maximum size of a received or sent datagram.
 pub const MAX_DATAGRAM_BYTES: usize = 16 * 1024;
-/// Transaction identifiers are numbers from 1 to this.
+/// Largest transaction identifier; the smallest is 1.
 pub const MAX_TRANSACTION_ID: u32 = 999_999_999;
 
-/// The verbs that this program sends or takes.
+/// The command verbs that the call agent sends or receives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verb {
     /// NotificationRequest.
@@ -37,28 +37,28 @@
 ];
 
 impl Verb {
-    /// The four letters of the verb.
+    /// The verb as written in a message.
     pub fn name(self) -> &'static str {
         VERBS.iter().find(|v| v.1 == self).map_or("", |v| v.0)
     }
 }
 
-/// The name of an endpoint: `local@domain`. Case means nothing in it, so that it is kept in small letters.
+/// The name of an endpoint, `local@domain`. Names are case-insensitive and stored in lower case.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointName {
-    /// The name within the gateway; `*` stands for all of them.
+    /// The name within the gateway; `*` matches all endpoints.
     pub local: String,
-    /// The gateway.
+    /// The domain name of the gateway.
     pub domain: String,
 }
 
 impl EndpointName {
-    /// Reads a name.
+    /// Parses a name.
     pub fn parse(text: &str) -> Option<EndpointName> {
         let (local, domain) = text.split_once('@')?;
-        let good = |s: &str| !s.is_empty() && s.bytes().all(|b| b.is_ascii_graphic() && b != b'@');
+        let valid = |s: &str| !s.is_empty() && s.bytes().all(|b| b.is_ascii_graphic() && b != b'@');
         let lower = str::to_ascii_lowercase;
-        (good(local) && good(domain)).then(|| EndpointName { local: lower(local), domain: lower(domain) })
+        (valid(local) && valid(domain)).then(|| EndpointName { local: lower(local), domain: lower(domain) })
     }
 }
 
@@ -68,17 +68,17 @@
     }
 }
 
-/// Parameter lines, with their names in capitals, in the order in which they came.
+/// Parameter lines in message order, with their names in upper case.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Params(pub Vec<(String, String)>);
 
 impl Params {
-    /// The value of a parameter.
+    /// The value of the first parameter of that name.
     pub fn get(&self, name: &str) -> Option<&str> {
         self.0.iter().find(|p| p.0 == name).map(|p| p.1.as_str())
     }
 
-    /// Adds a parameter.
+    /// Appends a parameter.
     pub fn with(mut self, name: &str, value: impl ToString) -> Params {
         self.0.push((name.to_owned(), value.to_string()));
         self
@@ -88,15 +88,15 @@
 /// A command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Command {
-    /// Its verb.
+    /// The command verb.
     pub verb: Verb,
-    /// Its transaction.
+    /// The transaction identifier.
     pub transaction: u32,
-    /// The endpoint that it is about.
+    /// The endpoint that the command applies to.
     pub endpoint: EndpointName,
-    /// Its parameters.
+    /// The parameter lines.
     pub params: Params,
-    /// The session description, unchanged.
+    /// The session description, passed on unchanged.
     pub sdp: Option<String>,
 }
 
@@ -105,11 +105,11 @@
 pub struct Response {
     /// The return code.
     pub code: u16,
-    /// The transaction that it answers.
+    /// The identifier of the answered transaction.
     pub transaction: u32,
-    /// Its parameters.
+    /// The parameter lines.
     pub params: Params,
-    /// The session description, unchanged.
+    /// The session description, passed on unchanged.
     pub sdp: Option<String>,
 }
 
@@ -122,31 +122,32 @@
     Response(Response),
 }
 
-/// A message that can't be used. With a transaction it is answered by the code; without one it is passed over.
+/// A message that could not be parsed. If it has a transaction it is answered with the return code, otherwise it
+/// is ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("code {code} for transaction {transaction:?}")]
+#[error("invalid MGCP message (return code {code}, transaction {transaction:?})")]
 pub struct InvalidMessage {
-    /// The transaction, where it could be read and is a command's.
+    /// The transaction, if the message is a command and its identifier could be read.
     pub transaction: Option<u32>,
-    /// The return code that says why.
+    /// The return code that describes the error.
     pub code: u16,
 }
 
-/// Return codes for messages that can't be used.
+/// Return codes for messages that could not be parsed or executed.
 pub mod parse_error {
-    /// A protocol error.
+    /// Protocol error.
     pub const SYNTAX: u16 = 510;
-    /// The verb is not known, or not for a call agent.
+    /// The verb is unknown, or is not one that a call agent accepts.
     pub const VERB: u16 = 504;
-    /// The version is not known.
+    /// The protocol version is not supported.
     pub const VERSION: u16 = 528;
 }
 
 impl Command {
-    /// The message.
+    /// Encodes the message.
     pub fn encode(&self) -> String {
         let head = format!("{} {} {} MGCP 1.0\r\n", self.verb.name(), self.transaction, self.endpoint);
-        rest(head, &self.params, self.sdp.as_deref())
+        encode_body(head, &self.params, self.sdp.as_deref())
     }
 }
 
@@ -156,16 +157,17 @@
         Response { code, transaction, params: Params::default(), sdp: None }
     }
 
-    /// The message.
+    /// Encodes the message.
     pub fn encode(&self) -> String {
-        let head = format!("{:03} {} {}\r\n", self.code, self.transaction, super::codes::comment(self.code));
-        rest(head, &self.params, self.sdp.as_deref())
+        let head =
+            format!("{:03} {} {}\r\n", self.code, self.transaction, super::codes::commentary(self.code));
+        encode_body(head, &self.params, self.sdp.as_deref())
     }
 }
 
-fn rest(mut text: String, params: &Params, sdp: Option<&str>) -> String {
+fn encode_body(mut text: String, params: &Params, sdp: Option<&str>) -> String {
     for (name, value) in &params.0 {
-        // Writing to a string can't fail.
+        // Writing to a String cannot fail.
         let _ = write!(text, "{name}: {value}\r\n");
     }
     if let Some(sdp) = sdp {
@@ -175,52 +177,54 @@
     text
 }
 
-/// Reads a datagram: one message, or several parted by lines with a single dot.
+/// Parses a datagram: one message, or several separated by lines with a single dot.
 pub fn parse(datagram: &[u8]) -> Vec<Result<Message, InvalidMessage>> {
     let Ok(text) = std::str::from_utf8(datagram) else {
         let head = datagram.split(|&b| b == b'\n').next().unwrap_or_default();
         let transaction = command_transaction(&String::from_utf8_lossy(head));
         return vec![Err(InvalidMessage { transaction, code: parse_error::SYNTAX })];
     };
-    let mut out = Vec::new();
+    let mut messages = Vec::new();
     let mut begin = 0;
-    let mut at = 0;
+    let mut end = 0;
     for line in text.split_inclusive('\n') {
         if line.trim_end() == "." {
-            out.push(message(&text[begin..at]));
-            begin = at + line.len();
+            messages.push(parse_message(&text[begin..end]));
+            begin = end + line.len();
         }
-        at += line.len();
+        end += line.len();
     }
-    out.push(message(&text[begin..]));
-    out
+    messages.push(parse_message(&text[begin..]));
+    messages
 }
 
-fn number(text: &str) -> Option<u32> {
+fn parse_transaction_id(text: &str) -> Option<u32> {
     let digits = text.bytes().all(|b| b.is_ascii_digit()) && (1..=9).contains(&text.len());
     digits.then(|| text.parse().ok()).flatten().filter(|n| (1..=MAX_TRANSACTION_ID).contains(n))
 }
 
-/// The transaction of what may be meant as a command.
+/// The transaction identifier in the first line of a message, unless the message is a response.
 fn command_transaction(head: &str) -> Option<u32> {
     let mut words = head.split_whitespace();
     let verb = words.next()?;
-    // What begins with a digit is a response; an error is never answered to one.
-    let letters =
+    // A first word that starts with a digit belongs to a response, which is never answered with an error.
+    let is_verb =
         verb.bytes().all(|b| b.is_ascii_alphanumeric()) && !verb.starts_with(|c: char| c.is_ascii_digit());
-    number(words.next()?).filter(|_| letters)
+    parse_transaction_id(words.next()?).filter(|_| is_verb)
 }
 
-fn message(text: &str) -> Result<Message, InvalidMessage> {
+fn parse_message(text: &str) -> Result<Message, InvalidMessage> {
     let (head, body) = text.split_once('\n').unwrap_or((text, ""));
     let transaction = command_transaction(head);
-    let unusable = |code| InvalidMessage { transaction, code };
-    let syntax = unusable(parse_error::SYNTAX);
+    let invalid = |code| InvalidMessage { transaction, code };
+    let syntax = invalid(parse_error::SYNTAX);
     let mut words = head.split_whitespace();
     let (Some(first), Some(id)) = (words.next(), words.next()) else { return Err(syntax) };
     if first.len() == 3 && first.bytes().all(|b| b.is_ascii_digit()) {
-        let (params, sdp) = lines(body).ok_or(syntax)?;
-        let (Ok(code), Some(transaction)) = (first.parse(), number(id)) else { return Err(syntax) };
+        let (params, sdp) = parse_body(body).ok_or(syntax)?;
+        let (Ok(code), Some(transaction)) = (first.parse(), parse_transaction_id(id)) else {
+            return Err(syntax);
+        };
         return Ok(Message::Response(Response { code, transaction, params, sdp }));
     }
     if transaction.is_none() {
@@ -229,8 +233,8 @@
     let verb = VERBS.iter().find(|v| first.eq_ignore_ascii_case(v.0)).map(|v| v.1);
     let verb = match verb {
         Some(verb) => verb,
-        // Any four letters may be the verb of an extension.
-        None if first.len() == 4 => return Err(unusable(parse_error::VERB)),
+        // An unknown four-character word may be the verb of a protocol extension.
+        None if first.len() == 4 => return Err(invalid(parse_error::VERB)),
         None => return Err(syntax),
     };
     let (Some(endpoint), Some(protocol), Some(version)) = (words.next(), words.next(), words.next()) else {
@@ -241,15 +245,16 @@
         return Err(syntax);
     }
     if version != "1.0" {
-        return Err(unusable(parse_error::VERSION));
+        return Err(invalid(parse_error::VERSION));
     }
-    let (params, sdp) = lines(body).ok_or(syntax)?;
+    let (params, sdp) = parse_body(body).ok_or(syntax)?;
     let transaction = transaction.unwrap_or_default();
     Ok(Message::Command(Command { verb, transaction, endpoint, params, sdp }))
 }
 
-/// The parameter lines and, after an empty line, the description as it is.
-fn lines(mut body: &str) -> Option<(Params, Option<String>)> {
+/// Parses the parameter lines and the session description that follows after an empty line; `None` for a line
+/// that is not a parameter.
+fn parse_body(mut body: &str) -> Option<(Params, Option<String>)> {
     let mut params = Params::default();
     while !body.is_empty() {
         let (line, tail) = body.split_once('\n').unwrap_or((body, ""));
@@ -268,9 +273,10 @@
     Some((params, None))
 }
 
-/// Splits a list of events such as `L/hd, D/1(N), D/2` into package and event, without their parameters.
-pub fn events(list: &str) -> Vec<(String, String)> {
-    let mut out = Vec::new();
+/// Parses a list of events such as `L/hd, D/1(N), D/2` into pairs of package and event, without the event
+/// parameters.
+pub fn parse_events(list: &str) -> Vec<(String, String)> {
+    let mut parsed = Vec::new();
     let (mut depth, mut word) = (0_i32, String::new());
     for c in list.chars().chain([',']) {
         match c {
@@ -278,17 +284,17 @@
             ')' => depth -= 1,
             ',' if depth == 0 => {
                 let name = std::mem::take(&mut word).trim().to_ascii_lowercase();
-                // Without a package it is the default package's event: the line's.
+                // An event without a package name belongs to the default package, the line package.
                 let (package, event) = name.split_once('/').unwrap_or(("l", &name));
                 if !event.is_empty() {
-                    out.push((package.to_owned(), event.to_owned()));
+                    parsed.push((package.to_owned(), event.to_owned()));
                 }
             }
             c if depth == 0 => word.push(c),
             _ => {}
         }
     }
-    out
+    parsed
 }
 
 #[cfg(test)]
@@ -296,27 +302,29 @@
     use super::*;
 
     #[test]
-    fn a_command_is_read_with_its_description_unchanged_and_written_back_the_same() {
+    fn a_command_with_a_session_description_survives_parsing_and_encoding_unchanged() {
         let sdp = "v=0\r\nc=IN IP4 127.0.0.9\r\nm=audio 31000 RTP/AVP 0\r\n";
         let text = format!("CRCX 1204 lamp/1@cab-1 MGCP 1.0\r\nC: a1\r\nM: recvonly\r\n\r\n{sdp}");
-        let read = parse(text.as_bytes());
-        let [Ok(Message::Command(c))] = &read[..] else { panic!("{read:?}") };
+        let messages = parse(text.as_bytes());
+        let [Ok(Message::Command(c))] = &messages[..] else { panic!("{messages:?}") };
         assert_eq!((c.verb, c.transaction, c.params.get("M")), (Verb::Crcx, 1204, Some("recvonly")));
         assert_eq!(c.sdp.as_deref(), Some(sdp));
         assert_eq!(c.encode(), text);
     }
 
     #[test]
-    fn several_messages_come_in_one_datagram() {
+    fn a_datagram_may_carry_several_messages() {
         let text = "200 7 OK\nI: fde2\n\nv=0\n.\nntfy 8 Lamp/2@CAB-1 mgcp 1.0\nO: L/hd\n";
-        let read = parse(text.as_bytes());
-        let [Ok(Message::Response(r)), Ok(Message::Command(c))] = &read[..] else { panic!("{read:?}") };
+        let messages = parse(text.as_bytes());
+        let [Ok(Message::Response(r)), Ok(Message::Command(c))] = &messages[..] else {
+            panic!("{messages:?}")
+        };
         assert_eq!((r.code, r.sdp.as_deref(), r.params.get("I")), (200, Some("v=0\n"), Some("fde2")));
         assert_eq!((c.verb, c.endpoint.to_string().as_str()), (Verb::Ntfy, "lamp/2@cab-1"));
     }
 
     #[test]
-    fn what_cannot_be_used_names_its_return_code_and_never_answers_a_response() {
+    fn invalid_messages_give_a_return_code_and_invalid_responses_give_no_transaction() {
         let code = |text: &str| match parse(text.as_bytes()).remove(0) {
             Err(u) => (u.transaction, u.code),
             Ok(p) => panic!("{p:?}"),
@@ -336,8 +344,8 @@
     }
 
     #[test]
-    fn events_are_split_outside_their_parameters() {
-        let got = events("L/hd(N), D/1,d/T, G/ft(x,y),hu");
+    fn event_lists_are_not_split_inside_parameters() {
+        let got = parse_events("L/hd(N), D/1,d/T, G/ft(x,y),hu");
         let want = [("l", "hd"), ("d", "1"), ("d", "t"), ("g", "ft"), ("l", "hu")];
         assert_eq!(got, want.map(|(p, e)| (p.to_owned(), e.to_owned())));
     }
--- a/src/protocol/mgcp/mod.rs
+++ b/src/protocol/mgcp/mod.rs
@@ -1,4 +1,4 @@
-//! MGCP towards gateways (RFC 3435), without input or output: this program is the call agent.
+//! MGCP (RFC 3435): the call agent that controls the gateways, as a state machine without I/O.
 
 pub mod agent;
 pub mod codes;
