--- a/src/protocol/mgcp/agent.rs
+++ b/src/protocol/mgcp/agent.rs
@@ -1,10 +1,11 @@
-//! The call agent: gateways' endpoints as callers of the core and as places that it sets calls up at, as
-//! states without input or output.
+//! The call agent, a state machine without I/O. The endpoints of the gateways originate calls that it offers to the
+//! routing core, and receive calls that the core sets up through it.
 //!
-//! A call from an endpoint: NTFY tells the hook and the digits, CRCX gets the endpoint's description, then the
-//! call is offered; the final answer is an MDCX with the far description, or a DLCX with a tone. A set-up
-//! towards an endpoint is a CRCX that rings; it stands when the hook is told, or at once where the gateway
-//! answers by itself. DLCX clears, and an endpoint is free again only when its DLCX was answered.
+//! A call from an endpoint: NTFY reports off-hook and the dialled digits, CRCX gets the session description of the
+//! endpoint, then the call is offered to the core. The final answer is an MDCX with the remote session description,
+//! or a DLCX with a tone. A set-up towards an endpoint is a CRCX that rings it; the call is established when NTFY
+//! reports off-hook, or with the response to CRCX if the gateway answers by itself. DLCX clears a call, and an
+//! endpoint is free again only when its DLCX has been answered.
 
 use super::super::upstream::lease::LEASE;
 use super::codes;
@@ -18,423 +19,433 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The port number that marks an office as a gateway; listed exchanges have another.
-const GATEWAY_MARK: u16 = 1;
-/// An endpoint that does not answer is audited this often (µs).
-const AUDIT: Micros = 5_000_000;
-/// While a call stands at an endpoint, its gateway is looked at this often (µs), and audited if it said nothing since.
-const LOOK: Micros = 2_000_000;
-/// The most digits that a caller may dial.
-const DIGITS_MOST: usize = 32;
-
-/// What makes a set-up stand.
+/// The port number that marks an [`ExchangeId`] as a gateway; exchanges of the coordinator's list never have it.
+const GATEWAY_PORT: u16 = 1;
+/// Interval between audits of an endpoint that does not answer (µs).
+const AUDIT_INTERVAL: Micros = 5_000_000;
+/// Interval between checks of the gateway of an established call (µs). A gateway from which nothing came since the
+/// last check is audited.
+const LEASE_CHECK_INTERVAL: Micros = 2_000_000;
+/// Maximum number of digits that are collected.
+const MAX_DIGITS: usize = 32;
+
+/// The event that establishes a call at an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum AnsweredBy {
-    /// The called side goes off hook.
+    /// The called endpoint goes off-hook.
     #[default]
     OffHook,
-    /// The gateway's answer to CRCX: the device has no hook.
+    /// The response to CRCX, for devices without a hook.
     Connection,
 }
 
-/// One gateway.
+/// Configuration of a gateway.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Gateway {
-    /// The domain in its endpoints' names, in small letters.
+    /// The domain part of its endpoint names, in lower case.
     pub name: String,
-    /// Its address.
+    /// The address of its MGCP socket.
     pub address: SocketAddr,
-    /// The exchange that it counts as.
+    /// The exchange number under which the core routes calls to it.
     pub exchange: ExchangeNumber,
-    /// Numbers that begin with this are its; none if empty.
+    /// The prefix of the numbers that it serves; if empty, no numbers.
     pub prefix: String,
-    /// Its endpoints' local names, in small letters.
+    /// The local parts of its endpoint names, in lower case.
     pub endpoints: Vec<String>,
-    /// What makes a set-up stand.
+    /// The event that establishes a call at its endpoints.
     pub answered_by: AnsweredBy,
 }
 
-/// What the agent is told.
+/// Configuration of the call agent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AgentConfig {
     /// The gateways.
     pub gateways: Vec<Gateway>,
-    /// Further numbers: prefix and exchange.
+    /// Prefixes of numbers at other exchanges, with the exchange.
     pub routes: Vec<(String, ExchangeNumber)>,
-    /// Digits of a number; dialling is over when they are complete.
+    /// Number of digits after which dialling is complete.
     pub number_length: usize,
-    /// The class of calls from endpoints.
+    /// Index of the class of calls from endpoints.
     pub class: usize,
-    /// How long a caller at an endpoint waits.
+    /// How long a call from an endpoint may wait for its final answer.
     pub client_timeout: Micros,
 }
 
-/// What a deadline of the agent is for.
+/// Identifies a timer of the agent. Endpoints are given by their index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AgentTimer {
-    /// Repeat the command of this transaction, or give it up.
+    /// Retransmit the command of this transaction, or give it up.
     Transaction(u32),
-    /// The caller at this port has waited for its own connection long enough.
+    /// The client timeout of a caller whose connection is being created: endpoint and MGCP call identifier.
     CallerConnection(usize, u64),
-    /// Audit this port.
+    /// Audit this endpoint.
     Audit(usize),
-    /// Look whether the gateway of this port is still there, while a call of this use stands at it.
+    /// Check the gateway of an established call: endpoint and MGCP call identifier.
     Lease(usize, u64),
 }
 
-/// What is to be done, or was learnt.
+/// Actions for the transport and reports to the core.
 #[derive(Debug, PartialEq)]
 pub enum AgentOutput {
     /// Send a datagram.
     Datagram(SocketAddr, Vec<u8>),
-    /// Come back then.
+    /// Call [`Agent::timer_expired`] at this time.
     SetTimer(Micros, AgentTimer),
-    /// Offer this call to the core, and then [`Agent::call_offered`] with the port.
+    /// Offer this call to the core, then call [`Agent::call_offered`] with the index of the endpoint.
     OfferCall(usize, Box<OfferedCall>),
-    /// The caller left.
+    /// The caller left before or after the call was established.
     CallerLeft(CallId),
-    /// A set-up was answered.
+    /// A set-up was answered, with the session description of the called endpoint.
     AttemptAnswered(CallId, AttemptNumber, Option<SessionDescription>),
-    /// An attempt ended, or a call that stood is over.
+    /// An attempt or an established call ended.
     AttemptEnded(CallId, AttemptNumber, (Ending, Cause)),
-    /// Free endpoints of a gateway, and how many there are.
+    /// The number of free endpoints of a gateway, and of all its endpoints.
     GroupReport(ExchangeId, LoadReport),
-    /// A gateway drains or serves again.
+    /// The state of a gateway changed.
     ListUpdate(ListEntry),
 }
 
-/// Counts since the start.
+/// Counters since the start of the program.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct AgentCounts {
-    /// CommandTransactions in, repeats not counted.
+    /// Commands received, without repeated ones.
     pub commands_in: u64,
-    /// CommandTransactions out, repeats not counted.
+    /// Commands sent, without retransmissions.
     pub commands_out: u64,
-    /// Messages that could not be used.
+    /// Messages that could not be parsed.
     pub unusable: u64,
-    /// CommandTransactions about endpoints that are not known.
+    /// Commands for unknown endpoints.
     pub unknown_endpoint: u64,
-    /// Set-ups answered after they were given up; each was released.
+    /// Connections created after the agent had given up their call; each was deleted.
     pub late_answers: u64,
-    /// CommandTransactions that got no answer.
+    /// Commands that got no final response.
     pub unanswered: u64,
-    /// Calls cut since their gateway said nothing any more.
+    /// Calls released because nothing came from their gateway any more.
     pub lease_expired: u64,
-    /// Calls that never reached the core: no such number, or no connection at the caller's side.
+    /// Calls that were not offered to the core: the number was unknown, or the caller's connection was not created.
     pub not_offered: u64,
 }
 
+/// What a pending command is for. Endpoints are given by their index, calls by their MGCP call identifier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Purpose {
-    /// Nothing hangs on the answer.
-    Request(usize),
-    /// The connection of a caller, or of a called endpoint.
-    Create(usize, u64),
-    /// The caller's connection is joined to the far side.
-    Join(usize, u64),
-    /// A connection is deleted, and the port is free then.
-    Delete(usize, u64),
-    /// A connection that came late is deleted.
-    DeleteLate(usize),
+    /// RQNT.
+    RequestNotification(usize),
+    /// CRCX for a caller or a called endpoint.
+    CreateConnection(usize, u64),
+    /// MDCX that connects the caller to the far end.
+    ConnectCaller(usize, u64),
+    /// DLCX after which the endpoint is free.
+    DeleteConnection(usize, u64),
+    /// DLCX for a connection that was created after the agent had given it up.
+    DeleteLateConnection(usize),
+    /// AUEP.
     Audit(usize),
 }
 
 #[derive(Clone, Debug, PartialEq)]
-enum Role {
+enum EndpointState {
+    /// On-hook and free.
     Idle,
-    /// Off hook, with these digits so far.
+    /// Off-hook, with the digits dialled so far.
     Dialling(String),
-    /// The caller's connection is being made.
-    Preparing {
-        to: ExchangeNumber,
-        number: String,
-        until: Micros,
-    },
-    /// The call is with the core.
+    /// CRCX for a caller has been sent.
+    CreatingConnection { destination: ExchangeNumber, number: String, deadline: Micros },
+    /// The call has been offered to the core, which may not have assigned its identifier yet.
     Offered(Option<CallId>),
-    /// The caller's call stands.
-    Talking(CallId),
-    /// It hears a tone, or nothing; its hook is waited for.
-    Tone,
-    /// A set-up of the core.
-    Called {
-        call: CallId,
-        attempt: AttemptNumber,
-        stage: Stage,
-    },
-    /// DLCX is out.
-    Clearing,
-    /// It did not answer; it is audited until it does.
-    Silent,
+    /// The call from this endpoint is established.
+    Established(CallId),
+    /// The call has ended; the caller hears a tone or silence until it goes on-hook.
+    AwaitingOnHook,
+    /// The core is setting up, or has established, a call to this endpoint.
+    Called { call: CallId, attempt: AttemptNumber, stage: SetUpStage },
+    /// DLCX has been sent.
+    Deleting,
+    /// A command was not answered; the endpoint is audited until it answers.
+    Unresponsive,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-enum Stage {
-    Creating,
+enum SetUpStage {
+    CreatingConnection,
+    /// Holds the session description of the called endpoint.
     Ringing(Option<SessionDescription>),
-    Standing,
+    Established,
 }
 
 #[derive(Debug)]
-struct Port {
-    endpoint: EndpointName,
+struct Endpoint {
+    name: EndpointName,
+    /// Index of the gateway.
     gateway: usize,
-    role: Role,
-    /// The call identifier of the present use.
-    use_id: u64,
+    state: EndpointState,
+    /// The MGCP call identifier (parameter C) of the current call; 0 stands for any call.
+    mgcp_call_id: u64,
+    /// The connection identifier that the gateway assigned.
     connection: Option<String>,
-    /// The transaction of CRCX, while it is not answered.
-    creating: Option<u32>,
-    /// The request that notifications must name.
-    request: u32,
-    number: Option<String>,
+    /// The transaction of a CRCX that has not been answered.
+    create_transaction: Option<u32>,
+    /// The request identifier (parameter X) that notifications must carry.
+    request_id: u32,
+    dialled_number: Option<String>,
 }
 
 /// The call agent.
 #[derive(Debug)]
 pub struct Agent {
-    front: FrontendId,
+    frontend: FrontendId,
     config: AgentConfig,
-    ports: Vec<Port>,
-    states: Vec<(ListState, Option<Micros>)>,
-    told: Vec<Option<usize>>,
-    /// When each gateway last said something.
-    heard: Vec<Micros>,
-    turns: Vec<usize>,
-    calls: BTreeMap<CallId, usize>,
-    legs: BTreeMap<CallId, usize>,
+    endpoints: Vec<Endpoint>,
+    /// State and last restart of each gateway.
+    gateway_states: Vec<(ListState, Option<Micros>)>,
+    /// The number of free endpoints last reported for each gateway.
+    reported_free: Vec<Option<usize>>,
+    /// When a datagram last came from each gateway.
+    last_heard: Vec<Micros>,
+    /// Where the search for a free endpoint of each gateway starts.
+    next_endpoint: Vec<usize>,
+    /// Calls from endpoints, with the index of the endpoint.
+    originating_calls: BTreeMap<CallId, usize>,
+    /// Calls set up at endpoints, with the index of the endpoint.
+    terminating_calls: BTreeMap<CallId, usize>,
     transactions: CommandTransactions<Purpose>,
     history: ResponseHistory,
-    next_use: u64,
-    next_request: u32,
-    out: Vec<AgentOutput>,
+    next_mgcp_call_id: u64,
+    next_request_id: u32,
+    outputs: Vec<AgentOutput>,
     counts: AgentCounts,
 }
 
 impl Agent {
-    /// An agent that has sent nothing yet.
-    pub fn new(front: FrontendId, config: AgentConfig, seed: u64) -> Self {
-        let mut ports = Vec::new();
-        for (gateway, g) in config.gateways.iter().enumerate() {
-            for local in &g.endpoints {
-                let endpoint = EndpointName { local: local.clone(), domain: g.name.clone() };
-                let (role, use_id, request) = (Role::Idle, 0, 0);
-                ports.push(Port {
-                    endpoint,
-                    gateway,
-                    role,
-                    use_id,
+    /// Creates an agent; [`Agent::start`] sends the first commands.
+    pub fn new(frontend: FrontendId, config: AgentConfig, seed: u64) -> Self {
+        let mut endpoints = Vec::new();
+        for (index, gateway) in config.gateways.iter().enumerate() {
+            for local in &gateway.endpoints {
+                let name = EndpointName { local: local.clone(), domain: gateway.name.clone() };
+                endpoints.push(Endpoint {
+                    name,
+                    gateway: index,
+                    state: EndpointState::Idle,
+                    mgcp_call_id: 0,
                     connection: None,
-                    creating: None,
-                    request,
-                    number: None,
+                    create_transaction: None,
+                    request_id: 0,
+                    dialled_number: None,
                 });
             }
         }
         let n = config.gateways.len();
         Agent {
-            front,
-            ports,
-            states: vec![(ListState::Ready, None); n],
-            told: vec![None; n],
-            heard: vec![0; n],
-            turns: vec![0; n],
-            calls: BTreeMap::new(),
-            legs: BTreeMap::new(),
+            frontend,
+            endpoints,
+            gateway_states: vec![(ListState::Ready, None); n],
+            reported_free: vec![None; n],
+            last_heard: vec![0; n],
+            next_endpoint: vec![0; n],
+            originating_calls: BTreeMap::new(),
+            terminating_calls: BTreeMap::new(),
             transactions: CommandTransactions::new(seed),
             history: ResponseHistory::default(),
-            // Not the identifiers of the life before: a gateway may still hold those.
-            next_use: seed.rotate_left(17) | 1,
-            next_request: (seed >> 40) as u32,
-            out: Vec::new(),
+            // Start from the seed: gateways may still hold identifiers of the previous run.
+            next_mgcp_call_id: seed.rotate_left(17) | 1,
+            next_request_id: (seed >> 40) as u32,
+            outputs: Vec::new(),
             counts: AgentCounts::default(),
             config,
         }
     }
 
-    /// Asks every endpoint for its hook, and tells of the gateways' groups. What is left of an earlier life at
-    /// the endpoints is deleted first.
+    /// Deletes the connections that a previous run left at the endpoints, and reports the free endpoints of each
+    /// gateway. When its DLCX is answered, an endpoint is asked to report off-hook.
     pub fn start(&mut self, now: Micros) {
-        (0..self.ports.len()).for_each(|p| self.delete(now, p, Params::default(), Role::Clearing));
-        self.tell_groups();
+        (0..self.endpoints.len())
+            .for_each(|index| self.delete_connection(now, index, Params::default(), EndpointState::Deleting));
+        self.report_free_endpoints();
     }
 
-    /// The gateways as entries of the list.
+    /// The gateways as entries of the list of exchanges.
     pub fn list_entries(&self) -> Vec<ListEntry> {
-        (0..self.config.gateways.len()).map(|g| self.entry(g)).collect()
+        (0..self.config.gateways.len()).map(|gateway| self.entry(gateway)).collect()
     }
 
-    /// Whether this office is a gateway of the agent's.
-    pub fn serves(&self, office: ExchangeId) -> bool {
-        self.gateway_of(office).is_some()
+    /// Whether the exchange is one of the agent's gateways.
+    pub fn serves(&self, exchange_id: ExchangeId) -> bool {
+        self.gateway_of(exchange_id).is_some()
     }
 
-    /// The number that the caller of this call dialled.
+    /// The number dialled by the caller, if the call comes from an endpoint.
     pub fn dialled_number(&self, call: CallId) -> Option<&str> {
-        self.calls.get(&call).and_then(|&p| self.ports[p].number.as_deref())
+        self.originating_calls.get(&call).and_then(|&index| self.endpoints[index].dialled_number.as_deref())
     }
 
-    /// What is to be done, in order.
+    /// Removes and returns the pending outputs, in order.
     pub fn take_outputs(&mut self) -> Vec<AgentOutput> {
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outputs)
     }
 
-    /// Counts since the start.
+    /// Counters since the start of the program.
     pub fn counts(&self) -> AgentCounts {
         self.counts
     }
 
-    /// Repeats: commands sent again, and commands answered again.
+    /// Number of retransmitted commands, and of repeated commands that were answered again.
     pub fn repeats(&self) -> (u64, u64) {
         (self.transactions.retransmissions, self.history.repeated_commands)
     }
 
-    /// The gateways, for the console: name, state, free endpoints, endpoints.
+    /// Name, state, number of free endpoints and number of endpoints of each gateway.
     pub fn gateway_summaries(&self) -> impl Iterator<Item = (&str, ListState, usize, usize)> + '_ {
-        let named = self.config.gateways.iter().zip(&self.states).enumerate();
-        named.map(|(i, (g, s))| (g.name.as_str(), s.0, self.free(i), g.endpoints.len()))
+        let gateways = self.config.gateways.iter().zip(&self.gateway_states).enumerate();
+        gateways.map(|(i, (gateway, state))| {
+            (gateway.name.as_str(), state.0, self.free_endpoints(i), gateway.endpoints.len())
+        })
     }
 
-    fn office(g: usize) -> ExchangeId {
-        ExchangeId { addr: (g as u32).to_be_bytes(), port: GATEWAY_MARK }
+    fn exchange_id_of(gateway: usize) -> ExchangeId {
+        ExchangeId { addr: (gateway as u32).to_be_bytes(), port: GATEWAY_PORT }
     }
 
-    fn gateway_of(&self, office: ExchangeId) -> Option<usize> {
-        let g = u32::from_be_bytes(office.addr) as usize;
-        (office.port == GATEWAY_MARK && g < self.config.gateways.len()).then_some(g)
+    fn gateway_of(&self, exchange_id: ExchangeId) -> Option<usize> {
+        let gateway = u32::from_be_bytes(exchange_id.addr) as usize;
+        (exchange_id.port == GATEWAY_PORT && gateway < self.config.gateways.len()).then_some(gateway)
     }
 
-    fn entry(&self, g: usize) -> ListEntry {
-        let (state, last_start) = self.states[g];
-        let exchange = self.config.gateways[g].exchange;
-        ListEntry { exchange, zone: 0, state, exchange_id: Self::office(g), last_start }
+    fn entry(&self, gateway: usize) -> ListEntry {
+        let (state, last_start) = self.gateway_states[gateway];
+        let exchange = self.config.gateways[gateway].exchange;
+        ListEntry { exchange, zone: 0, state, exchange_id: Self::exchange_id_of(gateway), last_start }
     }
 
     // ---- Datagrams ----
 
-    /// A datagram from a gateway.
+    /// Handles a datagram from a gateway.
     pub fn datagram(&mut self, now: Micros, from: SocketAddr, body: &[u8]) {
-        for (gateway, heard) in self.config.gateways.iter().zip(&mut self.heard) {
-            *heard = if gateway.address == from { now } else { *heard };
-        }
-        for packet in message::parse(body) {
-            match packet {
-                Ok(Message::Command(c)) => self.command(now, from, &c),
-                Ok(Message::Response(r)) => self.response(now, from, r),
-                Err(u) => {
+        for (gateway, last_heard) in self.config.gateways.iter().zip(&mut self.last_heard) {
+            *last_heard = if gateway.address == from { now } else { *last_heard };
+        }
+        for message in message::parse(body) {
+            match message {
+                Ok(Message::Command(command)) => self.handle_command(now, from, &command),
+                Ok(Message::Response(response)) => self.handle_response(now, from, response),
+                Err(invalid) => {
                     self.counts.unusable += 1;
-                    if let Some(id) = u.transaction {
-                        self.reply(now, from, id, |_| Response::new(u.code, id));
+                    if let Some(id) = invalid.transaction {
+                        self.reply(now, from, id, |_| Response::new(invalid.code, id));
                     }
                 }
             }
         }
-        self.tell_groups();
+        self.report_free_endpoints();
     }
 
-    fn command(&mut self, now: Micros, from: SocketAddr, c: &Command) {
-        if let Some(list) = c.params.get("K") {
+    fn handle_command(&mut self, now: Micros, from: SocketAddr, command: &Command) {
+        if let Some(list) = command.params.get("K") {
             self.history.acknowledge(from, list);
         }
-        self.reply(now, from, c.transaction, |agent| {
+        self.reply(now, from, command.transaction, |agent| {
             agent.counts.commands_in += 1;
-            let code = agent.run(now, from, c);
-            Response::new(code, c.transaction)
+            let code = agent.execute(now, from, command);
+            Response::new(code, command.transaction)
         });
     }
 
-    /// Answers a command: from the history if it came before, so that it is run once and only once.
-    fn reply(&mut self, now: Micros, from: SocketAddr, id: u32, run: impl FnOnce(&mut Self) -> Response) {
-        // The response goes before the commands that follow from it.
-        let place = self.out.len();
+    /// Answers a command. A repeated command gets its response from the history, so that it is executed only once.
+    fn reply(&mut self, now: Micros, from: SocketAddr, id: u32, execute: impl FnOnce(&mut Self) -> Response) {
+        // The response is sent before the commands that result from executing the command.
+        let position = self.outputs.len();
         let text = match self.history.lookup(now, from, id) {
             Some(text) => text,
             None => {
-                let text = run(self).encode();
+                let text = execute(self).encode();
                 self.history.insert(now, from, id, text.clone());
                 text
             }
         };
-        self.out.insert(place, AgentOutput::Datagram(from, text.into_bytes()));
+        self.outputs.insert(position, AgentOutput::Datagram(from, text.into_bytes()));
     }
 
-    /// Runs a gateway's command and gives its return code.
-    fn run(&mut self, now: Micros, from: SocketAddr, c: &Command) -> u16 {
-        let known = |g: &Gateway| g.name == c.endpoint.domain && g.address.ip() == from.ip();
-        let Some(g) = self.config.gateways.iter().position(known) else {
+    /// Executes a gateway's command and returns the return code.
+    fn execute(&mut self, now: Micros, from: SocketAddr, command: &Command) -> u16 {
+        let sent_by =
+            |gateway: &Gateway| gateway.name == command.endpoint.domain && gateway.address.ip() == from.ip();
+        let Some(gateway) = self.config.gateways.iter().position(sent_by) else {
             self.counts.unknown_endpoint += 1;
             return 500;
         };
-        let matches = |local: &str| match c.endpoint.local.strip_suffix('*') {
-            Some(head) => local.starts_with(head),
-            None => local == c.endpoint.local,
+        let matches = |local: &str| match command.endpoint.local.strip_suffix('*') {
+            Some(prefix) => local.starts_with(prefix),
+            None => local == command.endpoint.local,
         };
-        let ports: Vec<usize> = (0..self.ports.len())
-            .filter(|&p| self.ports[p].gateway == g && matches(&self.ports[p].endpoint.local))
+        let indices: Vec<usize> = (0..self.endpoints.len())
+            .filter(|&index| {
+                self.endpoints[index].gateway == gateway && matches(&self.endpoints[index].name.local)
+            })
             .collect();
-        let Some(&first) = ports.first() else {
+        let Some(&first) = indices.first() else {
             self.counts.unknown_endpoint += 1;
             return 500;
         };
-        match c.verb {
+        match command.verb {
             Verb::Ntfy => {
-                let x = c.params.get("X").unwrap_or("0");
-                // A notification for an earlier request tells of what is past; it is acknowledged only.
-                let current = x == "0" || x.eq_ignore_ascii_case(&request_name(self.ports[first].request));
-                let Some(observed) = c.params.get("O") else { return 510 };
+                let request_id = command.params.get("X").unwrap_or("0");
+                // A notification for an earlier request is outdated; it is only acknowledged.
+                let current = request_id == "0"
+                    || request_id.eq_ignore_ascii_case(&format_request_id(self.endpoints[first].request_id));
+                let Some(observed) = command.params.get("O") else { return 510 };
                 if current {
-                    self.notified(now, first, &parse_events(observed));
+                    self.handle_events(now, first, &parse_events(observed));
                 }
                 200
             }
-            Verb::Rsip => self.restarting(now, g, &ports, c),
+            Verb::Rsip => self.handle_restart(now, gateway, &indices, command),
             Verb::Dlcx => {
-                let port = &self.ports[first];
-                let wrong = |mine: Option<&str>, told: Option<&str>| {
-                    told.is_some_and(|t| mine.is_none_or(|m| !m.eq_ignore_ascii_case(t)))
+                let endpoint = &self.endpoints[first];
+                let differs = |expected: Option<&str>, received: Option<&str>| {
+                    received.is_some_and(|r| expected.is_none_or(|e| !e.eq_ignore_ascii_case(r)))
                 };
-                if wrong(Some(&use_name(port.use_id)), c.params.get("C")) {
+                if differs(Some(&format_call_id(endpoint.mgcp_call_id)), command.params.get("C")) {
                     return 516;
                 }
-                if wrong(port.connection.as_deref(), c.params.get("I")) {
+                if differs(endpoint.connection.as_deref(), command.params.get("I")) {
                     return 515;
                 }
-                self.lost(first);
-                self.idle(now, first);
+                self.end_call(first);
+                self.make_idle(now, first);
                 250
             }
             Verb::Rqnt | Verb::Crcx | Verb::Mdcx | Verb::Auep => message::parse_error::VERB,
         }
     }
 
-    fn restarting(&mut self, now: Micros, g: usize, ports: &[usize], c: &Command) -> u16 {
-        let whole = ports.len() == self.config.gateways[g].endpoints.len();
-        let method = c.params.get("RM").unwrap_or("restart").to_ascii_lowercase();
+    fn handle_restart(&mut self, now: Micros, gateway: usize, indices: &[usize], command: &Command) -> u16 {
+        let whole_gateway = indices.len() == self.config.gateways[gateway].endpoints.len();
+        let method = command.params.get("RM").unwrap_or("restart").to_ascii_lowercase();
         let state = match method.as_str() {
-            "graceful" => (ListState::Draining, self.states[g].1),
-            "forced" => (ListState::Draining, self.states[g].1),
+            "graceful" => (ListState::Draining, self.gateway_states[gateway].1),
+            "forced" => (ListState::Draining, self.gateway_states[gateway].1),
             "restart" => (ListState::Ready, Some(now)),
-            "cancel-graceful" => (ListState::Ready, self.states[g].1),
+            "cancel-graceful" => (ListState::Ready, self.gateway_states[gateway].1),
             "disconnected" => {
-                ports.iter().for_each(|&p| self.audit(now, p));
+                indices.iter().for_each(|&index| self.audit(now, index));
                 return 200;
             }
             _ => return 510,
         };
-        // The list first: the core must know of the drain before it decides on what ended.
-        if whole && self.states[g] != state {
-            self.states[g] = state;
-            self.out.push(AgentOutput::ListUpdate(self.entry(g)));
+        // The list update comes first: the core must know of the drain before it decides on the calls that end.
+        if whole_gateway && self.gateway_states[gateway] != state {
+            self.gateway_states[gateway] = state;
+            self.outputs.push(AgentOutput::ListUpdate(self.entry(gateway)));
         }
-        for &p in ports {
+        for &index in indices {
             match method.as_str() {
                 "restart" => {
-                    self.lost(p);
-                    self.idle(now, p);
+                    self.end_call(index);
+                    self.make_idle(now, index);
                 }
                 "forced" => {
-                    self.lost(p);
-                    self.silent(now, p);
+                    self.end_call(index);
+                    self.mark_unresponsive(now, index);
                 }
                 _ => {}
             }
@@ -442,478 +453,545 @@
         200
     }
 
-    /// What a port's endpoint has seen.
-    fn notified(&mut self, now: Micros, p: usize, seen: &[(String, String)]) {
-        for (package, event) in seen {
+    /// Handles the events that an endpoint observed.
+    fn handle_events(&mut self, now: Micros, index: usize, observed: &[(String, String)]) {
+        for (package, event) in observed {
             match (package.as_str(), event.as_str()) {
-                ("l", "hd") => self.off_hook(now, p),
-                ("l", "hu") => self.on_hook(now, p),
+                ("l", "hd") => self.off_hook(now, index),
+                ("l", "hu") => self.on_hook(now, index),
                 ("d", digit) => {
-                    if let Role::Dialling(digits) = &mut self.ports[p].role {
-                        let ended = matches!(digit, "t" | "#");
-                        if !ended && digits.len() < DIGITS_MOST {
+                    if let EndpointState::Dialling(digits) = &mut self.endpoints[index].state {
+                        let complete = matches!(digit, "t" | "#");
+                        if !complete && digits.len() < MAX_DIGITS {
                             digits.push_str(digit);
                         }
-                        if ended || digits.len() >= self.config.number_length {
+                        if complete || digits.len() >= self.config.number_length {
                             let number = std::mem::take(digits);
-                            self.dialled(now, p, number);
+                            self.handle_number(now, index, number);
                         }
                     }
                 }
                 _ => {}
             }
         }
-        if matches!(&self.ports[p].role, Role::Dialling(_)) {
-            let ask =
+        if matches!(&self.endpoints[index].state, EndpointState::Dialling(_)) {
+            let params =
                 Params::default().with("R", "L/hu(N), D/[0-9*#T](D)").with("D", "(x.T)").with("S", "L/dl");
-            self.request(now, p, ask);
+            self.request_notification(now, index, params);
         }
     }
 
-    fn off_hook(&mut self, now: Micros, p: usize) {
-        match self.ports[p].role.clone() {
-            Role::Idle => self.ports[p].role = Role::Dialling(String::new()),
-            Role::Called { call, attempt, stage: Stage::Ringing(text) } => {
-                self.ports[p].role = Role::Called { call, attempt, stage: Stage::Standing };
-                self.request(now, p, Params::default().with("R", "L/hu(N)"));
-                self.watch_lease(now, p);
-                self.out.push(AgentOutput::AttemptAnswered(call, attempt, text));
+    fn off_hook(&mut self, now: Micros, index: usize) {
+        match self.endpoints[index].state.clone() {
+            EndpointState::Idle => self.endpoints[index].state = EndpointState::Dialling(String::new()),
+            EndpointState::Called { call, attempt, stage: SetUpStage::Ringing(description) } => {
+                self.endpoints[index].state =
+                    EndpointState::Called { call, attempt, stage: SetUpStage::Established };
+                self.request_notification(now, index, Params::default().with("R", "L/hu(N)"));
+                self.schedule_lease_check(now, index);
+                self.outputs.push(AgentOutput::AttemptAnswered(call, attempt, description));
             }
             _ => {}
         }
     }
 
-    fn on_hook(&mut self, now: Micros, p: usize) {
-        match self.ports[p].role.clone() {
-            Role::Dialling(_) => self.idle(now, p),
-            // The DLCX that brought the tone may have been lost: what it was for is asked for again.
-            Role::Tone | Role::Preparing { .. } => self.delete(now, p, Params::default(), Role::Clearing),
-            Role::Offered(_) | Role::Talking(_) => {
-                self.lost(p);
-                self.delete(now, p, Params::default(), Role::Clearing);
+    fn on_hook(&mut self, now: Micros, index: usize) {
+        match self.endpoints[index].state.clone() {
+            EndpointState::Dialling(_) => self.make_idle(now, index),
+            // The DLCX that started the tone may have been lost, so the connection is deleted again.
+            EndpointState::AwaitingOnHook | EndpointState::CreatingConnection { .. } => {
+                self.delete_connection(now, index, Params::default(), EndpointState::Deleting)
+            }
+            EndpointState::Offered(_) | EndpointState::Established(_) => {
+                self.end_call(index);
+                self.delete_connection(now, index, Params::default(), EndpointState::Deleting);
             }
-            Role::Called { call, attempt, stage: Stage::Standing } => {
-                self.legs.remove(&call);
-                self.out.push(AgentOutput::AttemptEnded(call, attempt, (Ending::Completed, Cause::None)));
-                self.delete(now, p, Params::default(), Role::Clearing);
+            EndpointState::Called { call, attempt, stage: SetUpStage::Established } => {
+                self.terminating_calls.remove(&call);
+                self.outputs.push(AgentOutput::AttemptEnded(call, attempt, (Ending::Completed, Cause::None)));
+                self.delete_connection(now, index, Params::default(), EndpointState::Deleting);
             }
-            Role::Idle | Role::Called { .. } | Role::Clearing | Role::Silent => {}
+            EndpointState::Idle
+            | EndpointState::Called { .. }
+            | EndpointState::Deleting
+            | EndpointState::Unresponsive => {}
         }
     }
 
-    fn dialled(&mut self, now: Micros, p: usize, number: String) {
-        let own = self.config.gateways.iter().map(|g| (&g.prefix, g.exchange));
-        let all = own.chain(self.config.routes.iter().map(|r| (&r.0, r.1)));
-        let fits = all.filter(|r| !r.0.is_empty() && number.starts_with(r.0.as_str()));
-        let Some((_, to)) = fits.max_by_key(|r| r.0.len()) else {
+    fn handle_number(&mut self, now: Micros, index: usize, number: String) {
+        let own_prefixes = self.config.gateways.iter().map(|gateway| (&gateway.prefix, gateway.exchange));
+        let prefixes =
+            own_prefixes.chain(self.config.routes.iter().map(|(prefix, exchange)| (prefix, *exchange)));
+        let matching = prefixes.filter(|r| !r.0.is_empty() && number.starts_with(r.0.as_str()));
+        let Some((_, destination)) = matching.max_by_key(|r| r.0.len()) else {
             self.counts.not_offered += 1;
-            self.ports[p].role = Role::Tone;
-            return self.request(now, p, Params::default().with("R", "L/hu(N)").with("S", "L/ro"));
+            self.endpoints[index].state = EndpointState::AwaitingOnHook;
+            return self.request_notification(
+                now,
+                index,
+                Params::default().with("R", "L/hu(N)").with("S", "L/ro"),
+            );
         };
-        let until = now + self.config.client_timeout;
-        self.begin(now, p, Role::Preparing { to, number, until });
+        let deadline = now + self.config.client_timeout;
+        self.reset_endpoint(now, index, EndpointState::CreatingConnection { destination, number, deadline });
         let params = Params::default().with("M", "recvonly").with("R", "L/hu(N)");
-        let id = self.ports[p].use_id;
-        self.create(now, p, params, None);
-        self.out.push(AgentOutput::SetTimer(until, AgentTimer::CallerConnection(p, id)));
+        let mgcp_call_id = self.endpoints[index].mgcp_call_id;
+        self.create_connection(now, index, params, None);
+        self.outputs.push(AgentOutput::SetTimer(deadline, AgentTimer::CallerConnection(index, mgcp_call_id)));
     }
 
     // ---- Responses ----
 
-    fn response(&mut self, now: Micros, from: SocketAddr, r: Response) {
-        let outcome = self.transactions.handle_response(now, from, &r);
+    fn handle_response(&mut self, now: Micros, from: SocketAddr, response: Response) {
+        let outcome = self.transactions.handle_response(now, from, &response);
         if let Some(at) = outcome.deadline {
-            self.out.push(AgentOutput::SetTimer(at, AgentTimer::Transaction(r.transaction)));
+            self.outputs.push(AgentOutput::SetTimer(at, AgentTimer::Transaction(response.transaction)));
         }
         if let Some(text) = outcome.acknowledgement {
-            self.out.push(AgentOutput::Datagram(from, text.into_bytes()));
+            self.outputs.push(AgentOutput::Datagram(from, text.into_bytes()));
         }
-        let good = (200..300).contains(&r.code);
+        let succeeded = (200..300).contains(&response.code);
         match outcome.purpose {
-            Some(Purpose::Create(p, id)) => self.created(now, p, id, r),
-            Some(Purpose::Join(p, id)) if !good && self.ports[p].use_id == id => {
-                // The caller can't be joined to its call: the call is over on both sides.
-                self.lost(p);
-                self.delete(now, p, Params::default().with("S", "L/ro").with("R", "L/hu(N)"), Role::Tone);
-            }
-            Some(Purpose::Delete(p, id))
-                if self.ports[p].use_id == id && self.ports[p].role == Role::Clearing =>
+            Some(Purpose::CreateConnection(index, mgcp_call_id)) => {
+                self.handle_create_response(now, index, mgcp_call_id, response)
+            }
+            Some(Purpose::ConnectCaller(index, mgcp_call_id))
+                if !succeeded && self.endpoints[index].mgcp_call_id == mgcp_call_id =>
             {
-                self.idle(now, p);
+                // The caller cannot be connected, so the call ends on both sides.
+                self.end_call(index);
+                self.delete_connection(
+                    now,
+                    index,
+                    Params::default().with("S", "L/ro").with("R", "L/hu(N)"),
+                    EndpointState::AwaitingOnHook,
+                );
             }
-            Some(Purpose::Audit(p)) if self.ports[p].role == Role::Silent => {
-                if good {
-                    // It is back, and may still hold what it held when it fell silent.
-                    self.delete(now, p, Params::default(), Role::Clearing);
+            Some(Purpose::DeleteConnection(index, mgcp_call_id))
+                if self.endpoints[index].mgcp_call_id == mgcp_call_id
+                    && self.endpoints[index].state == EndpointState::Deleting =>
+            {
+                self.make_idle(now, index);
+            }
+            Some(Purpose::Audit(index)) if self.endpoints[index].state == EndpointState::Unresponsive => {
+                if succeeded {
+                    // The endpoint may still hold the connections it had when it stopped answering.
+                    self.delete_connection(now, index, Params::default(), EndpointState::Deleting);
                 } else {
-                    self.out.push(AgentOutput::SetTimer(now + AUDIT, AgentTimer::Audit(p)));
+                    self.outputs.push(AgentOutput::SetTimer(now + AUDIT_INTERVAL, AgentTimer::Audit(index)));
                 }
             }
             _ => {}
         }
     }
 
-    /// The answer to CRCX.
-    fn created(&mut self, now: Micros, p: usize, id: u64, r: Response) {
-        let good = (200..300).contains(&r.code);
-        let connection = r.params.get("I").map(str::to_owned);
-        let text = r.sdp.map(|s| SessionDescription(s.into()));
-        if self.ports[p].use_id != id || !self.ports[p].awaits_connection() {
-            if good {
-                // Guards against a connection that nobody owns: it was given up while its answer was on the way.
+    /// Handles the final response to CRCX.
+    fn handle_create_response(&mut self, now: Micros, index: usize, mgcp_call_id: u64, response: Response) {
+        let succeeded = (200..300).contains(&response.code);
+        let connection = response.params.get("I").map(str::to_owned);
+        let description = response.sdp.map(|s| SessionDescription(s.into()));
+        if self.endpoints[index].mgcp_call_id != mgcp_call_id || !self.endpoints[index].awaits_connection() {
+            if succeeded {
+                // The call was given up before the response came, so nothing else would delete the connection.
                 self.counts.late_answers += 1;
-                let mut c = new_command(Verb::Dlcx, self.ports[p].endpoint.clone());
-                c.params = Params::default().with("C", use_name(id));
-                if let Some(i) = connection {
-                    c.params = c.params.with("I", i);
+                let mut command = new_command(Verb::Dlcx, self.endpoints[index].name.clone());
+                command.params = Params::default().with("C", format_call_id(mgcp_call_id));
+                if let Some(connection) = connection {
+                    command.params = command.params.with("I", connection);
                 }
-                self.send(now, p, c, Purpose::DeleteLate(p));
+                self.send(now, index, command, Purpose::DeleteLateConnection(index));
             }
             return;
         }
-        self.ports[p].creating = None;
-        let automatic = self.config.gateways[self.ports[p].gateway].answered_by == AnsweredBy::Connection;
-        match (self.ports[p].role.clone(), good) {
-            (Role::Preparing { to, number, until }, true) => {
-                self.ports[p].connection = connection;
-                self.ports[p].number = Some(number.clone());
-                self.ports[p].role = Role::Offered(None);
-                let ask = NewCall {
+        self.endpoints[index].create_transaction = None;
+        let answers_by_connection =
+            self.config.gateways[self.endpoints[index].gateway].answered_by == AnsweredBy::Connection;
+        match (self.endpoints[index].state.clone(), succeeded) {
+            (EndpointState::CreatingConnection { destination, number, deadline }, true) => {
+                self.endpoints[index].connection = connection;
+                self.endpoints[index].dialled_number = Some(number.clone());
+                self.endpoints[index].state = EndpointState::Offered(None);
+                let new_call = NewCall {
                     call: CallId(0),
-                    destination: to,
+                    destination,
                     transit: false,
                     redialled: false,
                     cut_before: false,
                     number: number.parse().ok(),
                     circuits: 1,
-                    remaining_time: (until - now).max(0),
+                    remaining_time: (deadline - now).max(0),
                     class: self.config.class,
                     via: None,
                     earliest_attempt: 0,
                 };
-                let offer = OfferedCall { frontend: self.front, new_call: ask, description: text };
-                self.out.push(AgentOutput::OfferCall(p, Box::new(offer)));
+                let offer = OfferedCall { frontend: self.frontend, new_call, description: description };
+                self.outputs.push(AgentOutput::OfferCall(index, Box::new(offer)));
             }
-            (Role::Preparing { .. }, false) => {
+            (EndpointState::CreatingConnection { .. }, false) => {
                 self.counts.not_offered += 1;
-                self.ports[p].role = Role::Tone;
-                self.request(now, p, Params::default().with("R", "L/hu(N)").with("S", "L/ro"));
-            }
-            (Role::Called { call, attempt, .. }, true) => {
-                self.ports[p].connection = connection;
-                if automatic {
-                    self.ports[p].role = Role::Called { call, attempt, stage: Stage::Standing };
-                    self.watch_lease(now, p);
-                    self.out.push(AgentOutput::AttemptAnswered(call, attempt, text));
+                self.endpoints[index].state = EndpointState::AwaitingOnHook;
+                self.request_notification(
+                    now,
+                    index,
+                    Params::default().with("R", "L/hu(N)").with("S", "L/ro"),
+                );
+            }
+            (EndpointState::Called { call, attempt, .. }, true) => {
+                self.endpoints[index].connection = connection;
+                if answers_by_connection {
+                    self.endpoints[index].state =
+                        EndpointState::Called { call, attempt, stage: SetUpStage::Established };
+                    self.schedule_lease_check(now, index);
+                    self.outputs.push(AgentOutput::AttemptAnswered(call, attempt, description));
                 } else {
-                    self.ports[p].role = Role::Called { call, attempt, stage: Stage::Ringing(text) };
+                    self.endpoints[index].state =
+                        EndpointState::Called { call, attempt, stage: SetUpStage::Ringing(description) };
                 }
             }
-            (Role::Called { call, attempt, .. }, false) => {
-                self.legs.remove(&call);
-                self.out.push(AgentOutput::AttemptEnded(call, attempt, codes::outcome(r.code)));
-                self.idle(now, p);
+            (EndpointState::Called { call, attempt, .. }, false) => {
+                self.terminating_calls.remove(&call);
+                self.outputs.push(AgentOutput::AttemptEnded(call, attempt, codes::outcome(response.code)));
+                self.make_idle(now, index);
             }
             _ => {}
         }
     }
 
-    /// A deadline has come.
+    /// Handles an expired timer.
     pub fn timer_expired(&mut self, now: Micros, timer: AgentTimer) {
         match timer {
             AgentTimer::Transaction(id) => match self.transactions.timer_expired(now, id) {
                 TimeoutAction::Ignore => {}
                 TimeoutAction::Retransmit(to, text, at) => {
-                    self.out.push(AgentOutput::Datagram(to, text.into_bytes()));
-                    self.out.push(AgentOutput::SetTimer(at, timer));
+                    self.outputs.push(AgentOutput::Datagram(to, text.into_bytes()));
+                    self.outputs.push(AgentOutput::SetTimer(at, timer));
                 }
-                TimeoutAction::GiveUp(purpose) => self.unanswered(now, purpose),
+                TimeoutAction::GiveUp(purpose) => self.handle_unanswered(now, purpose),
             },
-            AgentTimer::CallerConnection(p, id) => {
-                if self.ports[p].use_id == id && matches!(self.ports[p].role, Role::Preparing { .. }) {
+            AgentTimer::CallerConnection(index, mgcp_call_id) => {
+                if self.endpoints[index].mgcp_call_id == mgcp_call_id
+                    && matches!(self.endpoints[index].state, EndpointState::CreatingConnection { .. })
+                {
                     self.counts.not_offered += 1;
-                    self.delete(now, p, Params::default(), Role::Clearing);
+                    self.delete_connection(now, index, Params::default(), EndpointState::Deleting);
                 }
             }
-            AgentTimer::Audit(p) => self.audit(now, p),
-            AgentTimer::Lease(p, id) if self.ports[p].use_id == id => self.look_at_lease(now, p),
+            AgentTimer::Audit(index) => self.audit(now, index),
+            AgentTimer::Lease(index, mgcp_call_id) if self.endpoints[index].mgcp_call_id == mgcp_call_id => {
+                self.check_lease(now, index)
+            }
             AgentTimer::Lease(..) => {}
         }
-        self.tell_groups();
+        self.report_free_endpoints();
     }
 
-    fn unanswered(&mut self, now: Micros, purpose: Purpose) {
+    fn handle_unanswered(&mut self, now: Micros, purpose: Purpose) {
         self.counts.unanswered += 1;
         match purpose {
-            Purpose::Create(p, id) if self.ports[p].use_id == id => match self.ports[p].role.clone() {
-                Role::Called { call, attempt, stage: Stage::Creating } => {
-                    // Nothing proves that it did not run: it counts as timed out, and is cleared.
-                    self.legs.remove(&call);
-                    self.out.push(AgentOutput::AttemptEnded(call, attempt, codes::outcome(406)));
-                    self.delete(now, p, Params::default(), Role::Clearing);
+            Purpose::CreateConnection(index, mgcp_call_id)
+                if self.endpoints[index].mgcp_call_id == mgcp_call_id =>
+            {
+                match self.endpoints[index].state.clone() {
+                    EndpointState::Called { call, attempt, stage: SetUpStage::CreatingConnection } => {
+                        // The gateway may have executed the CRCX, so the attempt has timed out and is cleared.
+                        self.terminating_calls.remove(&call);
+                        self.outputs.push(AgentOutput::AttemptEnded(call, attempt, codes::outcome(406)));
+                        self.delete_connection(now, index, Params::default(), EndpointState::Deleting);
+                    }
+                    EndpointState::CreatingConnection { .. } => self.mark_unresponsive(now, index),
+                    _ => {}
                 }
-                Role::Preparing { .. } => self.silent(now, p),
-                _ => {}
-            },
-            Purpose::Join(p, id) | Purpose::Delete(p, id) if self.ports[p].use_id == id => {
-                self.lost(p);
-                self.silent(now, p);
             }
-            Purpose::Audit(p) if self.ports[p].role == Role::Silent => {
-                self.out.push(AgentOutput::SetTimer(now + AUDIT, AgentTimer::Audit(p)));
+            Purpose::ConnectCaller(index, mgcp_call_id) | Purpose::DeleteConnection(index, mgcp_call_id)
+                if self.endpoints[index].mgcp_call_id == mgcp_call_id =>
+            {
+                self.end_call(index);
+                self.mark_unresponsive(now, index);
+            }
+            Purpose::Audit(index) if self.endpoints[index].state == EndpointState::Unresponsive => {
+                self.outputs.push(AgentOutput::SetTimer(now + AUDIT_INTERVAL, AgentTimer::Audit(index)));
+            }
+            Purpose::RequestNotification(index) if self.endpoints[index].state == EndpointState::Idle => {
+                self.mark_unresponsive(now, index)
             }
-            Purpose::Request(p) if self.ports[p].role == Role::Idle => self.silent(now, p),
             _ => {}
         }
     }
 
-    // ---- What the core asks for ----
+    // ---- Requests of the core ----
 
-    /// The core has taken the call that this port offered.
-    pub fn call_offered(&mut self, p: usize, call: CallId) {
-        self.ports[p].role = Role::Offered(Some(call));
-        self.calls.insert(call, p);
+    /// Tells the agent which identifier the core assigned to the call offered by this endpoint.
+    pub fn call_offered(&mut self, index: usize, call: CallId) {
+        self.endpoints[index].state = EndpointState::Offered(Some(call));
+        self.originating_calls.insert(call, index);
     }
 
-    /// The final answer to a call from an endpoint.
+    /// Handles the final answer to a call from an endpoint.
     pub fn answer(&mut self, now: Micros, call: CallId, answer: &Answer) {
-        let Some(&p) = self.calls.get(&call) else { return };
+        let Some(&index) = self.originating_calls.get(&call) else { return };
         let (code, tone) = codes::answer_code_and_tone(answer);
         match (answer, tone) {
-            (Answer::Established(text), _) => {
-                self.ports[p].role = Role::Talking(call);
-                self.watch_lease(now, p);
-                let mut c = new_command(Verb::Mdcx, self.ports[p].endpoint.clone());
-                c.params = self.connection_params(p).with("M", "sendrecv");
-                c.sdp = text.as_ref().map(|t| t.0.to_string());
-                let purpose = Purpose::Join(p, self.ports[p].use_id);
-                self.send(now, p, c, purpose);
+            (Answer::Established(description), _) => {
+                self.endpoints[index].state = EndpointState::Established(call);
+                self.schedule_lease_check(now, index);
+                let mut command = new_command(Verb::Mdcx, self.endpoints[index].name.clone());
+                command.params = self.connection_params(index).with("M", "sendrecv");
+                command.sdp = description.as_ref().map(|d| d.0.to_string());
+                let purpose = Purpose::ConnectCaller(index, self.endpoints[index].mgcp_call_id);
+                self.send(now, index, command, purpose);
             }
             (refused, tone) => {
-                self.calls.remove(&call);
+                self.originating_calls.remove(&call);
                 let mut params = Params::default().with("R", "L/hu(N)").with("S", tone.unwrap_or("L/ro"));
-                // For gateways that dial again by themselves: the code, and how long to keep away.
+                // For gateways that redial automatically: the return code and the time to wait, in milliseconds.
                 params = params.with("X-Outcome", code);
-                if let Answer::Refused { retry_after: pause } = refused {
-                    params = params.with("X-Pause", (pause + 999) / 1000);
+                if let Answer::Refused { retry_after } = refused {
+                    params = params.with("X-Pause", (retry_after + 999) / 1000);
                 }
-                self.delete(now, p, params, Role::Tone);
+                self.delete_connection(now, index, params, EndpointState::AwaitingOnHook);
             }
         }
-        self.tell_groups();
+        self.report_free_endpoints();
     }
 
-    /// A call from an endpoint that stood is over.
+    /// Releases an established call from an endpoint.
     pub fn release(&mut self, now: Micros, call: CallId) {
-        if let Some(p) = self.calls.remove(&call) {
-            self.delete(now, p, Params::default().with("R", "L/hu(N)"), Role::Tone);
+        if let Some(index) = self.originating_calls.remove(&call) {
+            self.delete_connection(
+                now,
+                index,
+                Params::default().with("R", "L/hu(N)"),
+                EndpointState::AwaitingOnHook,
+            );
         }
     }
 
-    /// Sets a call up at a gateway. `description` is the caller's, and passes on unchanged.
+    /// Sets up a call at a gateway. `description` is the session description of the caller, passed on unchanged.
     pub fn set_up(
         &mut self,
         now: Micros,
         (call, attempt): (CallId, AttemptNumber),
-        office: ExchangeId,
+        exchange_id: ExchangeId,
         description: Option<&SessionDescription>,
     ) {
-        let Some(g) = self.gateway_of(office) else { return };
-        let ports: Vec<usize> = (0..self.ports.len()).filter(|&p| self.ports[p].gateway == g).collect();
-        // In turn, so that an endpoint rests after a call.
-        let turn = self.turns[g] % ports.len().max(1);
-        let found = ports[turn..].iter().chain(&ports[..turn]).find(|&&p| self.ports[p].role == Role::Idle);
-        let Some(&p) = found else {
-            return self.out.push(AgentOutput::AttemptEnded(call, attempt, codes::outcome(410)));
+        let Some(gateway) = self.gateway_of(exchange_id) else { return };
+        let indices: Vec<usize> =
+            (0..self.endpoints.len()).filter(|&index| self.endpoints[index].gateway == gateway).collect();
+        // Round robin, so that an endpoint is not called again right after a call.
+        let start = self.next_endpoint[gateway] % indices.len().max(1);
+        let found = indices[start..]
+            .iter()
+            .chain(&indices[..start])
+            .find(|&&index| self.endpoints[index].state == EndpointState::Idle);
+        let Some(&index) = found else {
+            return self.outputs.push(AgentOutput::AttemptEnded(call, attempt, codes::outcome(410)));
         };
-        self.turns[g] = ports.iter().position(|&q| q == p).unwrap_or(0) + 1;
-        self.begin(now, p, Role::Called { call, attempt, stage: Stage::Creating });
-        self.legs.insert(call, p);
+        self.next_endpoint[gateway] = indices.iter().position(|&i| i == index).unwrap_or(0) + 1;
+        self.reset_endpoint(
+            now,
+            index,
+            EndpointState::Called { call, attempt, stage: SetUpStage::CreatingConnection },
+        );
+        self.terminating_calls.insert(call, index);
         let mut params = Params::default().with("M", "sendrecv");
-        if self.config.gateways[g].answered_by == AnsweredBy::OffHook {
+        if self.config.gateways[gateway].answered_by == AnsweredBy::OffHook {
             params = params.with("R", "L/hd(N)").with("S", "L/rg");
         } else {
             params = params.with("R", "L/hu(N)");
         }
-        self.create(now, p, params, description.map(|d| d.0.to_string()));
-        self.tell_groups();
+        self.create_connection(now, index, params, description.map(|d| d.0.to_string()));
+        self.report_free_endpoints();
     }
 
-    /// Gives a set-up up, or releases a call that stands.
+    /// Cancels a set-up, or releases an established call to an endpoint.
     pub fn clear(&mut self, now: Micros, call: CallId, attempt: AttemptNumber) {
-        let Some(&p) = self.legs.get(&call) else { return };
-        let Role::Called { attempt: mine, .. } = &self.ports[p].role else { return };
-        if *mine != attempt {
+        let Some(&index) = self.terminating_calls.get(&call) else { return };
+        let EndpointState::Called { attempt: current, .. } = &self.endpoints[index].state else { return };
+        if *current != attempt {
             return;
         }
-        self.legs.remove(&call);
-        self.delete(now, p, Params::default(), Role::Clearing);
-        self.tell_groups();
+        self.terminating_calls.remove(&call);
+        self.delete_connection(now, index, Params::default(), EndpointState::Deleting);
+        self.report_free_endpoints();
     }
 
-    // ---- Within ----
+    // ---- Internals ----
 
-    /// A new use of a port begins.
-    fn begin(&mut self, now: Micros, p: usize, role: Role) {
-        self.stop_creating(now, p);
-        self.next_use = self.next_use.wrapping_add(1);
-        let port = &mut self.ports[p];
-        (port.use_id, port.connection, port.number, port.role) = (self.next_use, None, None, role);
+    /// Puts an endpoint into a new state with a new MGCP call identifier.
+    fn reset_endpoint(&mut self, now: Micros, index: usize, state: EndpointState) {
+        self.stop_create(now, index);
+        self.next_mgcp_call_id = self.next_mgcp_call_id.wrapping_add(1);
+        let endpoint = &mut self.endpoints[index];
+        (endpoint.mgcp_call_id, endpoint.state) = (self.next_mgcp_call_id, state);
+        (endpoint.connection, endpoint.dialled_number) = (None, None);
     }
 
-    /// Guards against a repeat of CRCX behind its own DLCX, which would make the connection anew. A late answer
-    /// is still heard, and what it made is deleted.
-    fn stop_creating(&mut self, now: Micros, p: usize) {
-        let Some(transaction) = self.ports[p].creating.take() else { return };
+    /// Stops retransmitting a pending CRCX, because a retransmission after the DLCX would create the connection
+    /// again. If a late response arrives, the connection is deleted.
+    fn stop_create(&mut self, now: Micros, index: usize) {
+        let Some(transaction) = self.endpoints[index].create_transaction.take() else { return };
         if let Some(at) = self.transactions.stop_retransmitting(now, transaction) {
-            self.out.push(AgentOutput::SetTimer(at, AgentTimer::Transaction(transaction)));
+            self.outputs.push(AgentOutput::SetTimer(at, AgentTimer::Transaction(transaction)));
         }
     }
 
-    /// The one place where a port is given back: it is asked for its hook anew.
-    fn idle(&mut self, now: Micros, p: usize) {
-        self.begin(now, p, Role::Idle);
-        self.request(now, p, Params::default().with("R", "L/hd(N)"));
+    /// Frees an endpoint and asks it to report off-hook. This is the only place that frees endpoints.
+    fn make_idle(&mut self, now: Micros, index: usize) {
+        self.reset_endpoint(now, index, EndpointState::Idle);
+        self.request_notification(now, index, Params::default().with("R", "L/hd(N)"));
     }
 
-    fn silent(&mut self, now: Micros, p: usize) {
-        self.begin(now, p, Role::Silent);
-        self.out.push(AgentOutput::SetTimer(now + AUDIT, AgentTimer::Audit(p)));
+    fn mark_unresponsive(&mut self, now: Micros, index: usize) {
+        self.reset_endpoint(now, index, EndpointState::Unresponsive);
+        self.outputs.push(AgentOutput::SetTimer(now + AUDIT_INTERVAL, AgentTimer::Audit(index)));
     }
 
-    /// What the port held is over, on its own side.
-    fn lost(&mut self, p: usize) {
-        match self.ports[p].role.clone() {
-            Role::Offered(Some(call)) | Role::Talking(call) => {
-                self.calls.remove(&call);
-                self.out.push(AgentOutput::CallerLeft(call));
+    /// Reports to the core that the endpoint's side of its call has ended.
+    fn end_call(&mut self, index: usize) {
+        match self.endpoints[index].state.clone() {
+            EndpointState::Offered(Some(call)) | EndpointState::Established(call) => {
+                self.originating_calls.remove(&call);
+                self.outputs.push(AgentOutput::CallerLeft(call));
             }
-            Role::Called { call, attempt, .. } => {
-                self.legs.remove(&call);
-                self.out.push(AgentOutput::AttemptEnded(call, attempt, codes::outcome(407)));
+            EndpointState::Called { call, attempt, .. } => {
+                self.terminating_calls.remove(&call);
+                self.outputs.push(AgentOutput::AttemptEnded(call, attempt, codes::outcome(407)));
             }
             _ => {}
         }
     }
 
-    /// Has the gateway of a port at which a call has come to stand looked at for as long as it stands.
-    fn watch_lease(&mut self, now: Micros, p: usize) {
-        self.out.push(AgentOutput::SetTimer(now + LOOK, AgentTimer::Lease(p, self.ports[p].use_id)));
+    /// Schedules the next check of the gateway of an established call.
+    fn schedule_lease_check(&mut self, now: Micros, index: usize) {
+        self.outputs.push(AgentOutput::SetTimer(
+            now + LEASE_CHECK_INTERVAL,
+            AgentTimer::Lease(index, self.endpoints[index].mgcp_call_id),
+        ));
     }
 
-    /// Guards the far side of a call against a gateway that is gone without a word: nobody would tell of its end.
-    fn look_at_lease(&mut self, now: Micros, p: usize) {
-        let standing =
-            matches!(self.ports[p].role, Role::Talking(_) | Role::Called { stage: Stage::Standing, .. });
-        if !standing {
+    /// Ends an established call if nothing came from its gateway for the lease time. A gateway that disappears does
+    /// not report the end of its calls, so the far end would otherwise keep the call.
+    fn check_lease(&mut self, now: Micros, index: usize) {
+        let established = matches!(
+            self.endpoints[index].state,
+            EndpointState::Established(_) | EndpointState::Called { stage: SetUpStage::Established, .. }
+        );
+        if !established {
             return;
         }
-        let silent = now - self.heard[self.ports[p].gateway];
-        if silent + LOOK > LEASE {
+        let silence = now - self.last_heard[self.endpoints[index].gateway];
+        if silence + LEASE_CHECK_INTERVAL > LEASE {
             self.counts.lease_expired += 1;
-            self.lost(p);
-            return self.silent(now, p);
+            self.end_call(index);
+            return self.mark_unresponsive(now, index);
         }
-        if silent >= LOOK {
-            self.audit(now, p);
+        if silence >= LEASE_CHECK_INTERVAL {
+            self.audit(now, index);
         }
-        self.watch_lease(now, p);
+        self.schedule_lease_check(now, index);
     }
 
-    fn audit(&mut self, now: Micros, p: usize) {
-        let c = new_command(Verb::Auep, self.ports[p].endpoint.clone());
-        self.send(now, p, c, Purpose::Audit(p));
+    fn audit(&mut self, now: Micros, index: usize) {
+        let command = new_command(Verb::Auep, self.endpoints[index].name.clone());
+        self.send(now, index, command, Purpose::Audit(index));
     }
 
-    fn connection_params(&self, p: usize) -> Params {
-        let port = &self.ports[p];
+    fn connection_params(&self, index: usize) -> Params {
+        let endpoint = &self.endpoints[index];
         let mut params = Params::default();
-        // Without a call, all connections of the endpoint are meant.
-        if port.use_id != 0 {
-            params = params.with("C", use_name(port.use_id));
+        // Without a call identifier, the command applies to all connections of the endpoint.
+        if endpoint.mgcp_call_id != 0 {
+            params = params.with("C", format_call_id(endpoint.mgcp_call_id));
         }
-        if let Some(i) = &port.connection {
-            params = params.with("I", i);
+        if let Some(connection) = &endpoint.connection {
+            params = params.with("I", connection);
         }
         params
     }
 
-    fn delete(&mut self, now: Micros, p: usize, more: Params, then: Role) {
-        self.stop_creating(now, p);
-        // What was silent or not yet in use may hold connections of any call.
-        if matches!(self.ports[p].role, Role::Silent) {
-            self.ports[p].use_id = 0;
+    fn delete_connection(&mut self, now: Micros, index: usize, extra: Params, next_state: EndpointState) {
+        self.stop_create(now, index);
+        // An endpoint that did not answer may hold connections of any call.
+        if matches!(self.endpoints[index].state, EndpointState::Unresponsive) {
+            self.endpoints[index].mgcp_call_id = 0;
         }
-        let mut c = new_command(Verb::Dlcx, self.ports[p].endpoint.clone());
-        c.params = self.connection_params(p);
-        if !more.0.is_empty() {
-            c.params = c.params.with("X", self.new_request(p));
-            c.params.0.extend(more.0);
+        let mut command = new_command(Verb::Dlcx, self.endpoints[index].name.clone());
+        command.params = self.connection_params(index);
+        if !extra.0.is_empty() {
+            command.params = command.params.with("X", self.new_request_id(index));
+            command.params.0.extend(extra.0);
         }
-        self.ports[p].role = then;
-        let purpose = Purpose::Delete(p, self.ports[p].use_id);
-        self.send(now, p, c, purpose);
+        self.endpoints[index].state = next_state;
+        let purpose = Purpose::DeleteConnection(index, self.endpoints[index].mgcp_call_id);
+        self.send(now, index, command, purpose);
     }
 
-    fn create(&mut self, now: Micros, p: usize, params: Params, sdp: Option<String>) {
-        let mut c = new_command(Verb::Crcx, self.ports[p].endpoint.clone());
-        c.params = self.connection_params(p).with("X", self.new_request(p));
-        c.params.0.extend(params.0);
-        c.sdp = sdp;
-        let purpose = Purpose::Create(p, self.ports[p].use_id);
-        self.ports[p].creating = Some(self.send(now, p, c, purpose));
+    fn create_connection(&mut self, now: Micros, index: usize, params: Params, sdp: Option<String>) {
+        let mut command = new_command(Verb::Crcx, self.endpoints[index].name.clone());
+        command.params = self.connection_params(index).with("X", self.new_request_id(index));
+        command.params.0.extend(params.0);
+        command.sdp = sdp;
+        let purpose = Purpose::CreateConnection(index, self.endpoints[index].mgcp_call_id);
+        self.endpoints[index].create_transaction = Some(self.send(now, index, command, purpose));
     }
 
-    fn request(&mut self, now: Micros, p: usize, params: Params) {
-        let mut c = new_command(Verb::Rqnt, self.ports[p].endpoint.clone());
-        c.params = Params::default().with("X", self.new_request(p));
-        c.params.0.extend(params.0);
-        self.send(now, p, c, Purpose::Request(p));
+    fn request_notification(&mut self, now: Micros, index: usize, params: Params) {
+        let mut command = new_command(Verb::Rqnt, self.endpoints[index].name.clone());
+        command.params = Params::default().with("X", self.new_request_id(index));
+        command.params.0.extend(params.0);
+        self.send(now, index, command, Purpose::RequestNotification(index));
     }
 
-    fn new_request(&mut self, p: usize) -> String {
-        self.next_request = self.next_request.wrapping_add(1).max(1);
-        self.ports[p].request = self.next_request;
-        request_name(self.next_request)
+    fn new_request_id(&mut self, index: usize) -> String {
+        self.next_request_id = self.next_request_id.wrapping_add(1).max(1);
+        self.endpoints[index].request_id = self.next_request_id;
+        format_request_id(self.next_request_id)
     }
 
-    fn send(&mut self, now: Micros, p: usize, c: Command, purpose: Purpose) -> u32 {
-        let to = self.config.gateways[self.ports[p].gateway].address;
+    fn send(&mut self, now: Micros, index: usize, command: Command, purpose: Purpose) -> u32 {
+        let to = self.config.gateways[self.endpoints[index].gateway].address;
         self.counts.commands_out += 1;
-        let (transaction, text, at) = self.transactions.send(now, to, c, purpose);
-        self.out.push(AgentOutput::Datagram(to, text.into_bytes()));
-        self.out.push(AgentOutput::SetTimer(at, AgentTimer::Transaction(transaction)));
+        let (transaction, text, at) = self.transactions.send(now, to, command, purpose);
+        self.outputs.push(AgentOutput::Datagram(to, text.into_bytes()));
+        self.outputs.push(AgentOutput::SetTimer(at, AgentTimer::Transaction(transaction)));
         transaction
     }
 
-    fn free(&self, g: usize) -> usize {
-        self.ports.iter().filter(|p| p.gateway == g && p.role == Role::Idle).count()
+    fn free_endpoints(&self, gateway: usize) -> usize {
+        self.endpoints
+            .iter()
+            .filter(|endpoint| endpoint.gateway == gateway && endpoint.state == EndpointState::Idle)
+            .count()
     }
 
-    fn tell_groups(&mut self) {
-        for g in 0..self.config.gateways.len() {
-            let free = self.free(g);
-            if self.told[g] != Some(free) {
-                self.told[g] = Some(free);
-                let size = self.config.gateways[g].endpoints.len() as f64;
+    fn report_free_endpoints(&mut self) {
+        for gateway in 0..self.config.gateways.len() {
+            let free = self.free_endpoints(gateway);
+            if self.reported_free[gateway] != Some(free) {
+                self.reported_free[gateway] = Some(free);
+                let size = self.config.gateways[gateway].endpoints.len() as f64;
                 let report =
                     LoadReport { free: Some(free as f64), size: Some(size), ..LoadReport::default() };
-                self.out.push(AgentOutput::GroupReport(Self::office(g), report));
+                self.outputs.push(AgentOutput::GroupReport(Self::exchange_id_of(gateway), report));
             }
         }
     }
 }
 
-impl Port {
+impl Endpoint {
     fn awaits_connection(&self) -> bool {
-        matches!(self.role, Role::Preparing { .. } | Role::Called { stage: Stage::Creating, .. })
+        matches!(
+            self.state,
+            EndpointState::CreatingConnection { .. }
+                | EndpointState::Called { stage: SetUpStage::CreatingConnection, .. }
+        )
     }
 }
 
-fn use_name(id: u64) -> String {
+fn format_call_id(id: u64) -> String {
     format!("{id:x}")
 }
 
-fn request_name(id: u32) -> String {
+fn format_request_id(id: u32) -> String {
     format!("{id:x}")
 }
