--- a/src/transport/control.rs
+++ b/src/transport/control.rs
@@ -1,8 +1,7 @@
 //! The control socket: a Unix socket that only the program's owner can reach.
 //!
-//! A socket that an earlier life of the program left behind is replaced; one that a living program serves never is.
-//! Each program that connects has two tasks, and what it sends is taken in at a bounded pace, so that one that talks
-//! without end keeps no call waiting.
+//! A stale socket of an earlier run is replaced, but never one that a running program serves. The connection of each
+//! client is read at a limited rate, so that a client that sends without end does not delay any call.
 
 use super::{ControlEvent, Inbound};
 use async_channel::{bounded, Receiver, Sender};
@@ -18,113 +17,114 @@
 use std::time::Duration;
 use walnuthatch_control::sessions::{ClientId, MAX_CLIENTS};
 
-/// Bytes read at a time.
-const CHUNK: usize = 4096;
-/// Pause after each reading: no program gets in more than 800 KB a second.
-const PACE: Duration = Duration::from_millis(5);
-/// Pause after an accept that failed.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// What one that is sent away has yet to read may take so long to go out.
-const FAREWELL: Duration = Duration::from_secs(1);
+/// Size of the read buffer.
+const READ_BUFFER_BYTES: usize = 4096;
+/// Pause after each read, which limits a client to about 800 KB per second.
+const READ_INTERVAL: Duration = Duration::from_millis(5);
+/// Delay before retrying a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// How long the last message to a client that is being disconnected may take to be written.
+const FINAL_WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Why there is no control socket.
+/// Why the control socket could not be created.
 #[derive(Debug, thiserror::Error)]
 pub enum ControlError {
-    /// A living program serves it.
+    /// A running program serves the socket.
     #[error("{0}: another controller serves this socket")]
-    Taken(PathBuf),
-    /// What is there is no socket.
-    #[error("{0}: there is something that is no socket; it is left alone")]
-    InTheWay(PathBuf),
-    /// The system said no.
-    #[error("{path}: {why}")]
+    InUse(PathBuf),
+    /// The path exists and is not a socket.
+    #[error("{0}: the path exists and is not a socket; it is left unchanged")]
+    NotASocket(PathBuf),
+    /// A system call failed.
+    #[error("{path}: {error}")]
     Io {
-        /// What could not be made.
+        /// The file or directory that was accessed.
         path: PathBuf,
-        /// Why.
-        why: io::Error,
+        /// The error that the system returned.
+        error: io::Error,
     },
 }
 
-/// The socket.
+/// The listening control socket.
 #[derive(Debug)]
 pub struct ControlSocket {
     listener: Async<UnixListener>,
     path: PathBuf,
-    /// Held for as long as the socket is served.
+    /// Locked for as long as the socket is served.
     _lock: File,
 }
 
 impl ControlSocket {
-    /// Removes it from its folder. The lock is still held, so that it is the own one.
+    /// Removes the socket file. The lock is still held, so the file cannot belong to another program.
     pub fn remove(&self) {
-        // What can't be removed is stale, and replaced by the next start.
+        // A file that cannot be removed is stale and is replaced at the next start.
         let _ = fs::remove_file(&self.path);
     }
 }
 
-/// Makes the socket.
+/// Creates the socket.
 ///
 /// # Errors
-/// If another program serves it, or the system refuses.
+/// If a running program serves the socket, the path is not a socket, or a system call fails.
 pub fn bind(path: &Path) -> Result<ControlSocket, ControlError> {
-    let fault = |at: &Path| {
-        let path = at.to_owned();
-        move |why| ControlError::Io { path, why }
+    let io_error = |path: &Path| {
+        let path = path.to_owned();
+        move |error| ControlError::Io { path, error }
     };
-    let beside = |end: &str| {
+    let with_suffix = |suffix: &str| {
         let mut name = path.as_os_str().to_owned();
-        name.push(end);
+        name.push(suffix);
         PathBuf::from(name)
     };
-    let lock_path = beside(".lock");
+    let lock_path = with_suffix(".lock");
     let mut options = OpenOptions::new();
     options.write(true).create(true).truncate(false).mode(0o600);
-    let lock = options.open(&lock_path).map_err(fault(&lock_path))?;
+    let lock = options.open(&lock_path).map_err(io_error(&lock_path))?;
     match lock.try_lock() {
         Ok(()) => {}
-        Err(TryLockError::WouldBlock) => return Err(ControlError::Taken(path.to_owned())),
-        Err(TryLockError::Error(why)) => return Err(fault(&lock_path)(why)),
+        Err(TryLockError::WouldBlock) => return Err(ControlError::InUse(path.to_owned())),
+        Err(TryLockError::Error(error)) => return Err(io_error(&lock_path)(error)),
     }
     match fs::symlink_metadata(path) {
         Err(e) if e.kind() == io::ErrorKind::NotFound => {}
-        Err(e) => return Err(fault(path)(e)),
+        Err(e) => return Err(io_error(path)(e)),
         Ok(found) if !std::os::unix::fs::FileTypeExt::is_socket(&found.file_type()) => {
-            return Err(ControlError::InTheWay(path.to_owned()));
+            return Err(ControlError::NotASocket(path.to_owned()));
         }
-        // One that does without the lock, and is alive.
-        Ok(_) if UnixStream::connect(path).is_ok() => return Err(ControlError::Taken(path.to_owned())),
+        // A program that does not use the lock serves the socket.
+        Ok(_) if UnixStream::connect(path).is_ok() => return Err(ControlError::InUse(path.to_owned())),
         Ok(_) => {}
     }
-    // Made in a folder of the owner's and moved into place: at no instant can anybody else connect, and one that
-    // is stale is replaced in one step.
-    let folder = beside(&format!(".{}", std::process::id()));
-    let _ = fs::remove_dir_all(&folder);
-    fs::DirBuilder::new().mode(0o700).create(&folder).map_err(fault(&folder))?;
-    let made = folder.join("s");
-    let listener = UnixListener::bind(&made).map_err(fault(&made)).and_then(|listener| {
-        fs::set_permissions(&made, fs::Permissions::from_mode(0o600)).map_err(fault(&made))?;
-        fs::rename(&made, path).map_err(fault(path))?;
-        Async::new(listener).map_err(fault(path))
+    // The socket is created in a directory that only the owner can enter, and then renamed: no other user can connect
+    // at any moment, and a stale socket is replaced atomically.
+    let directory = with_suffix(&format!(".{}", std::process::id()));
+    let _ = fs::remove_dir_all(&directory);
+    fs::DirBuilder::new().mode(0o700).create(&directory).map_err(io_error(&directory))?;
+    let temporary = directory.join("s");
+    let listener = UnixListener::bind(&temporary).map_err(io_error(&temporary)).and_then(|listener| {
+        fs::set_permissions(&temporary, fs::Permissions::from_mode(0o600)).map_err(io_error(&temporary))?;
+        fs::rename(&temporary, path).map_err(io_error(path))?;
+        Async::new(listener).map_err(io_error(path))
     });
-    let _ = fs::remove_dir_all(&folder);
+    let _ = fs::remove_dir_all(&directory);
     Ok(ControlSocket { listener: listener?, path: path.to_owned(), _lock: lock })
 }
 
-/// Takes in operators' programs for as long as the program runs.
+/// Accepts and serves clients for as long as the program runs.
 pub async fn listen(socket: Rc<ControlSocket>, executor: Rc<LocalExecutor<'static>>, inbox: Sender<Inbound>) {
-    let mut next = 0;
-    // Guards descriptors: some more than may be connected, so that one too many can be told why.
-    let places = std::sync::Arc::new(async_lock::Semaphore::new(MAX_CLIENTS + 4));
+    let mut next_id = 0;
+    // Limits the number of descriptors. A few more connections than clients are accepted, so that a client over the
+    // limit can be told why it is rejected.
+    let permits = std::sync::Arc::new(async_lock::Semaphore::new(MAX_CLIENTS + 4));
     loop {
-        let place = places.acquire_arc().await;
+        let permit = permits.acquire_arc().await;
         let Ok((stream, _)) = socket.listener.accept().await else {
-            Timer::after(ACCEPT_PAUSE).await;
+            Timer::after(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        let client = ClientId(next);
-        next += 1;
-        // One message at a time: the next is made when this one has left.
+        let client = ClientId(next_id);
+        next_id += 1;
+        // One message at a time: the next one is created when this one has been written.
         let (frames, queue) = bounded(1);
         if inbox.send(Inbound::Control(ControlEvent::Connected(client, frames))).await.is_err() {
             return;
@@ -132,7 +132,7 @@
         let inbox = inbox.clone();
         let serve = async move {
             future::or(read(&stream, client, &inbox), write(&stream, client, &queue, &inbox)).await;
-            drop(place);
+            drop(permit);
             let _ = inbox.send(Inbound::Control(ControlEvent::Disconnected(client))).await;
         };
         executor.spawn(serve).detach();
@@ -140,18 +140,18 @@
 }
 
 async fn read(mut stream: &Async<UnixStream>, client: ClientId, inbox: &Sender<Inbound>) {
-    let mut chunk = [0; CHUNK];
+    let mut buffer = [0; READ_BUFFER_BYTES];
     loop {
-        match stream.read(&mut chunk).await {
+        match stream.read(&mut buffer).await {
             Ok(0) | Err(_) => return,
-            Ok(n) => {
-                let news = ControlEvent::Received(client, chunk[..n].to_vec());
-                if inbox.send(Inbound::Control(news)).await.is_err() {
+            Ok(length) => {
+                let event = ControlEvent::Received(client, buffer[..length].to_vec());
+                if inbox.send(Inbound::Control(event)).await.is_err() {
                     return;
                 }
             }
         }
-        Timer::after(PACE).await;
+        Timer::after(READ_INTERVAL).await;
     }
 }
 
@@ -162,18 +162,18 @@
     inbox: &Sender<Inbound>,
 ) {
     while let Ok(bytes) = queue.recv().await {
-        let sent = async { stream.write_all(&bytes).await.is_ok() };
-        // One that is sent away and does not read is not waited for.
-        let late = async {
+        let written = async { stream.write_all(&bytes).await.is_ok() };
+        // Do not wait for a client that is being disconnected and does not read.
+        let timeout = async {
             loop {
                 let closed = queue.is_closed();
-                Timer::after(FAREWELL).await;
+                Timer::after(FINAL_WRITE_TIMEOUT).await;
                 if closed {
                     return false;
                 }
             }
         };
-        if !future::or(sent, late).await {
+        if !future::or(written, timeout).await {
             return;
         }
         if inbox.send(Inbound::Control(ControlEvent::Written(client))).await.is_err() {
@@ -186,31 +186,31 @@
 mod tests {
     use super::*;
 
-    fn place(name: &str) -> PathBuf {
+    fn temporary_path(name: &str) -> PathBuf {
         let path = std::env::temp_dir().join(format!("wh-{}-{name}", std::process::id()));
         let _ = fs::remove_file(&path);
         path
     }
 
     #[test]
-    fn a_stale_socket_is_replaced_a_live_one_never_and_only_the_owner_gets_in() {
-        let path = place("stale");
+    fn a_stale_socket_is_replaced_but_not_a_live_one_and_only_the_owner_has_access() {
+        let path = temporary_path("stale");
         drop(UnixListener::bind(&path).unwrap());
-        assert!(path.exists(), "an earlier life left it behind");
+        assert!(path.exists(), "the file of the closed socket remains");
         let socket = bind(&path).unwrap();
         assert_eq!(fs::metadata(&path).unwrap().permissions().mode() & 0o777, 0o600);
         UnixStream::connect(&path).unwrap();
-        assert!(matches!(bind(&path), Err(ControlError::Taken(_))));
+        assert!(matches!(bind(&path), Err(ControlError::InUse(_))));
         socket.remove();
         drop(socket);
         assert!(!path.exists());
-        // One that holds no lock, and is alive all the same.
+        // A live socket whose program does not hold the lock.
         let other = UnixListener::bind(&path).unwrap();
-        assert!(matches!(bind(&path), Err(ControlError::Taken(_))));
+        assert!(matches!(bind(&path), Err(ControlError::InUse(_))));
         drop(other);
         fs::remove_file(&path).unwrap();
         fs::write(&path, "precious").unwrap();
-        assert!(matches!(bind(&path), Err(ControlError::InTheWay(_))));
+        assert!(matches!(bind(&path), Err(ControlError::NotASocket(_))));
         assert_eq!(fs::read_to_string(&path).unwrap(), "precious");
         let error = bind(Path::new("/nowhere/at/all")).unwrap_err().to_string();
         assert!(error.contains("/nowhere/at/all"), "{error}");
--- a/src/transport/datagrams.rs
+++ b/src/transport/datagrams.rs
@@ -1,4 +1,4 @@
-//! UDP: peers' messages and gateways' commands.
+//! UDP sockets for peers, gateways and gossip.
 
 use super::Inbound;
 use async_channel::{Receiver, Sender};
@@ -9,20 +9,20 @@
 /// A datagram to send.
 pub type Outgoing = (SocketAddr, Vec<u8>);
 
-/// Serves a UDP socket for as long as the program runs: what comes is made news by `news`, what is queued goes
-/// out. What can't be sent is lost, as any datagram may be. A datagram longer than `longest` is passed over.
+/// Serves a UDP socket for as long as the program runs: received datagrams are converted by `to_event`, queued ones
+/// are sent. A datagram that cannot be sent is dropped, and one longer than `max_bytes` is ignored.
 pub async fn serve(
     socket: Async<UdpSocket>,
-    longest: usize,
+    max_bytes: usize,
     queue: Receiver<Outgoing>,
     inbox: Sender<Inbound>,
-    news: fn(SocketAddr, Vec<u8>) -> Inbound,
+    to_event: fn(SocketAddr, Vec<u8>) -> Inbound,
 ) {
     let receive = async {
-        let mut buffer = vec![0; longest + 1];
+        let mut buffer = vec![0; max_bytes + 1];
         loop {
             if let Ok((n, from)) = socket.recv_from(&mut buffer).await {
-                if n <= longest && inbox.send(news(from, buffer[..n].to_vec())).await.is_err() {
+                if n <= max_bytes && inbox.send(to_event(from, buffer[..n].to_vec())).await.is_err() {
                     return;
                 }
             }
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,7 +1,7 @@
-//! Sockets, signals and the queues between them and the task that owns routing.
+//! Sockets, signals, and the queues between them and the event loop.
 //!
-//! Socket tasks reach that task only through one bounded queue of [`Inbound`] news, and wait when it is full.
-//! It reaches them through an [`outbox::Outbox`] for each connection, and never waits.
+//! Socket tasks send [`Inbound`] events to the event loop through one bounded queue and wait while it is full. The
+//! event loop writes to the [`outbox::Outbox`] of a connection and never waits.
 
 pub mod control;
 pub mod coordinator;
@@ -20,89 +20,89 @@
 use std::net::SocketAddr;
 use walnuthatch_control::sessions::ClientId;
 
-/// Which side of the program a connection belongs to.
+/// The side of the program that a connection belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Side {
-    /// Callers connected to it.
+    /// The connection was accepted from a caller.
     Callers,
-    /// It was opened toward an exchange.
+    /// The connection was opened to an exchange.
     Exchanges,
 }
 
-/// What a connection has to tell.
+/// An event of a TCP connection.
 #[derive(Debug)]
 pub enum ConnEvent {
-    /// A caller connected.
+    /// A caller's connection was accepted; its messages are sent through this queue.
     Accepted(Outbox),
-    /// The connection that was asked for is up.
+    /// A connection to an exchange is established.
     Connected,
-    /// A message came.
+    /// A message was received.
     Message(Message),
-    /// A line came that is no message, and nothing more is read: what follows it can't be trusted.
+    /// A line could not be parsed. Nothing more is read, since the data that follows may be corrupt too.
     InvalidLine(LineError),
-    /// Nothing more is read, as was asked for; all that was read has been told.
+    /// Reading has stopped as requested; events for all received data have been sent before this one.
     ReadingStopped,
-    /// A message has begun and not ended (`true`), or what had begun is whole.
+    /// A line is incomplete (`true`), or the incomplete line has been completed (`false`).
     PartialLine(bool),
-    /// It is no more.
+    /// The connection has ended.
     Closed(Closing),
 }
 
-/// What operators' programs and the state folder have to tell.
+/// An event of the control socket or of the state folder.
 #[derive(Debug)]
 pub enum ControlEvent {
-    /// A program connected; what it is to read goes into this queue, one piece at a time.
+    /// A client connected; data for it goes into this queue, one message at a time.
     Connected(ClientId, async_channel::Sender<Vec<u8>>),
-    /// It sent this.
+    /// Data was received from a client.
     Received(ClientId, Vec<u8>),
-    /// It was written what was in its queue.
+    /// The queued message was written to the client.
     Written(ClientId),
-    /// Its connection is no more.
+    /// The connection of a client has ended.
     Disconnected(ClientId),
-    /// The state of this number was saved, or not for this reason.
+    /// The state with this number was saved, or saving failed for the reason given.
     StateSaved(u64, Result<(), String>),
 }
 
-/// What reaches the task that owns routing.
+/// An event for the event loop.
 #[derive(Debug)]
 pub enum Inbound {
-    /// News of a connection.
+    /// An event of a TCP connection.
     Conn(Side, ConnId, ConnEvent),
-    /// An event of the coordinator.
+    /// An event received from the coordinator.
     CoordinatorEvent(ServerEvent),
-    /// The coordinator's stream came up, or was lost for this reason.
+    /// The coordinator's stream was established, or was lost for the reason given.
     CoordinatorStream(Result<(), String>),
-    /// A peer's datagram.
+    /// A datagram received from a peer.
     PeerDatagram {
-        /// Its address.
+        /// The sender's address.
         from: SocketAddr,
-        /// Its content.
+        /// The payload.
         body: Vec<u8>,
     },
-    /// A gateway's datagram.
+    /// A datagram received from a gateway.
     GatewayDatagram {
-        /// Its address.
+        /// The sender's address.
         from: SocketAddr,
-        /// Its content.
+        /// The payload.
         body: Vec<u8>,
     },
-    /// A datagram of an instance that gossips.
+    /// A gossip datagram received from another instance.
     GossipDatagram {
-        /// Its address.
+        /// The sender's address.
         from: SocketAddr,
-        /// Its content.
+        /// The payload.
         body: Vec<u8>,
     },
-    /// News of the control socket or the state folder.
+    /// An event of the control socket or of the state folder.
     Control(ControlEvent),
-    /// A line from the console.
+    /// A line entered on the console.
     ConsoleLine(String),
-    /// The counters are asked for.
+    /// Write the counters to the log.
     LogCounters,
-    /// The configuration is to be read anew.
+    /// Reload the configuration.
     Reload,
-    /// The program is asked to stop.
+    /// Shut the program down.
     Stop,
-    /// No caller's connection comes up any more; all that did have been told.
+    /// The listener for callers is closed; [`ConnEvent::Accepted`] has been sent for every accepted connection.
     ListenerClosed,
 }
--- a/src/transport/outbox.rs
+++ b/src/transport/outbox.rs
@@ -1,4 +1,4 @@
-//! The bounded send queue of one connection.
+//! The bounded send queue of a connection.
 
 use crate::routing::interface::CallId;
 use event_listener::Event;
@@ -6,97 +6,100 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// Bytes that may wait for one connection. What a slow reader has not taken by then costs it the connection.
+/// Maximum number of queued bytes. A connection whose reader is too slow for this is aborted.
 pub const CAPACITY_BYTES: usize = 512 * 1024;
 
 #[derive(Debug, Default)]
 struct Queue {
+    /// Queued lines; a set-up carries the identifier of its call.
     lines: VecDeque<(Option<CallId>, Vec<u8>)>,
     bytes: usize,
-    /// Nothing more is taken; what waits still goes out.
+    /// No more lines are accepted; the queued ones are still sent.
     closed: bool,
-    /// The connection is to end at once.
+    /// The connection ends at once.
     aborted: bool,
-    /// Nothing more is to be read from the connection.
+    /// Nothing more is read from the connection.
     stop_reading: bool,
 }
 
-/// A handle to the queue: the task that owns routing puts lines in, the connection's own task takes them out.
+/// A handle to the queue. The event loop adds lines, and the task of the connection removes and sends them.
 #[derive(Clone, Debug, Default)]
 pub struct Outbox {
     queue: Rc<RefCell<Queue>>,
-    news: Rc<Event>,
+    changed: Rc<Event>,
 }
 
 impl Outbox {
-    /// Adds a line. `false`: there is no room, and the line was not taken.
+    /// Adds a line. Returns `false` if the line was rejected because the queue is full, closed or aborted.
     #[must_use]
     pub fn push(&self, set_up: Option<CallId>, line: Vec<u8>) -> bool {
-        let mut q = self.queue.borrow_mut();
-        if q.closed || q.aborted || q.bytes + line.len() > CAPACITY_BYTES {
+        let mut queue = self.queue.borrow_mut();
+        if queue.closed || queue.aborted || queue.bytes + line.len() > CAPACITY_BYTES {
             return false;
         }
-        q.bytes += line.len();
-        q.lines.push_back((set_up, line));
-        self.news.notify(usize::MAX);
+        queue.bytes += line.len();
+        queue.lines.push_back((set_up, line));
+        self.changed.notify(usize::MAX);
         true
     }
 
-    /// Takes back the set-up of a call that has not begun to leave. Guards the drain limit and the rule of one
-    /// attempt: what still waits behind a slow reader must not reach the exchange after it was given up.
+    /// Removes the set-up of a call if it is still queued, and returns whether it was. A set-up that is queued for a
+    /// slow reader must not reach the exchange after it was given up, since it would break the drain limit and the
+    /// rule of one attempt at a time.
     pub fn remove_unsent(&self, call: CallId) -> bool {
-        let mut q = self.queue.borrow_mut();
-        let Some(at) = q.lines.iter().position(|l| l.0 == Some(call)) else { return false };
-        let line = q.lines.remove(at);
-        q.bytes -= line.map_or(0, |l| l.1.len());
+        let mut queue = self.queue.borrow_mut();
+        let Some(position) = queue.lines.iter().position(|l| l.0 == Some(call)) else { return false };
+        let line = queue.lines.remove(position);
+        queue.bytes -= line.map_or(0, |l| l.1.len());
         true
     }
 
-    /// Ends the connection once what waits has gone out.
+    /// Ends the connection after the queued lines have been sent.
     pub fn close(&self) {
         self.queue.borrow_mut().closed = true;
-        self.news.notify(usize::MAX);
+        self.changed.notify(usize::MAX);
     }
 
-    /// Ends the connection at once.
+    /// Ends the connection at once and discards the queued lines.
     pub fn abort(&self) {
-        let mut q = self.queue.borrow_mut();
-        q.aborted = true;
-        q.lines.clear();
-        q.bytes = 0;
-        self.news.notify(usize::MAX);
+        let mut queue = self.queue.borrow_mut();
+        queue.aborted = true;
+        queue.lines.clear();
+        queue.bytes = 0;
+        self.changed.notify(usize::MAX);
     }
 
-    /// Has the connection's task read no further.
+    /// Stops reading from the connection.
     pub fn stop_reading(&self) {
         self.queue.borrow_mut().stop_reading = true;
-        self.news.notify(usize::MAX);
+        self.changed.notify(usize::MAX);
     }
 
-    /// Bytes that wait.
+    /// Number of queued bytes.
     pub fn queued_bytes(&self) -> usize {
         self.queue.borrow().bytes
     }
 
-    /// Waits for lines and takes up to about `most` bytes of them; `None`: the connection is to end.
-    pub async fn next_batch(&self, most: usize) -> Option<Vec<u8>> {
+    /// Waits for lines and removes the next batch of them, whole lines until it has `batch_bytes` bytes; `None` if
+    /// the connection is to end.
+    pub async fn next_batch(&self, batch_bytes: usize) -> Option<Vec<u8>> {
         loop {
-            let listener = self.news.listen();
+            let listener = self.changed.listen();
             {
-                let mut q = self.queue.borrow_mut();
-                if q.aborted {
+                let mut queue = self.queue.borrow_mut();
+                if queue.aborted {
                     return None;
                 }
                 let mut bytes = Vec::new();
-                while bytes.len() < most {
-                    let Some((_, line)) = q.lines.pop_front() else { break };
-                    q.bytes -= line.len();
+                while bytes.len() < batch_bytes {
+                    let Some((_, line)) = queue.lines.pop_front() else { break };
+                    queue.bytes -= line.len();
                     bytes.extend(line);
                 }
                 if !bytes.is_empty() {
                     return Some(bytes);
                 }
-                if q.closed {
+                if queue.closed {
                     return None;
                 }
             }
@@ -104,20 +107,20 @@
         }
     }
 
-    /// Waits until the connection is to end at once.
+    /// Waits until the connection is aborted.
     pub async fn wait_for_abort(&self) {
-        self.until(|q| q.aborted).await;
+        self.wait_until(|queue| queue.aborted).await;
     }
 
-    /// Waits until nothing more is to be read from the connection.
+    /// Waits until reading is to stop.
     pub async fn wait_for_stop_reading(&self) {
-        self.until(|q| q.stop_reading).await;
+        self.wait_until(|queue| queue.stop_reading).await;
     }
 
-    async fn until(&self, holds: impl Fn(&Queue) -> bool) {
+    async fn wait_until(&self, condition: impl Fn(&Queue) -> bool) {
         loop {
-            let listener = self.news.listen();
-            if holds(&self.queue.borrow()) {
+            let listener = self.changed.listen();
+            if condition(&self.queue.borrow()) {
                 return;
             }
             listener.await;
@@ -131,27 +134,27 @@
     use futures_lite::future::{block_on, poll_once};
 
     #[test]
-    fn a_full_queue_takes_no_more_and_a_set_up_can_be_taken_back_until_it_leaves() {
-        let o = Outbox::default();
-        assert!(o.push(Some(CallId(1)), b"one\n".to_vec()));
-        assert!(o.push(Some(CallId(2)), b"two\n".to_vec()));
-        assert!(!o.push(None, vec![0; CAPACITY_BYTES]));
-        assert!(o.remove_unsent(CallId(1)));
-        assert_eq!(block_on(o.next_batch(100)), Some(b"two\n".to_vec()));
-        assert!(!o.remove_unsent(CallId(2)), "it has left");
-        assert_eq!(o.queued_bytes(), 0);
-        o.close();
-        assert!(!o.push(None, vec![0]));
-        assert_eq!(block_on(o.next_batch(100)), None);
+    fn a_full_queue_rejects_lines_and_a_set_up_can_be_removed_until_it_is_sent() {
+        let outbox = Outbox::default();
+        assert!(outbox.push(Some(CallId(1)), b"one\n".to_vec()));
+        assert!(outbox.push(Some(CallId(2)), b"two\n".to_vec()));
+        assert!(!outbox.push(None, vec![0; CAPACITY_BYTES]));
+        assert!(outbox.remove_unsent(CallId(1)));
+        assert_eq!(block_on(outbox.next_batch(100)), Some(b"two\n".to_vec()));
+        assert!(!outbox.remove_unsent(CallId(2)), "already sent");
+        assert_eq!(outbox.queued_bytes(), 0);
+        outbox.close();
+        assert!(!outbox.push(None, vec![0]));
+        assert_eq!(block_on(outbox.next_batch(100)), None);
     }
 
     #[test]
-    fn a_cut_ends_the_wait_and_drops_what_waits() {
-        let o = Outbox::default();
-        assert!(block_on(poll_once(o.wait_for_abort())).is_none());
-        assert!(o.push(None, vec![1]));
-        o.abort();
-        assert_eq!(block_on(o.next_batch(9)), None);
-        block_on(o.wait_for_abort());
+    fn an_abort_ends_the_wait_and_discards_the_queue() {
+        let outbox = Outbox::default();
+        assert!(block_on(poll_once(outbox.wait_for_abort())).is_none());
+        assert!(outbox.push(None, vec![1]));
+        outbox.abort();
+        assert_eq!(block_on(outbox.next_batch(9)), None);
+        block_on(outbox.wait_for_abort());
     }
 }
--- a/src/transport/saver.rs
+++ b/src/transport/saver.rs
@@ -1,35 +1,35 @@
-//! The thread that writes the state folder. The task that owns routing hands it whole states and never waits; a newer
-//! one takes the place of one that has not begun to be written.
+//! The thread that writes the state folder. The event loop passes it complete states and never waits; a newer state
+//! replaces one that is still queued.
 
 use super::{ControlEvent, Inbound};
 use async_channel::{bounded, Receiver, Sender};
 use walnuthatch_drains::folder::Folder;
 use walnuthatch_drains::saved::Saved;
 
-/// A state with its number.
+/// A state to save, with its number.
 pub type SaveRequest = (u64, Box<Saved>);
-/// What became of the saving of that number.
+/// The number of a state and the result of saving it.
 pub type SaveResult = (u64, Result<(), String>);
 
-/// Starts the thread: states go in, what became of them comes out.
+/// Starts the thread; returns the queue for states to save and the queue of results.
 pub fn start(mut folder: Folder) -> (Sender<SaveRequest>, Receiver<SaveResult>) {
-    let (savings, queue) = bounded::<SaveRequest>(1);
-    let (outcomes, told) = bounded(1);
+    let (requests, queue) = bounded::<SaveRequest>(1);
+    let (results, result_queue) = bounded(1);
     std::thread::spawn(move || {
-        while let Ok((n, saved)) = queue.recv_blocking() {
-            let how = folder.save(&saved).map_err(|e| e.to_string());
-            if outcomes.send_blocking((n, how)).is_err() {
+        while let Ok((number, saved)) = queue.recv_blocking() {
+            let result = folder.save(&saved).map_err(|e| e.to_string());
+            if results.send_blocking((number, result)).is_err() {
                 return;
             }
         }
     });
-    (savings, told)
+    (requests, result_queue)
 }
 
-/// Passes on what became of savings.
-pub async fn forward_results(told: Receiver<SaveResult>, inbox: Sender<Inbound>) {
-    while let Ok((n, how)) = told.recv().await {
-        if inbox.send(Inbound::Control(ControlEvent::StateSaved(n, how))).await.is_err() {
+/// Forwards the results to the event loop.
+pub async fn forward_results(results: Receiver<SaveResult>, inbox: Sender<Inbound>) {
+    while let Ok((number, result)) = results.recv().await {
+        if inbox.send(Inbound::Control(ControlEvent::StateSaved(number, result))).await.is_err() {
             return;
         }
     }
