--- a/src/transport/streams.rs
+++ b/src/transport/streams.rs
@@ -1,4 +1,4 @@
-//! TCP: the listener for callers and the task of each connection.
+//! TCP: the listener for callers, connections to exchanges, and the task that serves each connection.
 
 use super::outbox::Outbox;
 use super::{ConnEvent, Inbound, Side};
@@ -19,22 +19,23 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Bytes read or written at a time.
-const CHUNK: usize = 16 * 1024;
-/// Bytes taken in at most from a caller whose connection ends.
-const SEEN_OFF: usize = 16 * CHUNK;
-/// A connection that this side ends stays this long after its last byte, so that the far end can take that in:
-/// closed with bytes unread it would be reset, and its answers with it.
+/// Size of the read buffer, and of a batch of lines that is written.
+const CHUNK_BYTES: usize = 16 * 1024;
+/// Maximum number of bytes read and discarded from a caller while its connection is being closed.
+const MAX_DISCARDED_BYTES: usize = 16 * CHUNK_BYTES;
+/// How long a connection stays open after its last byte was sent, so that the remote end can read it. Closing a socket
+/// with unread data resets the connection, and the remote end would lose answers that it has not read.
 const LINGER: Duration = Duration::from_millis(200);
-/// Connections that may wait to be accepted.
+/// Maximum number of connections waiting to be accepted.
 const BACKLOG: i32 = 1024;
-/// Pause after an accept that failed, as when descriptors run short.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// A peer that acknowledges nothing for about this long is taken as gone.
-const KEEPALIVE: Duration = Duration::from_secs(2);
+/// Delay before retrying a failed accept, for example when no descriptor is free.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Idle time before the first TCP keepalive probe, and interval between probes. The system drops a connection whose
+/// remote end answers none of three probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Listens for callers. Guards them against hundreds that connect at once: with the standard library's short queue
-/// the system would pass their connections over, to be tried again after a second.
+/// Listens for callers. Uses a longer backlog than the standard library: when hundreds of callers connect at once, the
+/// system would drop connections from a short queue, and those callers would retry only after a second.
 pub fn bind(address: SocketAddr) -> io::Result<Async<TcpListener>> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
@@ -43,46 +44,46 @@
     Async::new(socket.into())
 }
 
-/// Takes in callers' connections for as long as the program runs, `most` at a time: beyond that they wait with the
-/// system until others have ended. Guards the descriptors, whose number is a hard limit, while the task that owns
-/// routing chooses which of the connections go. Once `stop` is told of, it listens no more.
+/// Accepts callers' connections until `stop` is signalled, at most `max_connections` at a time; further ones wait in the
+/// system's backlog until others have ended. This protects the number of descriptors, which is a hard limit, while the
+/// event loop chooses which connections to close.
 pub async fn listen(
     listener: Async<TcpListener>,
-    most: usize,
+    max_connections: usize,
     executor: Rc<LocalExecutor<'static>>,
     inbox: Sender<Inbound>,
     stop: Receiver<()>,
 ) -> Result<(), SendError<Inbound>> {
-    let mut acceptor = Acceptor { next: 0, executor, inbox };
-    let places = Arc::new(Semaphore::new(most));
+    let mut acceptor = Acceptor { next_id: 0, executor, inbox };
+    let permits = Arc::new(Semaphore::new(max_connections));
     let stopped = async {
-        // Nobody can ask any more once the other end is gone.
+        // A closed channel also counts as a request to stop.
         let _ = stop.recv().await;
         None
     };
     futures_lite::pin!(stopped);
     loop {
         let accepted = async {
-            let place = places.acquire_arc().await;
-            Some((listener.accept().await, place))
+            let permit = permits.acquire_arc().await;
+            Some((listener.accept().await, permit))
         };
         match future::or(&mut stopped, accepted).await {
-            Some((Ok((stream, _)), place)) => acceptor.accept(stream, Some(place)).await?,
-            Some((Err(_), _)) => drop(Timer::after(ACCEPT_PAUSE).await),
+            Some((Ok((stream, _)), permit)) => acceptor.accept(stream, Some(permit)).await?,
+            Some((Err(_), _)) => drop(Timer::after(ACCEPT_RETRY_DELAY).await),
             None => break,
         }
     }
-    // What came up before the listener's end is served still: its callers were told that it came up.
+    // Connections that the system has already accepted are still served, since for their callers they are established.
     while let Some(Ok((stream, _))) = future::poll_once(listener.accept()).await {
-        acceptor.accept(stream, places.try_acquire_arc()).await?;
+        acceptor.accept(stream, permits.try_acquire_arc()).await?;
     }
     drop(listener);
     acceptor.inbox.send(Inbound::ListenerClosed).await
 }
 
-/// Numbers callers' connections and starts their tasks.
+/// Assigns identifiers to callers' connections and starts their tasks.
 struct Acceptor {
-    next: u64,
+    next_id: u64,
     executor: Rc<LocalExecutor<'static>>,
     inbox: Sender<Inbound>,
 }
@@ -91,35 +92,36 @@
     async fn accept(
         &mut self,
         stream: Async<TcpStream>,
-        place: Option<SemaphoreGuardArc>,
+        permit: Option<SemaphoreGuardArc>,
     ) -> Result<(), SendError<Inbound>> {
-        let (conn, outbox) = (ConnId(self.next), Outbox::default());
-        self.next += 1;
-        prepare(&stream);
+        let (conn, outbox) = (ConnId(self.next_id), Outbox::default());
+        self.next_id += 1;
+        set_socket_options(&stream);
         let accepted = ConnEvent::Accepted(outbox.clone());
         self.inbox.send(Inbound::Conn(Side::Callers, conn, accepted)).await?;
         let served = serve(stream, Side::Callers, conn, outbox, self.inbox.clone());
-        let until_its_end = async move {
+        let task = async move {
             served.await;
-            drop(place);
+            drop(permit);
         };
-        self.executor.spawn(until_its_end).detach();
+        self.executor.spawn(task).detach();
         Ok(())
     }
 }
 
-/// Opens a connection and serves it; it ends at once when its outbox is cut, also while it is coming up.
+/// Opens a connection to an exchange and serves it. It ends at once when its outbox is aborted, also while it is being
+/// established.
 pub async fn open(address: SocketAddr, conn: ConnId, outbox: Outbox, inbox: Sender<Inbound>) {
-    let news = |n| Inbound::Conn(Side::Exchanges, conn, n);
+    let to_inbound = |event| Inbound::Conn(Side::Exchanges, conn, event);
     let connect = async { Some(Async::<TcpStream>::connect(address).await) };
-    let cut = async {
+    let aborted = async {
         outbox.wait_for_abort().await;
         None
     };
-    let closing = match future::or(connect, cut).await {
+    let closing = match future::or(connect, aborted).await {
         Some(Ok(stream)) => {
-            prepare(&stream);
-            if inbox.send(news(ConnEvent::Connected)).await.is_ok() {
+            set_socket_options(&stream);
+            if inbox.send(to_inbound(ConnEvent::Connected)).await.is_ok() {
                 serve(stream, Side::Exchanges, conn, outbox, inbox).await;
             }
             return;
@@ -128,24 +130,26 @@
         Some(Err(_)) => Closing::NotMade,
         None => Closing::Ours,
     };
-    // The program ends when its queue is gone; nobody is left to hear of this connection then.
-    drop(inbox.send(news(ConnEvent::Closed(closing))).await);
+    // Sending fails only when the event loop has ended, and the event is not needed then.
+    drop(inbox.send(to_inbound(ConnEvent::Closed(closing))).await);
 }
 
-fn prepare(stream: &Async<TcpStream>) {
+fn set_socket_options(stream: &Async<TcpStream>) {
     let socket = socket2::SockRef::from(stream.get_ref());
-    let keepalive =
-        socket2::TcpKeepalive::new().with_time(KEEPALIVE).with_interval(KEEPALIVE).with_retries(3);
-    // Both only sharpen what works without them.
+    let keepalive = socket2::TcpKeepalive::new()
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(3);
+    // Both options are optimisations; the connection also works without them.
     drop(socket.set_tcp_nodelay(true));
     drop(socket.set_tcp_keepalive(&keepalive));
 }
 
-/// Owns one connection from here to its end; the descriptor is given back when this returns.
+/// Serves a connection until it ends. The descriptor is closed when this returns.
 async fn serve(stream: Async<TcpStream>, side: Side, conn: ConnId, outbox: Outbox, inbox: Sender<Inbound>) {
-    let spent = Cell::new(false);
+    let invalid_line = Cell::new(false);
     let closing = future::or(write(&stream, &outbox), async {
-        future::or(read(&stream, side, conn, &inbox, &outbox, &spent), async {
+        future::or(read(&stream, side, conn, &inbox, &outbox, &invalid_line), async {
             outbox.wait_for_abort().await;
             Closing::Ours
         })
@@ -153,7 +157,7 @@
     })
     .await;
     if side == Side::Callers && closing == Closing::Ours {
-        future::or(outbox.wait_for_abort(), see_off(&stream, spent.get())).await;
+        future::or(outbox.wait_for_abort(), close_gracefully(&stream, invalid_line.get())).await;
     }
     if fault_injected(InjectedFault::LeakedConnection) {
         std::mem::forget(stream.get_ref().try_clone());
@@ -162,19 +166,20 @@
     drop(inbox.send(Inbound::Conn(side, conn, ConnEvent::Closed(closing))).await);
 }
 
-/// Ends a connection whose caller may still be sending. Guards the answers on their way to it: a close with bytes
-/// unread is a reset, which takes back what the far end has not read yet. What can't be read any more is passed over;
-/// else nothing more is read, since what has been read must be answered. It ends with the outbox's cut at the latest.
-async fn see_off(mut stream: &Async<TcpStream>, spent: bool) {
+/// Closes the connection of a caller that may still be sending. Closing a socket with unread data would reset the
+/// connection, and answers that the caller has not read yet would be lost. After an invalid line, received data is
+/// discarded; otherwise nothing more is read, since every message that is read must be answered. An abort of the outbox
+/// ends this early.
+async fn close_gracefully(mut stream: &Async<TcpStream>, invalid_line: bool) {
     if stream.get_ref().shutdown(Shutdown::Write).is_err() {
         return;
     }
-    if !spent {
+    if !invalid_line {
         Timer::after(LINGER).await;
         return;
     }
-    let mut buffer = vec![0; CHUNK];
-    for _ in 0..SEEN_OFF / CHUNK {
+    let mut buffer = vec![0; CHUNK_BYTES];
+    for _ in 0..MAX_DISCARDED_BYTES / CHUNK_BYTES {
         if !matches!(stream.read(&mut buffer).await, Ok(n) if n > 0) {
             return;
         }
@@ -182,7 +187,7 @@
 }
 
 async fn write(mut stream: &Async<TcpStream>, outbox: &Outbox) -> Closing {
-    while let Some(bytes) = outbox.next_batch(CHUNK).await {
+    while let Some(bytes) = outbox.next_batch(CHUNK_BYTES).await {
         if stream.write_all(&bytes).await.is_err() {
             return Closing::Broken;
         }
@@ -196,48 +201,49 @@
     conn: ConnId,
     inbox: &Sender<Inbound>,
     outbox: &Outbox,
-    spent: &Cell<bool>,
+    invalid_line: &Cell<bool>,
 ) -> Closing {
-    let mut buffer = vec![0; CHUNK];
-    let (mut lines, mut half) = (LineSplitter::default(), false);
+    let mut buffer = vec![0; CHUNK_BYTES];
+    let (mut lines, mut partial) = (LineSplitter::default(), false);
     loop {
         let stopped = async {
-            // What has begun is read to its end.
-            if half {
+            // An incomplete line is read to its end first.
+            if partial {
                 future::pending::<()>().await;
             }
             outbox.wait_for_stop_reading().await;
             None
         };
-        let n = match future::or(stopped, async { Some(stream.read(&mut buffer).await) }).await {
+        let length = match future::or(stopped, async { Some(stream.read(&mut buffer).await) }).await {
             Some(Ok(0)) => return Closing::Ended,
-            Some(Ok(n)) => n,
+            Some(Ok(length)) => length,
             Some(Err(_)) => return Closing::Broken,
             None if inbox.send(Inbound::Conn(side, conn, ConnEvent::ReadingStopped)).await.is_err() => {
                 return Closing::Ours;
             }
             None => return future::pending().await,
         };
-        let (mut news, mut bad) = (Vec::new(), None);
-        lines.push(&buffer[..n], |line| match line.and_then(Message::parse) {
-            Ok(message) if bad.is_none() => news.push(ConnEvent::Message(message)),
+        let (mut events, mut error) = (Vec::new(), None);
+        lines.push(&buffer[..length], |line| match line.and_then(Message::parse) {
+            Ok(message) if error.is_none() => events.push(ConnEvent::Message(message)),
             Ok(_) => {}
-            Err(e) => drop(bad.get_or_insert(e)),
+            Err(e) => drop(error.get_or_insert(e)),
         });
-        // A half line is told when it begins, so that its time counts from then however slowly the rest comes.
-        let was = std::mem::replace(&mut half, lines.half());
-        if half != was || (half && !news.is_empty()) {
-            news.push(ConnEvent::PartialLine(half));
+        // An incomplete line is reported when it begins, so that its timeout runs from then on, however slowly the rest
+        // arrives.
+        let was_partial = std::mem::replace(&mut partial, lines.half());
+        if partial != was_partial || (partial && !events.is_empty()) {
+            events.push(ConnEvent::PartialLine(partial));
         }
-        spent.set(bad.is_some());
-        for n in news.into_iter().chain(bad.map(ConnEvent::InvalidLine)) {
-            if inbox.send(Inbound::Conn(side, conn, n)).await.is_err() {
+        invalid_line.set(error.is_some());
+        for event in events.into_iter().chain(error.map(ConnEvent::InvalidLine)) {
+            if inbox.send(Inbound::Conn(side, conn, event)).await.is_err() {
                 return Closing::Ours;
             }
         }
-        if spent.get() {
-            // What it still sends stays with the system, which stops the sender: the end of the connection is up
-            // to whoever hears of the bad line.
+        if invalid_line.get() {
+            // Nothing more is read, so TCP flow control stops the sender. The event loop closes the connection when it
+            // handles the invalid line.
             return future::pending().await;
         }
     }
