--- a/src/protocol/mgcp/agent.rs
+++ b/src/protocol/mgcp/agent.rs
@@ -389,7 +389,7 @@
         match command.verb {
             Verb::Ntfy => {
                 let request_id = command.params.get("X").unwrap_or("0");
-                // A notification for an earlier request is outdated; it is only acknowledged.
+                // A notification for an earlier request is outdated: it is answered, but not handled.
                 let current = request_id == "0"
                     || request_id.eq_ignore_ascii_case(&format_request_id(self.endpoints[first].request_id));
                 let Some(observed) = command.params.get("O") else { return 510 };
--- a/src/transport/coordinator.rs
+++ b/src/transport/coordinator.rs
@@ -21,7 +21,7 @@
 const PARALLEL_REQUEST_DELAY: Duration = Duration::from_millis(1_500);
 /// Maximum number of parallel requests.
 const MAX_PARALLEL_REQUESTS: u32 = 3;
-/// Minimum time between two attempts to open the stream.
+/// Delay before opening the stream again if the last attempt ended sooner than this.
 const RECONNECT_DELAY: Duration = Duration::from_millis(150);
 /// Size of the read buffer.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
--- a/src/transport/streams.rs
+++ b/src/transport/streams.rs
@@ -44,9 +44,9 @@
     Async::new(socket.into())
 }
 
-/// Accepts callers' connections until `stop` is signalled, at most `max_connections` at a time; further ones wait in the
-/// system's backlog until others have ended. This protects the number of descriptors, which is a hard limit, while the
-/// event loop chooses which connections to close.
+/// Accepts callers' connections until `stop` is signalled, at most `max_connections` at a time; further ones wait in
+/// the system's backlog until others have ended. The limit keeps descriptors free, whose number is a hard limit, while
+/// the event loop chooses which connections to close.
 pub async fn listen(
     listener: Async<TcpListener>,
     max_connections: usize,
--- a/tests/gateways.rs
+++ b/tests/gateways.rs
@@ -1,5 +1,5 @@
-//! The front towards gateways on real loopback sockets: the program as a process, and a small stand-in gateway.
-//! Times are checked from one side only: what must not come too soon, never what must come quickly.
+//! The MGCP call agent over loopback sockets: the program runs as a process, and the tests play the gateways.
+//! Time limits are only checked as minimums, never as maximums, so that a slow machine does not fail a test.
 
 mod common;
 
@@ -12,17 +12,17 @@
 const SDP_B: &str =
     "v=0\r\no=- 2 2 IN IP4 127.0.0.1\r\nc=IN IP4 127.0.0.1\r\nm=audio 5002 RTP/AVP 8\r\na=x-odd: \t\"\\\r\n";
 
-/// What the program sent, as the stand-in sees it.
+/// A command that the simulated gateway received.
 #[derive(Clone, Debug, PartialEq)]
-struct Got {
+struct ReceivedCommand {
     verb: String,
-    id: String,
+    transaction: String,
     endpoint: String,
     text: String,
-    at: Instant,
+    received_at: Instant,
 }
 
-impl Got {
+impl ReceivedCommand {
     fn param(&self, name: &str) -> Option<&str> {
         let head = self.text.split("\r\n\r\n").next().unwrap_or("");
         head.lines().find_map(|l| l.strip_prefix(&format!("{name}: ")))
@@ -32,27 +32,27 @@
     }
 }
 
-/// A gateway of its own socket. It answers nothing by itself but the DLCX, RQNT and AUEP of the start.
+/// A simulated gateway with its own socket. It answers commands only when a test calls one of its methods.
 struct Gateway {
     socket: UdpSocket,
     name: &'static str,
     agent: Option<SocketAddr>,
-    next: u32,
-    seen: Vec<Got>,
+    next_transaction: u32,
+    received: Vec<ReceivedCommand>,
 }
 
 impl Gateway {
     fn new(name: &'static str) -> Gateway {
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
         socket.set_read_timeout(Some(Duration::from_millis(20))).unwrap();
-        Gateway { socket, name, agent: None, next: 1000, seen: Vec::new() }
+        Gateway { socket, name, agent: None, next_transaction: 1000, received: Vec::new() }
     }
 
-    fn say(&self, text: &str) {
+    fn send(&self, text: &str) {
         self.socket.send_to(text.as_bytes(), self.agent.unwrap()).unwrap();
     }
 
-    /// The next datagram, if one comes soon.
+    /// The next datagram, if one arrives within the read timeout.
     fn poll(&mut self) -> Option<String> {
         let mut buffer = [0; 16_384];
         let (n, from) = self.socket.recv_from(&mut buffer).ok()?;
@@ -60,110 +60,119 @@
         Some(String::from_utf8(buffer[..n].to_vec()).unwrap())
     }
 
-    /// The next command; repeats of earlier ones are passed over.
-    fn command_or_none(&mut self, wait: Duration) -> Option<Got> {
-        let until = Instant::now() + wait;
-        while Instant::now() < until {
+    /// The next command, if one arrives in time; retransmissions of earlier commands are ignored.
+    fn try_command(&mut self, wait: Duration) -> Option<ReceivedCommand> {
+        let deadline = Instant::now() + wait;
+        while Instant::now() < deadline {
             let Some(text) = self.poll() else { continue };
             let mut words = text.lines().next().unwrap().split(' ').map(str::to_owned);
-            let (verb, id) = (words.next().unwrap(), words.next().unwrap());
-            if verb.parse::<u16>().is_ok() || self.seen.iter().any(|s| s.id == id) {
+            let (verb, transaction) = (words.next().unwrap(), words.next().unwrap());
+            if verb.parse::<u16>().is_ok() || self.received.iter().any(|c| c.transaction == transaction) {
                 continue;
             }
             let endpoint = words.next().unwrap();
-            let got = Got { verb, id, endpoint, text, at: Instant::now() };
-            self.seen.push(got.clone());
-            return Some(got);
+            let command = ReceivedCommand { verb, transaction, endpoint, text, received_at: Instant::now() };
+            self.received.push(command.clone());
+            return Some(command);
         }
         None
     }
 
-    /// The next command of that verb; RQNT and DLCX before it are answered as a gateway would.
-    fn command(&mut self, verb: &str) -> Got {
+    /// The next command with this verb; RQNT and DLCX before it are answered with success.
+    fn command(&mut self, verb: &str) -> ReceivedCommand {
         loop {
-            let got =
-                self.command_or_none(WAIT).unwrap_or_else(|| panic!("no {verb}; seen {:#?}", self.seen));
-            if got.verb == verb {
-                return got;
+            let command =
+                self.try_command(WAIT).unwrap_or_else(|| panic!("no {verb}; received {:#?}", self.received));
+            if command.verb == verb {
+                return command;
             }
-            assert!(matches!(got.verb.as_str(), "RQNT" | "DLCX"), "{got:?} where {verb} was due");
-            self.ok(&got);
+            assert!(matches!(command.verb.as_str(), "RQNT" | "DLCX"), "{command:?} instead of {verb}");
+            self.respond_ok(&command);
         }
     }
 
-    fn ok(&self, to: &Got) {
-        let code = if to.verb == "DLCX" { 250 } else { 200 };
-        self.say(&format!("{code} {} OK\r\n", to.id));
+    fn respond_ok(&self, command: &ReceivedCommand) {
+        let code = if command.verb == "DLCX" { 250 } else { 200 };
+        self.send(&format!("{code} {} OK\r\n", command.transaction));
     }
 
-    fn answer(&self, to: &Got, code: u16, connection: &str, sdp: &str) {
-        self.say(&format!("{code} {} OK\r\nI: {connection}\r\n\r\n{sdp}", to.id));
+    fn respond_with_connection(&self, command: &ReceivedCommand, code: u16, connection: &str, sdp: &str) {
+        self.send(&format!("{code} {} OK\r\nI: {connection}\r\n\r\n{sdp}", command.transaction));
     }
 
-    /// Sends a command and gives the response's text; commands that come before it are answered and passed over.
-    fn tell(&mut self, verb: &str, endpoint: &str, params: &str) -> (String, String) {
-        self.next += 1;
-        let text = format!("{verb} {} {endpoint} MGCP 1.0\r\n{params}", self.next);
-        let answer = self.exchange(&text);
+    /// Sends a command and returns its text and the text of the response. Commands that arrive before the response are
+    /// answered with success.
+    fn send_command(&mut self, verb: &str, endpoint: &str, params: &str) -> (String, String) {
+        self.next_transaction += 1;
+        let text = format!("{verb} {} {endpoint} MGCP 1.0\r\n{params}", self.next_transaction);
+        let answer = self.send_until_answered(&text);
         (text, answer)
     }
 
-    /// Sends a text until a response comes.
-    fn exchange(&mut self, text: &str) -> String {
-        let until = Instant::now() + WAIT;
-        self.say(text);
-        let mut sent = Instant::now();
-        while Instant::now() < until {
-            if let Some(got) = self.poll() {
-                if got.as_bytes()[0].is_ascii_digit() && !got.starts_with("000") {
-                    return got;
+    /// Sends a datagram, repeatedly, until a response arrives.
+    fn send_until_answered(&mut self, text: &str) -> String {
+        let deadline = Instant::now() + WAIT;
+        self.send(text);
+        let mut sent_at = Instant::now();
+        while Instant::now() < deadline {
+            if let Some(command) = self.poll() {
+                if command.as_bytes()[0].is_ascii_digit() && !command.starts_with("000") {
+                    return command;
                 }
-                let mut words = got.split(' ');
-                let (verb, id) = (words.next().unwrap().to_owned(), words.next().unwrap().to_owned());
+                let mut words = command.split(' ');
+                let (verb, transaction) =
+                    (words.next().unwrap().to_owned(), words.next().unwrap().to_owned());
                 let endpoint = words.next().unwrap().to_owned();
-                if !self.seen.iter().any(|s| s.id == id) {
-                    let got = Got { verb, id, endpoint, text: got.clone(), at: Instant::now() };
-                    self.ok(&got);
-                    self.seen.push(got);
+                if !self.received.iter().any(|c| c.transaction == transaction) {
+                    let command = ReceivedCommand {
+                        verb,
+                        transaction,
+                        endpoint,
+                        text: command.clone(),
+                        received_at: Instant::now(),
+                    };
+                    self.respond_ok(&command);
+                    self.received.push(command);
                 }
             }
-            if sent.elapsed() > Duration::from_secs(2) {
-                self.say(text);
-                sent = Instant::now();
+            if sent_at.elapsed() > Duration::from_secs(2) {
+                self.send(text);
+                sent_at = Instant::now();
             }
         }
         panic!("no response to {text}");
     }
 
-    /// Answers the start: DLCX and then RQNT for each endpoint.
-    fn come_up(&mut self, endpoints: usize) {
+    /// Answers the commands that the agent sends at its start, DLCX and then RQNT for each endpoint.
+    fn complete_start(&mut self, endpoints: usize) {
         for _ in 0..endpoints {
-            let got = self.command("DLCX");
-            self.ok(&got);
+            let command = self.command("DLCX");
+            self.respond_ok(&command);
         }
         for _ in 0..endpoints {
-            let got = self.command("RQNT");
-            assert_eq!(got.param("R"), Some("L/hd(N)"));
-            self.ok(&got);
+            let command = self.command("RQNT");
+            assert_eq!(command.param("R"), Some("L/hd(N)"));
+            self.respond_ok(&command);
         }
     }
 
-    /// Takes an endpoint off hook, dials, and answers the CRCX of its own side: the caller is with the core then.
-    fn dial(&mut self, local: &str, number: &str) -> Got {
+    /// Reports off-hook and digits, and answers the CRCX for the caller's connection; the call is then offered to the
+    /// routing core.
+    fn dial(&mut self, local: &str, number: &str) -> ReceivedCommand {
         let endpoint = format!("{local}@{}", self.name);
         let digits: String = number.chars().map(|c| format!(",D/{c}")).collect();
-        let (_, answer) = self.tell("NTFY", &endpoint, &format!("X: 0\r\nO: L/hd{digits}\r\n"));
+        let (_, answer) = self.send_command("NTFY", &endpoint, &format!("X: 0\r\nO: L/hd{digits}\r\n"));
         assert!(answer.starts_with("200 "), "{answer}");
         let crcx = self.command("CRCX");
         assert_eq!((crcx.endpoint.as_str(), crcx.param("M")), (endpoint.as_str(), Some("recvonly")));
-        self.answer(&crcx, 200, "aa1", SDP_A);
+        self.respond_with_connection(&crcx, 200, "aa1", SDP_A);
         crcx
     }
 
-    /// Nothing new comes for a while.
-    fn quiet(&mut self, span: Duration) {
-        if let Some(got) = self.command_or_none(span) {
-            panic!("{got:?} where nothing was due");
+    /// Checks that no new command arrives for this long.
+    fn expect_no_command(&mut self, duration: Duration) {
+        if let Some(command) = self.try_command(duration) {
+            panic!("unexpected {command:?}");
         }
     }
 }
@@ -174,17 +183,17 @@
     callers: SocketAddr,
 }
 
-fn start(gateways: &[(&Gateway, u16, &str, usize, &str)], patience: u32) -> Running {
+fn start(gateways: &[(&Gateway, u16, &str, usize, &str)], client_timeout_ms: u32) -> Running {
     let mut mgcp = format!(
-        "enabled = true\nlisten = \"127.0.0.1:0\"\nclass = \"status-report\"\npatience_ms = {patience}\n"
+        "enabled = true\nlisten = \"127.0.0.1:0\"\nclass = \"status-report\"\npatience_ms = {client_timeout_ms}\n"
     );
-    for (g, exchange, prefix, endpoints, by) in gateways {
+    for (gateway, exchange, prefix, endpoints, answered_by) in gateways {
         let names: Vec<String> = (1..=*endpoints).map(|e| format!("\"lamp/{e}\"")).collect();
         mgcp += &format!(
             "[[gateway]]\nname = \"{}\"\naddress = \"{}\"\nexchange = {exchange}\nprefix = \"{prefix}\"\n\
-             endpoints = [{}]\nanswered_by = \"{by}\"\n",
-            g.name,
-            g.socket.local_addr().unwrap(),
+             endpoints = [{}]\nanswered_by = \"{answered_by}\"\n",
+            gateway.name,
+            gateway.socket.local_addr().unwrap(),
             names.join(",")
         );
     }
@@ -194,164 +203,168 @@
     Running { _program: program, agent, callers }
 }
 
-/// Two gateways that are up: one of callers (exchange 1) and one that is called (exchange 2, numbers 2...).
-fn pair(endpoints: usize, by: &str, patience: u32) -> (Running, Gateway, Gateway) {
+/// Two gateways that have completed the start: one for callers (exchange 1) and one that is called (exchange 2,
+/// numbers that begin with 2).
+fn gateway_pair(endpoints: usize, answered_by: &str, client_timeout_ms: u32) -> (Running, Gateway, Gateway) {
     let (mut a, mut b) = (Gateway::new("cab-a"), Gateway::new("cab-b"));
-    let p = start(&[(&a, 1, "1", endpoints, "off-hook"), (&b, 2, "2", endpoints, by)], patience);
-    (a.agent, b.agent) = (Some(p.agent), Some(p.agent));
-    a.come_up(endpoints);
-    b.come_up(endpoints);
-    (p, a, b)
+    let program = start(
+        &[(&a, 1, "1", endpoints, "off-hook"), (&b, 2, "2", endpoints, answered_by)],
+        client_timeout_ms,
+    );
+    (a.agent, b.agent) = (Some(program.agent), Some(program.agent));
+    a.complete_start(endpoints);
+    b.complete_start(endpoints);
+    (program, a, b)
 }
 
 #[test]
-fn a_call_between_gateways_stands_with_descriptions_unchanged_and_is_cleared_on_both_sides() {
-    let (_p, mut a, mut b) = pair(1, "off-hook", 15_000);
+fn a_call_between_gateways_passes_descriptions_on_unchanged_and_is_cleared_on_both_sides() {
+    let (_program, mut a, mut b) = gateway_pair(1, "off-hook", 15_000);
     let caller = a.dial("lamp/1", "2001");
     let crcx = b.command("CRCX");
     assert_eq!((crcx.param("S"), crcx.sdp()), (Some("L/rg"), Some(SDP_A)));
-    b.answer(&crcx, 200, "bb1", SDP_B);
-    let x = crcx.param("X").unwrap().to_owned();
-    let (_, ok) = b.tell("NTFY", "lamp/1@cab-b", &format!("X: {x}\r\nO: L/hd\r\n"));
-    assert!(ok.starts_with("200 "));
+    b.respond_with_connection(&crcx, 200, "bb1", SDP_B);
+    let request_id = crcx.param("X").unwrap().to_owned();
+    let (_, response) = b.send_command("NTFY", "lamp/1@cab-b", &format!("X: {request_id}\r\nO: L/hd\r\n"));
+    assert!(response.starts_with("200 "));
     let mdcx = a.command("MDCX");
     assert_eq!((mdcx.sdp(), mdcx.param("M")), (Some(SDP_B), Some("sendrecv")));
     assert_eq!((mdcx.param("C"), mdcx.param("I")), (caller.param("C"), Some("aa1")));
-    a.ok(&mdcx);
+    a.respond_ok(&mdcx);
     // The caller hangs up.
-    a.tell("NTFY", "lamp/1@cab-a", "X: 0\r\nO: L/hu\r\n");
+    a.send_command("NTFY", "lamp/1@cab-a", "X: 0\r\nO: L/hu\r\n");
     let dlcx = b.command("DLCX");
     assert_eq!((dlcx.param("C"), dlcx.param("I")), (crcx.param("C"), Some("bb1")));
-    b.ok(&dlcx);
-    assert_eq!(b.command("RQNT").param("R"), Some("L/hd(N)"), "free again");
+    b.respond_ok(&dlcx);
+    assert_eq!(b.command("RQNT").param("R"), Some("L/hd(N)"), "the endpoint is free again");
 }
 
 #[test]
-fn the_called_side_hanging_up_releases_the_caller_once() {
-    let (_p, mut a, mut b) = pair(1, "connection", 15_000);
+fn an_on_hook_event_of_the_called_endpoint_releases_the_caller_once() {
+    let (_program, mut a, mut b) = gateway_pair(1, "connection", 15_000);
     a.dial("lamp/1", "2001");
     let crcx = b.command("CRCX");
-    b.answer(&crcx, 200, "bb1", SDP_B);
+    b.respond_with_connection(&crcx, 200, "bb1", SDP_B);
     let mdcx = a.command("MDCX");
-    a.ok(&mdcx);
-    b.tell("NTFY", "lamp/1@cab-b", "X: 0\r\nO: L/hu\r\n");
+    a.respond_ok(&mdcx);
+    b.send_command("NTFY", "lamp/1@cab-b", "X: 0\r\nO: L/hu\r\n");
     let dlcx = a.command("DLCX");
     assert_eq!((dlcx.param("I"), dlcx.param("R")), (Some("aa1"), Some("L/hu(N)")));
-    a.ok(&dlcx);
-    a.quiet(Duration::from_millis(600));
+    a.respond_ok(&dlcx);
+    a.expect_no_command(Duration::from_millis(600));
 }
 
 #[test]
-fn a_gateway_that_acknowledges_and_falls_silent_is_cleared_and_the_caller_answered_once() {
-    let (_p, mut a, mut b) = pair(1, "off-hook", 2_500);
+fn a_set_up_that_stays_ringing_is_cleared_and_the_caller_answered_once() {
+    let (_program, mut a, mut b) = gateway_pair(1, "off-hook", 2_500);
     let before = Instant::now();
     a.dial("lamp/1", "2001");
     let crcx = b.command("CRCX");
-    // Acknowledged, and nothing more: no hook is ever told.
-    b.answer(&crcx, 200, "bb1", SDP_B);
+    // The CRCX is answered, but off-hook is never reported.
+    b.respond_with_connection(&crcx, 200, "bb1", SDP_B);
     let dlcx = b.command("DLCX");
-    assert!(dlcx.at - before >= Duration::from_millis(2_400), "not before its deadline");
+    assert!(dlcx.received_at - before >= Duration::from_millis(2_400), "before the client timeout");
     assert_eq!((dlcx.param("C"), dlcx.param("I")), (crcx.param("C"), Some("bb1")));
     let refusal = a.command("DLCX");
     assert!(matches!(refusal.param("S"), Some("L/ro" | "G/cg")), "{refusal:?}");
     assert!(refusal.param("X-Outcome").is_some());
-    a.ok(&refusal);
-    a.quiet(Duration::from_millis(900));
-    // The DLCX itself stays unanswered, and is repeated with its own transaction only.
-    b.quiet(Duration::from_millis(900));
+    a.respond_ok(&refusal);
+    a.expect_no_command(Duration::from_millis(900));
+    // The unanswered DLCX is retransmitted only with its own transaction identifier.
+    b.expect_no_command(Duration::from_millis(900));
 }
 
 #[test]
-fn a_provisional_answer_and_then_silence_is_cleared_too() {
-    let (_p, mut a, mut b) = pair(1, "connection", 2_500);
+fn a_set_up_without_a_final_response_after_a_provisional_one_is_cleared() {
+    let (_program, mut a, mut b) = gateway_pair(1, "connection", 2_500);
     a.dial("lamp/1", "2001");
     let crcx = b.command("CRCX");
-    b.say(&format!("100 {} PENDING\r\n", crcx.id));
+    b.send(&format!("100 {} PENDING\r\n", crcx.transaction));
     let dlcx = b.command("DLCX");
     assert_eq!((dlcx.param("C"), dlcx.param("I")), (crcx.param("C"), None));
     let refusal = a.command("DLCX");
-    a.ok(&refusal);
-    // The answer comes after all: what it made is deleted, and the caller hears nothing of it.
-    b.answer(&crcx, 200, "bb9", SDP_B);
+    a.respond_ok(&refusal);
+    // When the final response comes late, its connection is deleted and the caller is not affected.
+    b.respond_with_connection(&crcx, 200, "bb9", SDP_B);
     let late = b.command("DLCX");
     assert_eq!((late.param("C"), late.param("I")), (crcx.param("C"), Some("bb9")));
-    a.quiet(Duration::from_millis(500));
+    a.expect_no_command(Duration::from_millis(500));
 }
 
 #[test]
-fn a_repeat_after_the_final_answer_gets_the_same_response_and_nothing_else() {
-    let (_p, mut a, mut b) = pair(1, "connection", 15_000);
-    let (text, first) = a.tell("NTFY", "lamp/1@cab-a", "X: 0\r\nO: L/hd,D/2,D/0,D/0,D/1\r\n");
+fn a_command_repeated_after_the_final_answer_gets_the_same_response_and_has_no_effect() {
+    let (_program, mut a, mut b) = gateway_pair(1, "connection", 15_000);
+    let (text, first) = a.send_command("NTFY", "lamp/1@cab-a", "X: 0\r\nO: L/hd,D/2,D/0,D/0,D/1\r\n");
     let own = a.command("CRCX");
-    a.answer(&own, 200, "aa1", SDP_A);
+    a.respond_with_connection(&own, 200, "aa1", SDP_A);
     let crcx = b.command("CRCX");
-    b.answer(&crcx, 403, "none", "");
+    b.respond_with_connection(&crcx, 403, "none", "");
     let refusal = a.command("DLCX");
     assert_eq!((refusal.param("S"), refusal.param("X-Outcome")), (Some("G/cg"), Some("403")));
-    assert!(refusal.param("X-Pause").is_some(), "it says when to come back");
-    a.ok(&refusal);
+    assert!(refusal.param("X-Pause").is_some(), "the time to wait before the next attempt");
+    a.respond_ok(&refusal);
     for _ in 0..3 {
-        assert_eq!(a.exchange(&text), first);
+        assert_eq!(a.send_until_answered(&text), first);
     }
-    a.quiet(Duration::from_millis(600));
-    assert!(b.command_or_none(Duration::from_millis(300)).is_none_or(|g| g.verb == "RQNT"));
+    a.expect_no_command(Duration::from_millis(600));
+    assert!(b.try_command(Duration::from_millis(300)).is_none_or(|g| g.verb == "RQNT"));
 }
 
 #[test]
-fn after_a_reset_the_call_goes_again_only_when_the_quiet_period_has_passed() {
-    let (_p, mut a, mut b) = pair(2, "off-hook", 15_000);
+fn after_a_gateway_restart_the_call_is_retried_only_when_the_quiet_period_has_passed() {
+    let (_program, mut a, mut b) = gateway_pair(2, "off-hook", 15_000);
     a.dial("lamp/1", "2001");
     let first = b.command("CRCX");
-    b.answer(&first, 200, "bb1", SDP_B);
+    b.respond_with_connection(&first, 200, "bb1", SDP_B);
     let before = Instant::now();
-    b.tell("RSIP", &first.endpoint, "RM: restart\r\n");
+    b.send_command("RSIP", &first.endpoint, "RM: restart\r\n");
     let second = b.command("CRCX");
-    assert!(second.at - before >= Duration::from_millis(500), "{:?}", second.at - before);
+    assert!(second.received_at - before >= Duration::from_millis(500), "{:?}", second.received_at - before);
     assert_ne!(second.param("C"), first.param("C"));
     assert_eq!(second.sdp(), Some(SDP_A));
 }
 
 #[test]
-fn nothing_new_goes_to_a_gateway_that_drains() {
-    let (_p, mut a, mut b) = pair(2, "connection", 15_000);
-    b.tell("RSIP", "*@cab-b", "RM: graceful\r\nRD: 30\r\n");
+fn no_call_is_set_up_at_a_draining_gateway() {
+    let (_program, mut a, mut b) = gateway_pair(2, "connection", 15_000);
+    b.send_command("RSIP", "*@cab-b", "RM: graceful\r\nRD: 30\r\n");
     std::thread::sleep(Duration::from_millis(300));
     a.dial("lamp/1", "2001");
     let refusal = a.command("DLCX");
     assert!(refusal.param("S").is_some());
-    b.quiet(Duration::from_millis(300));
-    // It serves again, and is sent to again.
-    b.tell("RSIP", "*@cab-b", "RM: cancel-graceful\r\n");
+    b.expect_no_command(Duration::from_millis(300));
+    // After the drain is cancelled, calls are set up there again.
+    b.send_command("RSIP", "*@cab-b", "RM: cancel-graceful\r\n");
     a.dial("lamp/2", "2001");
     b.command("CRCX");
 }
 
 #[test]
-fn a_lost_command_is_repeated_with_its_transaction_and_a_demanded_acknowledgement_is_given() {
-    let (_p, mut a, mut b) = pair(1, "connection", 15_000);
+fn a_lost_command_is_retransmitted_unchanged_and_a_requested_acknowledgement_is_sent() {
+    let (_program, mut a, mut b) = gateway_pair(1, "connection", 15_000);
     a.dial("lamp/1", "2001");
     let crcx = b.command("CRCX");
-    // Lost: the same comes again, to the letter.
-    let until = Instant::now() + WAIT;
-    let again = std::iter::from_fn(|| (Instant::now() < until).then(|| b.poll())).flatten().next();
-    assert_eq!(again.as_deref(), Some(crcx.text.as_str()));
-    let text = format!("200 {} OK\r\nK:\r\nI: bb1\r\n\r\n{SDP_B}", crcx.id);
+    // The command counts as lost, and an identical one follows.
+    let deadline = Instant::now() + WAIT;
+    let retransmitted = std::iter::from_fn(|| (Instant::now() < deadline).then(|| b.poll())).flatten().next();
+    assert_eq!(retransmitted.as_deref(), Some(crcx.text.as_str()));
+    let text = format!("200 {} OK\r\nK:\r\nI: bb1\r\n\r\n{SDP_B}", crcx.transaction);
     for _ in 0..2 {
-        b.say(&text);
-        let ack = std::iter::from_fn(|| (Instant::now() < until).then(|| b.poll())).flatten();
+        b.send(&text);
+        let ack = std::iter::from_fn(|| (Instant::now() < deadline).then(|| b.poll())).flatten();
         let ack = ack.into_iter().find(|t| t.starts_with("000 "));
-        assert!(ack.is_some_and(|t| t.starts_with(&format!("000 {}", crcx.id))));
+        assert!(ack.is_some_and(|t| t.starts_with(&format!("000 {}", crcx.transaction))));
     }
-    // The repeated answer has changed nothing: one MDCX.
+    // The repeated response has no effect: there is only one MDCX.
     let mdcx = a.command("MDCX");
-    a.ok(&mdcx);
-    a.quiet(Duration::from_millis(500));
+    a.respond_ok(&mdcx);
+    a.expect_no_command(Duration::from_millis(500));
 }
 
 #[test]
-fn what_is_wrong_gets_its_return_code_and_costs_nobody_else() {
-    let (_p, mut a, mut b) = pair(1, "connection", 15_000);
-    let code = |a: &mut Gateway, text: &str| a.exchange(text)[..3].to_owned();
+fn invalid_commands_get_a_return_code_and_do_not_affect_other_calls() {
+    let (_program, mut a, mut b) = gateway_pair(1, "connection", 15_000);
+    let code = |a: &mut Gateway, text: &str| a.send_until_answered(text)[..3].to_owned();
     assert_eq!(code(&mut a, "NTFY 1 lamp1 MGCP 1.0\r\nO: L/hd\r\n"), "510");
     assert_eq!(code(&mut a, "NTFY 2 lamp/1@cab-a MGCP 1.0\r\nno colon\r\n"), "510");
     assert_eq!(code(&mut a, "NTFY 3 lamp/9@cab-a MGCP 1.0\r\nO: L/hd\r\n"), "500");
@@ -359,16 +372,20 @@
     assert_eq!(code(&mut a, "CRCX 5 lamp/1@cab-a MGCP 1.0\r\nM: sendrecv\r\n"), "504");
     assert_eq!(code(&mut a, "NTFY 6 lamp/1@cab-a MGCP 2.0\r\nO: L/hd\r\n"), "528");
     assert_eq!(code(&mut a, "DLCX 7 lamp/1@cab-a MGCP 1.0\r\nC: ffff\r\n"), "516");
-    assert_eq!(code(&mut a, "NTFY 1 lamp1 MGCP 1.0\r\nO: L/hd\r\n"), "510", "a repeat gets the same");
-    a.say("garbage");
+    assert_eq!(
+        code(&mut a, "NTFY 1 lamp1 MGCP 1.0\r\nO: L/hd\r\n"),
+        "510",
+        "a repeated command gets the same response"
+    );
+    a.send("garbage");
     a.dial("lamp/1", "2001");
     b.command("CRCX");
 }
 
 #[test]
-fn a_caller_on_the_platforms_lines_reaches_a_gateway_through_the_same_core() {
-    let (p, _a, mut b) = pair(1, "connection", 15_000);
-    let mut stream = TcpStream::connect(p.callers).unwrap();
+fn a_caller_on_a_tcp_connection_reaches_a_gateway() {
+    let (program, _a, mut b) = gateway_pair(1, "connection", 15_000);
+    let mut stream = TcpStream::connect(program.callers).unwrap();
     stream.set_read_timeout(Some(WAIT)).unwrap();
     let sid = "9b1f03aa5c7e2d41";
     let open = serde_json::json!({"msg": "open", "sid": sid, "text": SDP_A, "attrs":
@@ -376,7 +393,7 @@
     writeln!(stream, "{open}").unwrap();
     let crcx = b.command("CRCX");
     assert_eq!(crcx.sdp(), Some(SDP_A));
-    b.answer(&crcx, 200, "bb1", SDP_B);
+    b.respond_with_connection(&crcx, 200, "bb1", SDP_B);
     let mut reader = BufReader::new(stream.try_clone().unwrap());
     let mut line = String::new();
     reader.read_line(&mut line).unwrap();
@@ -387,7 +404,7 @@
     writeln!(stream, "{close}").unwrap();
     let dlcx = b.command("DLCX");
     assert_eq!(dlcx.param("I"), Some("bb1"));
-    // Nothing more is said of a call that the caller has ended.
+    // No message follows for a call that the caller has closed.
     stream.set_read_timeout(Some(Duration::from_millis(400))).unwrap();
     assert!(reader.read(&mut [0; 1]).is_err());
 }
