--- a/src/program/switchboard.rs
+++ b/src/program/switchboard.rs
@@ -586,10 +586,10 @@
                 self.tasks.push(Task::Gateway(to, body));
             }
             AgentOutput::SetTimer(at, due) => self.deadlines.add(at, Due::Agent(due)),
-            AgentOutput::OfferCall(port, offer) => {
+            AgentOutput::OfferCall(endpoint, offer) => {
                 let call = self.ledger.offer(now, *offer);
                 if let Some(agent) = &mut self.agent {
-                    agent.call_offered(port, call);
+                    agent.call_offered(endpoint, call);
                 }
             }
             AgentOutput::CallerLeft(call) => self.ledger.caller_left(now, call),
--- a/src/protocol/mgcp/agent.rs
+++ b/src/protocol/mgcp/agent.rs
@@ -266,7 +266,7 @@
 
     /// The gateways as entries of the list of exchanges.
     pub fn list_entries(&self) -> Vec<ListEntry> {
-        (0..self.config.gateways.len()).map(|gateway| self.entry(gateway)).collect()
+        (0..self.config.gateways.len()).map(|gateway| self.list_entry(gateway)).collect()
     }
 
     /// Whether the exchange is one of the agent's gateways.
@@ -311,7 +311,7 @@
         (exchange_id.port == GATEWAY_PORT && gateway < self.config.gateways.len()).then_some(gateway)
     }
 
-    fn entry(&self, gateway: usize) -> ListEntry {
+    fn list_entry(&self, gateway: usize) -> ListEntry {
         let (state, last_start) = self.gateway_states[gateway];
         let exchange = self.config.gateways[gateway].exchange;
         ListEntry { exchange, zone: 0, state, exchange_id: Self::exchange_id_of(gateway), last_start }
@@ -410,7 +410,7 @@
                 if differs(endpoint.connection.as_deref(), command.params.get("I")) {
                     return 515;
                 }
-                self.end_call(first);
+                self.report_call_ended(first);
                 self.make_idle(now, first);
                 250
             }
@@ -435,16 +435,16 @@
         // The list update comes first: the core must know of the drain before it decides on the calls that end.
         if whole_gateway && self.gateway_states[gateway] != state {
             self.gateway_states[gateway] = state;
-            self.outputs.push(AgentOutput::ListUpdate(self.entry(gateway)));
+            self.outputs.push(AgentOutput::ListUpdate(self.list_entry(gateway)));
         }
         for &index in indices {
             match method.as_str() {
                 "restart" => {
-                    self.end_call(index);
+                    self.report_call_ended(index);
                     self.make_idle(now, index);
                 }
                 "forced" => {
-                    self.end_call(index);
+                    self.report_call_ended(index);
                     self.mark_unresponsive(now, index);
                 }
                 _ => {}
@@ -503,7 +503,7 @@
                 self.delete_connection(now, index, Params::default(), EndpointState::Deleting)
             }
             EndpointState::Offered(_) | EndpointState::Established(_) => {
-                self.end_call(index);
+                self.report_call_ended(index);
                 self.delete_connection(now, index, Params::default(), EndpointState::Deleting);
             }
             EndpointState::Called { call, attempt, stage: SetUpStage::Established } => {
@@ -559,7 +559,7 @@
                 if !succeeded && self.endpoints[index].mgcp_call_id == mgcp_call_id =>
             {
                 // The caller cannot be connected, so the call ends on both sides.
-                self.end_call(index);
+                self.report_call_ended(index);
                 self.delete_connection(
                     now,
                     index,
@@ -624,7 +624,7 @@
                     via: None,
                     earliest_attempt: 0,
                 };
-                let offer = OfferedCall { frontend: self.frontend, new_call, description: description };
+                let offer = OfferedCall { frontend: self.frontend, new_call, description };
                 self.outputs.push(AgentOutput::OfferCall(index, Box::new(offer)));
             }
             (EndpointState::CreatingConnection { .. }, false) => {
@@ -705,7 +705,7 @@
             Purpose::ConnectCaller(index, mgcp_call_id) | Purpose::DeleteConnection(index, mgcp_call_id)
                 if self.endpoints[index].mgcp_call_id == mgcp_call_id =>
             {
-                self.end_call(index);
+                self.report_call_ended(index);
                 self.mark_unresponsive(now, index);
             }
             Purpose::Audit(index) if self.endpoints[index].state == EndpointState::Unresponsive => {
@@ -847,7 +847,7 @@
     }
 
     /// Reports to the core that the endpoint's side of its call has ended.
-    fn end_call(&mut self, index: usize) {
+    fn report_call_ended(&mut self, index: usize) {
         match self.endpoints[index].state.clone() {
             EndpointState::Offered(Some(call)) | EndpointState::Established(call) => {
                 self.originating_calls.remove(&call);
@@ -882,7 +882,7 @@
         let silence = now - self.last_heard[self.endpoints[index].gateway];
         if silence + LEASE_CHECK_INTERVAL > LEASE {
             self.counts.lease_expired += 1;
-            self.end_call(index);
+            self.report_call_ended(index);
             return self.mark_unresponsive(now, index);
         }
         if silence >= LEASE_CHECK_INTERVAL {
