--- a/src/program/appliance.rs
+++ b/src/program/appliance.rs
@@ -11,7 +11,7 @@
 use super::views::{SiteLoad, Snapshot, MAX_LISTED_CALLS};
 use crate::routing::interface::{Cause, Ending, ExchangeNumber, Micros, OutOfService};
 use crate::routing::ledger::{Answer, LastAttempt, Ledger, Output as LedgerOutput};
-use crate::transport::ControlNews;
+use crate::transport::ControlEvent;
 use async_channel::Sender;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::rc::Rc;
@@ -266,25 +266,25 @@
     }
 
     /// Handles an event of the control socket or of the state folder.
-    pub fn handle_control_event(&mut self, now: Now, event: ControlNews, snapshot: &Snapshot<'_>) {
+    pub fn handle_control_event(&mut self, now: Now, event: ControlEvent, snapshot: &Snapshot<'_>) {
         match event {
-            ControlNews::Opened(client, queue) => {
+            ControlEvent::Connected(client, queue) => {
                 self.write_queues.insert(client, queue);
                 self.sessions.opened(now.steady, client);
             }
-            ControlNews::Bytes(client, bytes) => {
+            ControlEvent::Received(client, bytes) => {
                 for request in self.sessions.receive(now.steady, client, &bytes) {
                     self.handle_request(now, request, snapshot);
                 }
             }
-            ControlNews::Wrote(client) => self.send_pending(client),
-            ControlNews::Closed(client) => {
+            ControlEvent::Written(client) => self.send_pending(client),
+            ControlEvent::Disconnected(client) => {
                 // The only place that removes a connection. Orders that came on it continue.
                 self.write_queues.remove(&client);
                 self.sessions.closed(client);
                 self.waiters.retain(|_, w| w.0 != client);
             }
-            ControlNews::Saved(number, result) => {
+            ControlEvent::StateSaved(number, result) => {
                 self.registry.save_finished(now, number, result);
                 self.process_registry_outputs(now);
             }
--- a/src/program/event_loop.rs
+++ b/src/program/event_loop.rs
@@ -14,7 +14,7 @@
 use crate::protocol::client::{Ask, ClientConnections, ClientOutput, ClientTimer};
 use crate::protocol::json_lines::{Kind, Message, Sid};
 use crate::protocol::membership::{Place, Roster};
-use crate::protocol::mgcp::agent::{Agent, AgentDue, AgentOutput};
+use crate::protocol::mgcp::agent::{Agent, AgentOutput, AgentTimer};
 use crate::protocol::otlp::{CallSpan, Snapshot};
 use crate::protocol::upstream::{UpstreamConnections, UpstreamOutput, UpstreamTimer};
 use crate::protocol::ConnId;
@@ -22,8 +22,8 @@
 use crate::routing::ledger::{AnswerReason, FrontendId, Ledger, LedgerTimer, Output};
 use crate::routing::timer_queue::TimerQueue;
 use crate::transport::outbox::Outbox;
-use crate::transport::saver::Saving;
-use crate::transport::{ConnNews, Inbound, Side};
+use crate::transport::saver::SaveRequest;
+use crate::transport::{ConnEvent, Inbound, Side};
 use serde_json::Value;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -62,7 +62,7 @@
     /// A timer of the callers' connections.
     Client(ClientTimer),
     /// A timer of the MGCP call agent.
-    Agent(AgentDue),
+    Agent(AgentTimer),
     /// Pass a snapshot of the metrics to the exporter.
     Export,
     /// The timer of the appliance.
@@ -91,12 +91,12 @@
     /// Print the answer to a console command.
     Print(String),
     /// Write the persistent state to the state folder.
-    Save(Saving),
+    Save(SaveRequest),
     /// Fetch the complete exchange list from the coordinator.
     RefetchList,
     /// Follow the coordinator at this address from now on; `None` follows none.
     FollowCoordinator(Option<SocketAddr>),
-    /// Stop accepting callers' connections, then confirm with [`Inbound::NotListening`].
+    /// Stop accepting callers' connections, then confirm with [`Inbound::ListenerClosed`].
     StopListening,
 }
 
@@ -192,27 +192,27 @@
     pub fn handle(&mut self, now: Micros, event: Inbound) {
         match event {
             Inbound::Conn(side, conn, event) => self.handle_connection_event(now, side, conn, event),
-            Inbound::List(event) => self.handle_list_event(now, &event.data, false),
-            Inbound::Stream(Ok(())) => {
+            Inbound::CoordinatorEvent(event) => self.handle_list_event(now, &event.data, false),
+            Inbound::CoordinatorStream(Ok(())) => {
                 tracing::debug!(target: LOG_TARGET, "coordinator: event stream connected")
             }
-            Inbound::Stream(Err(reason)) => {
+            Inbound::CoordinatorStream(Err(reason)) => {
                 self.counts.stream_losses += 1;
                 tracing::info!(target: LOG_TARGET, "coordinator: {reason}");
             }
-            Inbound::Peer { from, body } => {
+            Inbound::PeerDatagram { from, body } => {
                 if let Some(index) = self.config.peers.iter().position(|p| *p == from) {
                     self.counts.peers_in += 1;
                     self.ledger.peer_message(now, PeerNumber(index as u32), body);
                 }
             }
-            Inbound::Gateway { from, body } => {
+            Inbound::GatewayDatagram { from, body } => {
                 self.counts.gateways_in += 1;
                 if let Some(agent) = &mut self.agent {
                     agent.datagram(now, from, &body);
                 }
             }
-            Inbound::Command(line) => {
+            Inbound::ConsoleLine(line) => {
                 let (text, action) = console::execute(&self.snapshot(now), &line);
                 self.commands.push(TransportCommand::Print(text));
                 match action {
@@ -221,10 +221,10 @@
                     None => {}
                 }
             }
-            Inbound::Report => {
+            Inbound::LogCounters => {
                 tracing::info!(target: LOG_TARGET, "{}", counters::line(&self.counters()));
             }
-            Inbound::Gossip { from, body } => {
+            Inbound::GossipDatagram { from, body } => {
                 if let Some(g) = &mut self.gossip {
                     g.datagram(now, from, &body);
                 }
@@ -235,7 +235,7 @@
                 });
             }
             Inbound::Stop => self.stop(now),
-            Inbound::NotListening => {
+            Inbound::ListenerClosed => {
                 if let Some(stop) = &mut self.stopping {
                     stop.listener = ListenerState::Closed;
                 }
@@ -286,7 +286,7 @@
                 TimerKey::Client(timer) => self.callers.due(now, timer),
                 TimerKey::Agent(timer) => {
                     if let Some(agent) = &mut self.agent {
-                        agent.due(now, timer);
+                        agent.timer_expired(now, timer);
                     }
                 }
                 TimerKey::Export => self.export(now),
@@ -340,21 +340,21 @@
 
     // ---- Events ----
 
-    fn handle_connection_event(&mut self, now: Micros, side: Side, conn: ConnId, event: ConnNews) {
+    fn handle_connection_event(&mut self, now: Micros, side: Side, conn: ConnId, event: ConnEvent) {
         match (side, event) {
-            (Side::Callers, ConnNews::Accepted(outbox)) => self.accept_connection(now, conn, outbox),
-            (Side::Exchanges, ConnNews::Connected) => {
+            (Side::Callers, ConnEvent::Accepted(outbox)) => self.accept_connection(now, conn, outbox),
+            (Side::Exchanges, ConnEvent::Connected) => {
                 tracing::debug!(target: CONNECTIONS_TARGET, conn = conn.0, "connected to the exchange");
                 self.upstream.connected(now, conn);
             }
-            (_, ConnNews::Message(message)) => {
+            (_, ConnEvent::Message(message)) => {
                 self.counts.messages_in += 1;
                 match side {
                     Side::Callers => self.handle_caller_message(now, conn, message),
                     Side::Exchanges => self.upstream.message(now, conn, message),
                 }
             }
-            (side, ConnNews::Bad(reason)) => {
+            (side, ConnEvent::InvalidLine(reason)) => {
                 tracing::debug!(target: CONNECTIONS_TARGET, ?side, conn = conn.0, "unreadable input: {reason}");
                 self.counts.malformed += 1;
                 match side {
@@ -362,14 +362,14 @@
                     Side::Exchanges => self.upstream.spoilt(now, conn),
                 }
             }
-            (side, ConnNews::ReadingStopped) => {
+            (side, ConnEvent::ReadingStopped) => {
                 if side == Side::Callers {
                     self.callers.reading_stopped(conn);
                 }
             }
-            (Side::Exchanges, ConnNews::Half(half)) => self.upstream.half(now, conn, half),
-            (Side::Callers, ConnNews::Half(half)) => self.callers.half(now, conn, half),
-            (side, ConnNews::Closed(closing)) => {
+            (Side::Exchanges, ConnEvent::PartialLine(half)) => self.upstream.half(now, conn, half),
+            (Side::Callers, ConnEvent::PartialLine(half)) => self.callers.half(now, conn, half),
+            (side, ConnEvent::Closed(closing)) => {
                 tracing::debug!(target: CONNECTIONS_TARGET, ?side, conn = conn.0, "closed: {closing:?}");
                 // The only place that removes an outbox.
                 self.outboxes.remove(&(side, conn));
@@ -381,7 +381,7 @@
                     Side::Exchanges => self.upstream.closed(now, conn, closing),
                 }
             }
-            (Side::Callers, ConnNews::Connected) | (Side::Exchanges, ConnNews::Accepted(_)) => {}
+            (Side::Callers, ConnEvent::Connected) | (Side::Exchanges, ConnEvent::Accepted(_)) => {}
         }
     }
 
@@ -457,7 +457,7 @@
     }
 
     fn gateway_entries(&self) -> Vec<ListEntry> {
-        self.agent.as_ref().map_or_else(Vec::new, Agent::entries)
+        self.agent.as_ref().map_or_else(Vec::new, Agent::list_entries)
     }
 
     // ---- Outputs of the subsystems ----
@@ -504,7 +504,7 @@
         self.observe(now, &output);
         match output {
             Output::SetUp { call, attempt, office, timeout } => match &mut self.agent {
-                Some(agent) if agent.has(office) => {
+                Some(agent) if agent.serves(office) => {
                     let description = self.ledger.offered_call(call).and_then(|o| o.description.as_ref());
                     agent.set_up(now, (call, attempt), office, description);
                 }
@@ -515,7 +515,7 @@
                 }
             },
             Output::Clear { call, attempt, office } => match &mut self.agent {
-                Some(agent) if agent.has(office) => agent.clear(now, call, attempt),
+                Some(agent) if agent.serves(office) => agent.clear(now, call, attempt),
                 _ => self.upstream.clear(now, call, attempt),
             },
             Output::Answer { frontend, call, answer, offered_at, destination, .. } => {
@@ -553,20 +553,20 @@
             }
             UpstreamOutput::TakeBack { conn, call, message } => {
                 let outbox = self.outboxes.get(&(Side::Exchanges, conn));
-                if !outbox.is_some_and(|o| o.take_back(call)) {
+                if !outbox.is_some_and(|o| o.remove_unsent(call)) {
                     self.send(Side::Exchanges, conn, None, &message);
                 }
             }
             UpstreamOutput::Unsend { conn, call, attempt } => {
                 let outbox = self.outboxes.get(&(Side::Exchanges, conn));
-                if outbox.is_some_and(|o| o.take_back(call)) {
+                if outbox.is_some_and(|o| o.remove_unsent(call)) {
                     self.upstream.unsent(call, attempt);
                 }
             }
             UpstreamOutput::HangUp(conn, reason) => {
                 tracing::debug!(target: CONNECTIONS_TARGET, conn = conn.0, "connection to the exchange closed: {reason}");
                 if let Some(outbox) = self.outboxes.get(&(Side::Exchanges, conn)) {
-                    outbox.cut();
+                    outbox.abort();
                 }
             }
             UpstreamOutput::Wake(at, timer) => self.timers.add(at, TimerKey::Upstream(timer)),
@@ -605,7 +605,7 @@
             }
             ClientOutput::StopReading(conn) => drop(outbox(conn).map(Outbox::stop_reading)),
             ClientOutput::End(conn) => drop(outbox(conn).map(Outbox::close)),
-            ClientOutput::Cut(conn) => drop(outbox(conn).map(Outbox::cut)),
+            ClientOutput::Cut(conn) => drop(outbox(conn).map(Outbox::abort)),
             ClientOutput::Wake(at, timer) => self.timers.add(at, TimerKey::Client(timer)),
         }
     }
@@ -616,26 +616,28 @@
                 self.counts.gateways_out += 1;
                 self.commands.push(TransportCommand::SendToGateway(to, body));
             }
-            AgentOutput::Wake(at, timer) => self.timers.add(at, TimerKey::Agent(timer)),
-            AgentOutput::Offer(port, offer) => {
+            AgentOutput::SetTimer(at, timer) => self.timers.add(at, TimerKey::Agent(timer)),
+            AgentOutput::OfferCall(port, offer) => {
                 let call = self.ledger.offer(now, *offer);
                 if let Some(agent) = &mut self.agent {
-                    agent.taken(port, call);
+                    agent.call_offered(port, call);
                 }
             }
-            AgentOutput::Left(call) => self.ledger.caller_left(now, call),
-            AgentOutput::Answered(call, attempt, description) => {
+            AgentOutput::CallerLeft(call) => self.ledger.caller_left(now, call),
+            AgentOutput::AttemptAnswered(call, attempt, description) => {
                 if !self.ledger.attempt_answered(now, call, attempt, description) {
                     if let Some(agent) = &mut self.agent {
                         agent.clear(now, call, attempt);
                     }
                 }
             }
-            AgentOutput::Ended(call, attempt, ending) => {
+            AgentOutput::AttemptEnded(call, attempt, ending) => {
                 self.ledger.attempt_ended(now, call, attempt, ending, LoadReport::default());
             }
-            AgentOutput::Group(exchange_id, load) => self.ledger.group_report(now, exchange_id, load),
-            AgentOutput::List(entry) => self.ledger.list_update(now, ListUpdate::Changes([entry].into())),
+            AgentOutput::GroupReport(exchange_id, load) => self.ledger.group_report(now, exchange_id, load),
+            AgentOutput::ListUpdate(entry) => {
+                self.ledger.list_update(now, ListUpdate::Changes([entry].into()))
+            }
         }
     }
 
@@ -648,7 +650,7 @@
                 // A call from another front end has no name in this protocol yet.
                 self.sid_generator =
                     self.sid_generator.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
-                let number = self.agent.as_ref().and_then(|a| a.number(call));
+                let number = self.agent.as_ref().and_then(|a| a.dialled_number(call));
                 (Sid(self.sid_generator), number.map(Value::from))
             }
         };
@@ -668,7 +670,7 @@
         if !outbox.push(set_up, message.line()) {
             // Protects this task and its memory from a peer that does not read.
             self.counts.overflows += 1;
-            outbox.cut();
+            outbox.abort();
         }
     }
 
--- a/src/program/views.rs
+++ b/src/program/views.rs
@@ -122,7 +122,7 @@
             let exchange = list.exchange_of(exchange_id)?;
             Some(view(&exchange_id, exchange, &place.member, place.address.to_string(), state, connected))
         });
-        let gateways = self.agent.iter().flat_map(|a| a.views().zip(a.entries()));
+        let gateways = self.agent.iter().flat_map(|a| a.gateway_summaries().zip(a.list_entries()));
         let gateways = gateways.map(|((name, state, free, total), e)| {
             let mut view = view(
                 &e.exchange_id,
