--- a/examples/gossip_tables.rs
+++ b/examples/gossip_tables.rs
@@ -274,14 +274,14 @@
     fn output(&mut self, i: usize, output: Output) {
         let now = self.now;
         match output {
-            Output::SetUp { call, attempt, office, .. } => {
-                let j = usize::from(office.addr[3]);
+            Output::SetUp { call, attempt, exchange_id, .. } => {
+                let j = usize::from(exchange_id.addr[3]);
                 let to = self.sites[i]
                     .ledger
                     .offered_call(call)
                     .map_or(j, |o| usize::from(o.new_call.destination.0));
                 *self.circuits_in_use.entry(Model::pair(i, j)).or_default() += 1;
-                self.sites[i].calls.insert(call, (attempt, office, j));
+                self.sites[i].calls.insert(call, (attempt, exchange_id, j));
                 if self.is_hung(j) || self.is_hung(to) {
                     self.sites[i].sent_to_hung.push(now);
                 }
@@ -294,8 +294,8 @@
                     self.schedule(now + delay as Micros, Scheduled::Answer(i, call, attempt));
                 }
             }
-            Output::Clear { call, office, .. } if self.sites[i].calls.remove(&call).is_some() => {
-                self.release_circuit(i, usize::from(office.addr[3]));
+            Output::Clear { call, exchange_id, .. } if self.sites[i].calls.remove(&call).is_some() => {
+                self.release_circuit(i, usize::from(exchange_id.addr[3]));
             }
             Output::AttemptEnded { call, exchange: Some(leg), ending, .. } => {
                 let e = Exchange(leg.0);
--- a/src/program/appliance.rs
+++ b/src/program/appliance.rs
@@ -186,8 +186,8 @@
     /// Hears what the ledger does.
     pub fn observe(&mut self, now: Micros, output: &LedgerOutput, ledger: &Ledger, aims: &[Micros]) {
         match output {
-            LedgerOutput::SetUp { call, office, .. } => {
-                let leg = ledger.administrative_state().exchange_of(*office);
+            LedgerOutput::SetUp { call, exchange_id, .. } => {
+                let leg = ledger.administrative_state().exchange_of(*exchange_id);
                 let Some((leg, offer)) = leg.zip(ledger.offered_call(*call)) else { return };
                 self.traffic.record_setup(now, Exchange(offer.new_call.destination.0), Exchange(leg.0));
                 if let Some(e) = self.exchanges.entry(leg.0) {
--- a/src/program/gossip.rs
+++ b/src/program/gossip.rs
@@ -74,8 +74,8 @@
     /// have been lost beyond it.
     pub fn observe(&mut self, now: Micros, output: &LedgerOutput, ledger: &Ledger) {
         match output {
-            LedgerOutput::SetUp { call, office, .. } => {
-                let leg = ledger.administrative_state().exchange_of(*office);
+            LedgerOutput::SetUp { call, exchange_id, .. } => {
+                let leg = ledger.administrative_state().exchange_of(*exchange_id);
                 let to = ledger.offered_call(*call).map(|o| o.new_call.destination);
                 if let Some(leg) = leg.filter(|l| Some(*l) == to) {
                     self.out.insert(*call, exchange(leg));
@@ -132,7 +132,7 @@
         }
         if now - self.tick >= SECOND {
             self.tick = now;
-            let offices: Vec<_> = ledger.administrative_state().offices().collect();
+            let offices: Vec<_> = ledger.administrative_state().exchanges().collect();
             let linked = offices.iter().filter(|(_, g)| g.is_some_and(|g| g.1 >= 1.0));
             self.node.set_links(&linked.map(|(e, _)| exchange(e.exchange)).collect());
             let known: BTreeSet<ExchangeNumber> = offices.iter().map(|(e, _)| e.exchange).collect();
--- a/src/program/log.rs
+++ b/src/program/log.rs
@@ -135,8 +135,8 @@
             let last = last.and_then(|l| l.failure);
             tracing::debug!(target: CALLS, sid, call = call.0, exchange, ?reason, ?last, "{answer}");
         }
-        Output::SetUp { call, attempt, timeout: wait, office } => {
-            let (attempt, office) = (attempt.0, u32::from_be_bytes(office.addr));
+        Output::SetUp { call, attempt, timeout: wait, exchange_id } => {
+            let (attempt, office) = (attempt.0, u32::from_be_bytes(exchange_id.addr));
             tracing::debug!(target: CALLS, sid, call = call.0, attempt, office, wait, "set-up sent");
         }
         Output::Clear { call, attempt, .. } => {
--- a/src/program/switchboard.rs
+++ b/src/program/switchboard.rs
@@ -477,19 +477,19 @@
     fn ledger_output(&mut self, now: Micros, output: Output) {
         self.observe(now, &output);
         match output {
-            Output::SetUp { call, attempt, office, timeout: wait } => match &mut self.agent {
-                Some(agent) if agent.has(office) => {
+            Output::SetUp { call, attempt, exchange_id, timeout: wait } => match &mut self.agent {
+                Some(agent) if agent.has(exchange_id) => {
                     let description = self.ledger.offered_call(call).and_then(|o| o.description.as_ref());
-                    agent.set_up(now, (call, attempt), office, description);
+                    agent.set_up(now, (call, attempt), exchange_id, description);
                 }
                 _ => {
                     if let Some(message) = self.set_up_message(call, wait) {
-                        self.links.set_up(now, (call, attempt), office, message);
+                        self.links.set_up(now, (call, attempt), exchange_id, message);
                     }
                 }
             },
-            Output::Clear { call, attempt, office } => match &mut self.agent {
-                Some(agent) if agent.has(office) => agent.clear(now, call, attempt),
+            Output::Clear { call, attempt, exchange_id } => match &mut self.agent {
+                Some(agent) if agent.has(exchange_id) => agent.clear(now, call, attempt),
                 _ => self.links.clear(now, call, attempt),
             },
             Output::Answer { frontend, call, answer, offered_at: taken, destination, .. } => {
--- a/src/program/views.rs
+++ b/src/program/views.rs
@@ -70,7 +70,7 @@
     /// In short; alarms, drains and the like are filled in by whoever has them.
     pub fn status(&self) -> Status {
         let count = |state: Option<ListState>| {
-            let offices = self.ledger.administrative_state().offices();
+            let offices = self.ledger.administrative_state().exchanges();
             offices.filter(|o| state.is_none_or(|s| o.0.state == s)).count()
         };
         Status {
@@ -209,7 +209,7 @@
         let own = self.scene.config.settings.own_exchange;
         let mut all: BTreeMap<ExchangeNumber, Neighbour> = BTreeMap::new();
         for (e, group) in
-            self.scene.ledger.administrative_state().offices().filter(|o| Some(o.0.exchange) != own)
+            self.scene.ledger.administrative_state().exchanges().filter(|o| Some(o.0.exchange) != own)
         {
             let ready = e.state == ListState::Ready;
             let n = Neighbour { exchange: target::Exchange(e.exchange.0), ready, group };
--- a/src/routing/administrative_state.rs
+++ b/src/routing/administrative_state.rs
@@ -82,7 +82,7 @@
             }
         }
         let listed = &self.listed;
-        self.circuits.retain(|office, _| listed.contains_key(office));
+        self.circuits.retain(|exchange_id, _| listed.contains_key(exchange_id));
         if self.out_of_service.exchanges.is_empty() && self.restored_exchanges.is_empty() {
             return news;
         }
@@ -95,16 +95,21 @@
     }
 
     /// Records a load report and returns it with the administrative state applied.
-    pub fn apply_report(&mut self, now: Micros, office: ExchangeId, mut report: LoadReport) -> LoadReport {
+    pub fn apply_report(
+        &mut self,
+        now: Micros,
+        exchange_id: ExchangeId,
+        mut report: LoadReport,
+    ) -> LoadReport {
         if let (Some(free), Some(size)) = (report.free, report.size) {
-            self.circuits.insert(office, (free, size, now));
-            report.free = Some(self.free_circuits(now, office, (free, size)));
+            self.circuits.insert(exchange_id, (free, size, now));
+            report.free = Some(self.free_circuits(now, exchange_id, (free, size)));
         }
         report
     }
 
-    fn free_circuits(&self, now: Micros, office: ExchangeId, (free, size): (f64, f64)) -> f64 {
-        let Some(exchange) = self.listed.get(&office).map(|e| e.exchange) else { return free };
+    fn free_circuits(&self, now: Micros, exchange_id: ExchangeId, (free, size): (f64, f64)) -> f64 {
+        let Some(exchange) = self.listed.get(&exchange_id).map(|e| e.exchange) else { return free };
         if self.out_of_service.groups.contains(&exchange) {
             return 0.0;
         }
@@ -142,20 +147,21 @@
             old.exchanges.contains(&e.exchange) != self.out_of_service.exchanges.contains(&e.exchange)
         };
         let entries = self.listed.values().filter(exchange_changed).map(|e| self.effective(e)).collect();
-        let group_changed = |office: &ExchangeId| {
-            self.listed.get(office).is_some_and(|e| {
+        let group_changed = |exchange_id: &ExchangeId| {
+            self.listed.get(exchange_id).is_some_and(|e| {
                 old.groups.contains(&e.exchange) != self.out_of_service.groups.contains(&e.exchange)
             })
         };
         let changed_groups = self.circuits.iter().filter(|f| group_changed(f.0));
-        let groups =
-            changed_groups.map(|(&office, &f)| (office, self.group_report(now, office, f))).collect();
+        let groups = changed_groups
+            .map(|(&exchange_id, &f)| (exchange_id, self.group_report(now, exchange_id, f)))
+            .collect();
         Changes { entries, groups }
     }
 
-    fn group_report(&self, now: Micros, office: ExchangeId, f: (f64, f64, Micros)) -> LoadReport {
+    fn group_report(&self, now: Micros, exchange_id: ExchangeId, f: (f64, f64, Micros)) -> LoadReport {
         LoadReport {
-            free: Some(self.free_circuits(now, office, (f.0, f.1))),
+            free: Some(self.free_circuits(now, exchange_id, (f.0, f.1))),
             size: Some(f.1),
             ..LoadReport::default()
         }
@@ -167,9 +173,11 @@
         if self.restored_groups.is_empty() {
             return Vec::new();
         }
-        let report_of = |(&office, &f): (&ExchangeId, &(f64, f64, Micros))| {
-            let exchange = self.listed.get(&office)?.exchange;
-            self.restored_groups.contains_key(&exchange).then(|| (office, self.group_report(now, office, f)))
+        let report_of = |(&exchange_id, &f): (&ExchangeId, &(f64, f64, Micros))| {
+            let exchange = self.listed.get(&exchange_id)?.exchange;
+            self.restored_groups
+                .contains_key(&exchange)
+                .then(|| (exchange_id, self.group_report(now, exchange_id, f)))
         };
         let reports = self.circuits.iter().filter_map(report_of).collect();
         let ramp_period = self.ramp_period;
@@ -178,8 +186,8 @@
     }
 
     /// When the group to an exchange was taken out of service; `None` if it is in service.
-    pub fn group_out_since(&self, office: ExchangeId) -> Option<Micros> {
-        self.groups_out_since.get(&self.listed.get(&office)?.exchange).copied()
+    pub fn group_out_since(&self, exchange_id: ExchangeId) -> Option<Micros> {
+        self.groups_out_since.get(&self.listed.get(&exchange_id)?.exchange).copied()
     }
 
     /// What is out of service.
@@ -188,18 +196,18 @@
     }
 
     /// The exchange number of a machine, while it is on the list.
-    pub fn exchange_of(&self, office: ExchangeId) -> Option<ExchangeNumber> {
-        self.listed.get(&office).map(|e| e.exchange)
+    pub fn exchange_of(&self, exchange_id: ExchangeId) -> Option<ExchangeNumber> {
+        self.listed.get(&exchange_id).map(|e| e.exchange)
     }
 
     /// The list as received from the coordinator, with free circuits and size of each group.
-    pub fn offices(&self) -> impl Iterator<Item = (&ListEntry, Option<(f64, f64)>)> {
+    pub fn exchanges(&self) -> impl Iterator<Item = (&ListEntry, Option<(f64, f64)>)> {
         self.listed.values().map(|e| (e, self.circuits.get(&e.exchange_id).map(|f| (f.0, f.1))))
     }
 
     /// Free circuits and size of each group as reported, and when.
     pub fn group_circuits(&self) -> impl Iterator<Item = (ExchangeId, (f64, f64, Micros))> + '_ {
-        self.circuits.iter().map(|(&office, &f)| (office, f))
+        self.circuits.iter().map(|(&exchange_id, &f)| (exchange_id, f))
     }
 }
 
@@ -210,8 +218,8 @@
     const RAMP_PERIOD: Micros = 15_000_000;
 
     fn entry(n: u16, state: ListState) -> ListEntry {
-        let office = ExchangeId { addr: [0, 0, 0, n as u8], port: 0 };
-        ListEntry { exchange: ExchangeNumber(n), zone: 0, state, exchange_id: office, last_start: None }
+        let exchange_id = ExchangeId { addr: [0, 0, 0, n as u8], port: 0 };
+        ListEntry { exchange: ExchangeNumber(n), zone: 0, state, exchange_id, last_start: None }
     }
 
     fn out_of_service(exchanges: &[u16], groups: &[u16]) -> OutOfService {
@@ -267,7 +275,7 @@
         // The operator ends the drain before the coordinator does.
         administration.apply_list(ListUpdate::Changes([entry(1, ListState::Draining)].into()));
         let restored = administration.set_out_of_service(20, out_of_service(&[], &[])).entries;
-        let state = |office| restored.iter().find(|e| e.exchange_id == office).unwrap();
+        let state = |exchange_id| restored.iter().find(|e| e.exchange_id == exchange_id).unwrap();
         assert_eq!(state(entry(1, ListState::Ready).exchange_id).state, ListState::Draining);
         let ready = state(ExchangeId { addr: [9; 4], port: 0 });
         assert_eq!(
@@ -280,17 +288,17 @@
     #[test]
     fn a_group_loses_its_circuits_at_once_and_regains_them_gradually() {
         let mut administration = AdministrativeState::new(RAMP_PERIOD);
-        let office = entry(1, ListState::Ready).exchange_id;
+        let exchange_id = entry(1, ListState::Ready).exchange_id;
         administration.apply_list(ListUpdate::Complete([entry(1, ListState::Ready)].into()));
-        administration.apply_report(0, office, report(18.0));
+        administration.apply_report(0, exchange_id, report(18.0));
         assert_eq!(
             administration.set_out_of_service(10, out_of_service(&[], &[1])).groups[0].1.free,
             Some(0.0)
         );
         assert_eq!(
             (
-                administration.apply_report(11, office, report(20.0)).free,
-                administration.group_out_since(office)
+                administration.apply_report(11, exchange_id, report(20.0)).free,
+                administration.group_out_since(exchange_id)
             ),
             (Some(0.0), Some(10))
         );
@@ -302,7 +310,7 @@
         assert_eq!(administration.ramping_groups(100 + RAMP_PERIOD)[0].1.free, Some(20.0));
         assert!(
             administration.ramping_groups(101 + RAMP_PERIOD).is_empty()
-                && administration.group_out_since(office).is_none()
+                && administration.group_out_since(exchange_id).is_none()
         );
     }
 }
--- a/src/routing/ledger.rs
+++ b/src/routing/ledger.rs
@@ -87,7 +87,7 @@
         /// The attempt.
         attempt: AttemptNumber,
         /// The exchange to send it to.
-        office: ExchangeId,
+        exchange_id: ExchangeId,
         /// The timeout of the attempt.
         timeout: Micros,
     },
@@ -98,7 +98,7 @@
         /// The attempt.
         attempt: AttemptNumber,
         /// The exchange that the set-up was sent to.
-        office: ExchangeId,
+        exchange_id: ExchangeId,
     },
     /// Send the final answer to the caller.
     Answer {
@@ -206,9 +206,9 @@
     /// The decision module holds the call; no attempt is in progress.
     Deciding,
     /// A set-up is in progress.
-    SettingUp { attempt: AttemptNumber, office: ExchangeId, since: Micros },
+    SettingUp { attempt: AttemptNumber, exchange_id: ExchangeId, since: Micros },
     /// The call is established.
-    Established { attempt: AttemptNumber, office: ExchangeId, since: Micros },
+    Established { attempt: AttemptNumber, exchange_id: ExchangeId, since: Micros },
 }
 
 #[derive(Debug)]
@@ -285,7 +285,7 @@
     drain_grace: Micros,
     calls: BTreeMap<CallId, CallEntry>,
     /// The exchanges on the list and those removed within the drain grace. No set-up is sent to any other.
-    offices: BTreeMap<ExchangeId, Availability>,
+    exchanges: BTreeMap<ExchangeId, Availability>,
     /// Exchanges and trunk groups that operators took out of service.
     administrative_state: AdministrativeState,
     next_call_id: u32,
@@ -317,7 +317,7 @@
             administrative_state: AdministrativeState::new(settings.cold_start_period),
             controller: Controller::new(settings, seed),
             calls: BTreeMap::new(),
-            offices: BTreeMap::new(),
+            exchanges: BTreeMap::new(),
             next_call_id: 0,
             outputs: Vec::new(),
             counts: LedgerCounts::default(),
@@ -362,8 +362,9 @@
         let Some(entry) = self.calls.remove(&call) else { return };
         match entry.stage {
             Stage::Deciding => {}
-            Stage::SettingUp { attempt, office, .. } | Stage::Established { attempt, office, .. } => {
-                self.outputs.push(Output::Clear { call, attempt, office });
+            Stage::SettingUp { attempt, exchange_id, .. }
+            | Stage::Established { attempt, exchange_id, .. } => {
+                self.outputs.push(Output::Clear { call, attempt, exchange_id });
             }
         }
         if !matches!(entry.stage, Stage::Established { .. }) {
@@ -383,11 +384,11 @@
         description: Option<SessionDescription>,
     ) -> bool {
         let Some(entry) = self.calls.get_mut(&call) else { return false };
-        let Stage::SettingUp { attempt: current, office, since } = entry.stage else { return false };
+        let Stage::SettingUp { attempt: current, exchange_id, since } = entry.stage else { return false };
         if current != attempt {
             return false;
         }
-        entry.stage = Stage::Established { attempt, office, since: now };
+        entry.stage = Stage::Established { attempt, exchange_id, since: now };
         entry.last_attempt =
             Some(LastAttempt { exchange: entry.exchange, setup_time: now - since, failure: None });
         let answer = Answer::Established(description);
@@ -395,10 +396,7 @@
         self.open_calls -= 1;
         self.counts.established += 1;
         self.outputs.push(output);
-        self.dispatch(
-            now,
-            Event::Established { call, attempt, exchange_id: office, setup_time: now - since },
-        );
+        self.dispatch(now, Event::Established { call, attempt, exchange_id, setup_time: now - since });
         true
     }
 
@@ -413,12 +411,12 @@
     ) {
         let (ending, cause) = result;
         let Some(entry) = self.calls.get_mut(&call) else { return };
-        let (office, since, was_established) = match entry.stage {
-            Stage::SettingUp { attempt: current, office, since } if current == attempt => {
-                (office, since, false)
+        let (exchange_id, since, was_established) = match entry.stage {
+            Stage::SettingUp { attempt: current, exchange_id, since } if current == attempt => {
+                (exchange_id, since, false)
             }
-            Stage::Established { attempt: current, office, since } if current == attempt => {
-                (office, since, true)
+            Stage::Established { attempt: current, exchange_id, since } if current == attempt => {
+                (exchange_id, since, true)
             }
             _ => return,
         };
@@ -442,11 +440,11 @@
             self.outputs.push(Output::AttemptEnded { call, exchange: entry.exchange, ending, cause });
         }
         let took = now - since;
-        let report = self.administrative_state.apply_report(now, office, report);
+        let report = self.administrative_state.apply_report(now, exchange_id, report);
         let outcome = Outcome {
             call,
             attempt,
-            exchange_id: office,
+            exchange_id,
             ending,
             cause,
             elapsed: took,
@@ -457,9 +455,9 @@
     }
 
     /// A load report of an exchange or of the trunk group to it.
-    pub fn group_report(&mut self, now: Micros, office: ExchangeId, report: LoadReport) {
-        let report = self.administrative_state.apply_report(now, office, report);
-        self.dispatch(now, Event::GroupReport { exchange_id: office, report });
+    pub fn group_report(&mut self, now: Micros, exchange_id: ExchangeId, report: LoadReport) {
+        let report = self.administrative_state.apply_report(now, exchange_id, report);
+        self.dispatch(now, Event::GroupReport { exchange_id, report });
     }
 
     /// Replaces the set of exchanges and groups that operators took out of service. Set-ups may still be sent
@@ -470,8 +468,8 @@
             self.update_availability(now, &changes.entries);
             self.dispatch(now, Event::List(ListUpdate::Changes(changes.entries.into())));
         }
-        for (office, report) in changes.groups {
-            self.dispatch(now, Event::GroupReport { exchange_id: office, report });
+        for (exchange_id, report) in changes.groups {
+            self.dispatch(now, Event::GroupReport { exchange_id, report });
         }
         self.dispatch(now, Event::OutOfService(out_of_service));
     }
@@ -488,8 +486,8 @@
 
     /// Raises the capacity of groups that were put back into service. To be called periodically.
     pub fn ramp_restored_groups(&mut self, now: Micros) {
-        for (office, report) in self.administrative_state.ramping_groups(now) {
-            self.dispatch(now, Event::GroupReport { exchange_id: office, report });
+        for (exchange_id, report) in self.administrative_state.ramping_groups(now) {
+            self.dispatch(now, Event::GroupReport { exchange_id, report });
         }
     }
 
@@ -497,23 +495,23 @@
     /// that the call was set up through and its destination.
     pub fn cut_calls(&mut self, now: Micros, which: impl Fn(Option<ExchangeNumber>, ExchangeNumber) -> bool) {
         let selected = |(&call, e): (&CallId, &CallEntry)| match e.stage {
-            Stage::Established { attempt, office, .. }
+            Stage::Established { attempt, exchange_id, .. }
                 if which(e.exchange, e.offered.new_call.destination) =>
             {
-                Some((call, attempt, office))
+                Some((call, attempt, exchange_id))
             }
             _ => None,
         };
         let found: Vec<_> = self.calls.iter().filter_map(selected).collect();
-        for (call, attempt, office) in found {
-            self.outputs.push(Output::Clear { call, attempt, office });
+        for (call, attempt, exchange_id) in found {
+            self.outputs.push(Output::Clear { call, attempt, exchange_id });
             self.attempt_ended(now, call, attempt, (Ending::Reset, Cause::None), LoadReport::default());
         }
     }
 
     /// A probe failed.
-    pub fn probe_failed(&mut self, now: Micros, office: ExchangeId) {
-        self.dispatch(now, Event::ProbeFailed(office));
+    pub fn probe_failed(&mut self, now: Micros, exchange_id: ExchangeId) {
+        self.dispatch(now, Event::ProbeFailed(exchange_id));
     }
 
     /// A message from a peer.
@@ -528,8 +526,8 @@
             ListUpdate::Failed => {}
             ListUpdate::Changes(entries) => self.update_availability(now, entries),
             ListUpdate::Complete(entries) | ListUpdate::Cached(entries) => {
-                for (office, availability) in &mut self.offices {
-                    if !entries.iter().any(|e| e.exchange_id == *office) {
+                for (exchange_id, availability) in &mut self.exchanges {
+                    if !entries.iter().any(|e| e.exchange_id == *exchange_id) {
                         availability.update(now, ListState::Gone);
                     }
                 }
@@ -538,7 +536,7 @@
         }
         // Forgets removed exchanges after the drain grace: memory would otherwise grow with every replaced machine.
         let grace = self.drain_grace;
-        self.offices.retain(|_, availability| {
+        self.exchanges.retain(|_, availability| {
             !(availability.gone && availability.draining_since.is_some_and(|t| now - t > grace))
         });
         self.dispatch(now, Event::List(news));
@@ -650,7 +648,7 @@
 
     fn update_availability(&mut self, now: Micros, entries: &[ListEntry]) {
         for e in entries {
-            self.offices.entry(e.exchange_id).or_default().update(now, e.state);
+            self.exchanges.entry(e.exchange_id).or_default().update(now, e.state);
         }
     }
 
@@ -659,8 +657,8 @@
         self.controller.handle(now, event, &mut actions);
         for action in actions {
             match action {
-                Action::SetUp { call, exchange_id: office, timeout } => {
-                    self.send_set_up(now, call, office, timeout)
+                Action::SetUp { call, exchange_id, timeout } => {
+                    self.send_set_up(now, call, exchange_id, timeout)
                 }
                 Action::SetTimer { after, token } => {
                     self.outputs.push(Output::SetTimer(now + after, LedgerTimer::Controller(token)));
@@ -674,7 +672,7 @@
                 Action::Cancel { call, attempt } => {
                     self.cancel_attempt(now, call, attempt, Ending::Cancelled);
                 }
-                Action::Probe(office) => self.outputs.push(Output::Probe(office)),
+                Action::Probe(exchange_id) => self.outputs.push(Output::Probe(exchange_id)),
                 Action::SendToPeer { to, body } => self.outputs.push(Output::SendToPeer { to, body }),
                 Action::FetchList | Action::Subscribe => self.outputs.push(Output::FetchList),
                 Action::Log(line) => self.outputs.push(Output::Log(line)),
@@ -684,14 +682,14 @@
 
     /// Sends a set-up unless a rule forbids it. One blocked by the drain grace or the quiet period is reported
     /// to the decision module as not sent.
-    fn send_set_up(&mut self, now: Micros, call: CallId, office: ExchangeId, timeout: Option<Micros>) {
+    fn send_set_up(&mut self, now: Micros, call: CallId, exchange_id: ExchangeId, timeout: Option<Micros>) {
         let Some(entry) = self.calls.get_mut(&call) else {
             *self.counts.blocked.entry(BlockReason::SecondAttempt).or_default() += 1;
             return;
         };
         let attempt = AttemptNumber(entry.attempts);
         entry.attempts = entry.attempts.saturating_add(1);
-        let group_out_since = self.administrative_state.group_out_since(office);
+        let group_out_since = self.administrative_state.group_out_since(exchange_id);
         let drained = |availability: &Availability| {
             availability
                 .draining_since
@@ -702,7 +700,7 @@
         };
         let block_reason = if entry.stage != Stage::Deciding {
             Some(BlockReason::SecondAttempt)
-        } else if self.offices.get(&office).is_none_or(drained) {
+        } else if self.exchanges.get(&exchange_id).is_none_or(drained) {
             Some(BlockReason::Drained)
         } else if now < entry.quiet_until {
             Some(BlockReason::Quiet)
@@ -717,7 +715,7 @@
                 let outcome = Outcome {
                     call,
                     attempt,
-                    exchange_id: office,
+                    exchange_id,
                     ending,
                     cause,
                     elapsed: 0,
@@ -730,19 +728,19 @@
         }
         let latest = entry.deadline - ATTEMPT_MARGIN;
         let expires_at = timeout.map_or(latest, |t| latest.min(now + t.max(0)));
-        entry.stage = Stage::SettingUp { attempt, office, since: now };
-        entry.exchange = self.administrative_state.exchange_of(office);
+        entry.stage = Stage::SettingUp { attempt, exchange_id, since: now };
+        entry.exchange = self.administrative_state.exchange_of(exchange_id);
         self.counts.attempts += 1;
-        self.outputs.push(Output::SetUp { call, attempt, office, timeout: (expires_at - now).max(0) });
+        self.outputs.push(Output::SetUp { call, attempt, exchange_id, timeout: (expires_at - now).max(0) });
         self.outputs.push(Output::SetTimer(expires_at, LedgerTimer::Attempt(call, attempt)));
     }
 
     /// Ends an attempt in progress from this side.
     fn cancel_attempt(&mut self, now: Micros, call: CallId, attempt: AttemptNumber, ending: Ending) {
         let Some(entry) = self.calls.get(&call) else { return };
-        let Stage::SettingUp { attempt: current, office, .. } = entry.stage else { return };
+        let Stage::SettingUp { attempt: current, exchange_id, .. } = entry.stage else { return };
         if current == attempt {
-            self.outputs.push(Output::Clear { call, attempt, office });
+            self.outputs.push(Output::Clear { call, attempt, exchange_id });
             self.attempt_ended(now, call, attempt, (ending, Cause::None), LoadReport::default());
         }
     }
@@ -753,8 +751,8 @@
         let Some(entry) = self.calls.get(&call) else { return false };
         match entry.stage {
             Stage::Established { .. } => return false,
-            Stage::SettingUp { attempt, office, .. } => {
-                self.outputs.push(Output::Clear { call, attempt, office })
+            Stage::SettingUp { attempt, exchange_id, .. } => {
+                self.outputs.push(Output::Clear { call, attempt, exchange_id })
             }
             Stage::Deciding => {}
         }
--- a/tests/models.rs
+++ b/tests/models.rs
@@ -845,12 +845,12 @@
     fn settle(&mut self) {
         for output in self.ledger.take_outputs() {
             match output {
-                Output::SetUp { call, attempt, office, timeout: wait } => {
+                Output::SetUp { call, attempt, exchange_id, timeout: wait } => {
                     let held = self.calls.get_mut(&call).expect("a call that is owed an answer");
                     assert!(held.out.is_none() && !held.stands, "one attempt out");
                     assert!(self.now >= held.quiet, "the quiet period");
                     assert!(self.now + wait <= held.deadline);
-                    let told = self.drained.get(&u16::from(office.addr[3]));
+                    let told = self.drained.get(&u16::from(exchange_id.addr[3]));
                     assert!(told.is_none_or(|&t| self.now - t <= 250 * MS), "the drain limit");
                     held.out = Some(attempt);
                 }
--- a/tests/out_of_service.rs
+++ b/tests/out_of_service.rs
@@ -8,7 +8,7 @@
 const T0: Micros = 100_000_000;
 const MS: Micros = 1000;
 
-fn office(n: u8) -> ExchangeId {
+fn exchange_id(n: u8) -> ExchangeId {
     ExchangeId { addr: [10, 0, 0, n], port: 5060 }
 }
 
@@ -45,11 +45,11 @@
         exchange: ExchangeNumber(n),
         zone: 0,
         state: ListState::Ready,
-        exchange_id: office(n as u8),
+        exchange_id: exchange_id(n as u8),
         last_start: None,
     };
     ledger.list_update(T0, ListUpdate::Complete((1..=3).map(entry).collect()));
-    (1..=3).for_each(|n| ledger.group_report(T0, office(n), circuits(20.0)));
+    (1..=3).for_each(|n| ledger.group_report(T0, exchange_id(n), circuits(20.0)));
     ledger.take_outputs();
     ledger
 }
@@ -75,7 +75,7 @@
 /// The exchange that a set-up was sent to, if any.
 fn set_up_target(outputs: &[Output]) -> Option<ExchangeId> {
     outputs.iter().find_map(|o| match o {
-        Output::SetUp { office, .. } => Some(*office),
+        Output::SetUp { exchange_id, .. } => Some(*exchange_id),
         _ => None,
     })
 }
@@ -105,10 +105,10 @@
         "the refusal carries a retry delay"
     );
     // The direct group to 2 is full, so only 3 is left as a tandem.
-    ledger.group_report(T0 + 300 * MS, office(2), circuits(0.0));
+    ledger.group_report(T0 + 300 * MS, exchange_id(2), circuits(0.0));
     for n in 0..8 {
         let (_, outputs) = offer(&mut ledger, T0 + (300 + n) * MS, 2);
-        assert_ne!(set_up_target(&outputs), Some(office(1)));
+        assert_ne!(set_up_target(&outputs), Some(exchange_id(1)));
     }
 }
 
@@ -118,17 +118,17 @@
     ledger.out_of_service_changed(T0, out_of_service(&[], &[1], false));
     ledger.take_outputs();
     let (_, outputs) = offer(&mut ledger, T0 + MS, 1);
-    assert!(set_up_target(&outputs).is_some_and(|o| o != office(1)), "{outputs:?}");
+    assert!(set_up_target(&outputs).is_some_and(|o| o != exchange_id(1)), "{outputs:?}");
     // A report of free circuits does not put it back into service.
-    ledger.group_report(T0 + 2 * MS, office(1), circuits(20.0));
+    ledger.group_report(T0 + 2 * MS, exchange_id(1), circuits(20.0));
     let (_, outputs) = offer(&mut ledger, T0 + 3 * MS, 1);
-    assert_ne!(set_up_target(&outputs), Some(office(1)));
+    assert_ne!(set_up_target(&outputs), Some(exchange_id(1)));
     // Once put back into service, it regains its circuits gradually.
     ledger.out_of_service_changed(T0 + 1000 * MS, out_of_service(&[], &[], false));
     ledger.take_outputs();
     let direct = |ledger: &mut Ledger, now| {
         let targets = (0..20).map(|_| set_up_target(&offer(ledger, now, 1).1));
-        targets.filter(|o| *o == Some(office(1))).count()
+        targets.filter(|o| *o == Some(exchange_id(1))).count()
     };
     assert_eq!(direct(&mut ledger, T0 + 1001 * MS), 0);
     ledger.ramp_restored_groups(T0 + 1000 * MS + 3_000_000);
@@ -152,7 +152,7 @@
         // In a burst, an exchange in its cold start gets only the calls its capacity allows so far, a warm one its
         // full share.
         (0..10)
-            .filter(|n| set_up_target(&offer(&mut ledger, restored_at + n * MS, 1).1) == Some(office(1)))
+            .filter(|n| set_up_target(&offer(&mut ledger, restored_at + n * MS, 1).1) == Some(exchange_id(1)))
             .count()
     };
     let (cold, warm) = (direct_calls(true), direct_calls(false));
@@ -163,7 +163,7 @@
 fn a_controller_out_of_service_refuses_all_calls_and_keeps_established_ones_until_cut() {
     let mut ledger = new_ledger();
     let (call, outputs) = offer(&mut ledger, T0, 1);
-    assert_eq!(set_up_target(&outputs), Some(office(1)));
+    assert_eq!(set_up_target(&outputs), Some(exchange_id(1)));
     ledger.attempt_answered(T0 + MS, call, AttemptNumber(0), None);
     ledger.out_of_service_changed(T0 + 2 * MS, out_of_service(&[], &[], true));
     ledger.take_outputs();
