--- a/src/protocol/upstream/connections.rs
+++ b/src/protocol/upstream/connections.rs
@@ -41,7 +41,7 @@
     }
 
     /// A connection is no more.
-    pub fn closed(&mut self, now: Micros, conn: ConnId, how: Closing) {
+    pub fn closed(&mut self, now: Micros, conn: ConnId, how: CloseReason) {
         let Some(office) = self.conns.remove(&conn) else { return };
         let Some(link) = self.links.get_mut(&office) else { return };
         let was_up = matches!(link.connection, ConnectionState::Up(_));
@@ -54,7 +54,7 @@
             (false, _) => {}
         }
         match how {
-            Closing::Refused => {
+            CloseReason::Refused => {
                 self.counts.refused += 1;
                 // Nobody listens: the process that had the calls is dead, and with a connection of its own
                 // lost it can tell no more.
@@ -64,9 +64,11 @@
                     self.cut_standing(office, |_| true);
                 }
             }
-            Closing::NotMade => self.fail_waiting(office),
-            Closing::Ended | Closing::Ours => self.end_sent(now, office, Ending::Reset),
-            Closing::Broken => {
+            CloseReason::ConnectFailed => self.fail_waiting(office),
+            CloseReason::ClosedByPeer | CloseReason::ClosedLocally => {
+                self.end_sent(now, office, Ending::Reset)
+            }
+            CloseReason::Broken => {
                 self.counts.broken += 1;
                 link.suspected = true;
                 self.end_sent(now, office, Ending::Reset);
@@ -77,7 +79,7 @@
             return self.drop_link(now, office);
         }
         // An end in order with calls standing may be a process that stops.
-        link.suspected |= was_up && how == Closing::Ended;
+        link.suspected |= was_up && how == CloseReason::ClosedByPeer;
         // Guards this task and the peer against one that ends each connection as soon as it is made.
         if was_up && !early {
             self.connect(now, office);
@@ -99,7 +101,7 @@
                 let link = office.and_then(|o| self.links.get(&o));
                 if link.is_some_and(|l| l.connection == ConnectionState::Connecting(conn)) {
                     self.out.push(UpstreamOutput::HangUp(conn, HangUpReason::NotUpInTime));
-                    self.closed(now, conn, Closing::NotMade);
+                    self.closed(now, conn, CloseReason::ConnectFailed);
                 }
             }
             UpstreamTimer::Retry(office) => {
--- a/src/protocol/upstream/mod.rs
+++ b/src/protocol/upstream/mod.rs
@@ -62,17 +62,17 @@
 
 /// How a connection came to its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Closing {
+pub enum CloseReason {
     /// It was refused: nobody listens there.
     Refused,
     /// It never came up for another reason, or not in time.
-    NotMade,
+    ConnectFailed,
     /// The far side ended it in order.
-    Ended,
+    ClosedByPeer,
     /// It broke.
     Broken,
     /// This side ended it.
-    Ours,
+    ClosedLocally,
 }
 
 /// What a deadline of the links is for.
--- a/src/protocol/upstream/silence.rs
+++ b/src/protocol/upstream/silence.rs
@@ -11,7 +11,7 @@
             self.counts.spoilt += 1;
             self.out.push(UpstreamOutput::GaveUp(link.place.member.clone(), HangUpReason::Unreadable));
             self.out.push(UpstreamOutput::HangUp(conn, HangUpReason::Unreadable));
-            self.closed(now, conn, Closing::Ours);
+            self.closed(now, conn, CloseReason::ClosedLocally);
         }
     }
 
@@ -35,7 +35,7 @@
                 self.out.push(UpstreamOutput::GaveUp(link.place.member.clone(), HangUpReason::Silent));
                 self.out.push(UpstreamOutput::HangUp(conn, HangUpReason::Silent));
                 self.end_sent(now, office, how);
-                return self.closed(now, conn, Closing::Ours);
+                return self.closed(now, conn, CloseReason::ClosedLocally);
             }
             Some(_) if !late => {}
             _ if silent && self.legs.values().any(|l| l.office == office) => {
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -14,7 +14,7 @@
 
 use crate::protocol::json_lines::{LineError, Message};
 use crate::protocol::server_events::ServerEvent;
-use crate::protocol::upstream::Closing;
+use crate::protocol::upstream::CloseReason;
 use crate::protocol::ConnId;
 use outbox::Outbox;
 use std::net::SocketAddr;
@@ -45,7 +45,7 @@
     /// A message has begun and not ended (`true`), or what had begun is whole.
     Half(bool),
     /// It is no more.
-    Closed(Closing),
+    Closed(CloseReason),
 }
 
 /// What operators' programs and the state folder have to tell.
--- a/src/transport/streams.rs
+++ b/src/transport/streams.rs
@@ -4,7 +4,7 @@
 use super::{ConnNews, Inbound, Side};
 use crate::fault_injection::{fault_injected, InjectedFault};
 use crate::protocol::json_lines::{LineSplitter, Message};
-use crate::protocol::upstream::Closing;
+use crate::protocol::upstream::CloseReason;
 use crate::protocol::ConnId;
 use async_channel::{Receiver, SendError, Sender};
 use async_executor::LocalExecutor;
@@ -124,9 +124,9 @@
             }
             return;
         }
-        Some(Err(e)) if e.kind() == io::ErrorKind::ConnectionRefused => Closing::Refused,
-        Some(Err(_)) => Closing::NotMade,
-        None => Closing::Ours,
+        Some(Err(e)) if e.kind() == io::ErrorKind::ConnectionRefused => CloseReason::Refused,
+        Some(Err(_)) => CloseReason::ConnectFailed,
+        None => CloseReason::ClosedLocally,
     };
     // The program ends when its queue is gone; nobody is left to hear of this connection then.
     drop(inbox.send(news(ConnNews::Closed(closing))).await);
@@ -147,12 +147,12 @@
     let closing = future::or(write(&stream, &outbox), async {
         future::or(read(&stream, side, conn, &inbox, &outbox, &spent), async {
             outbox.until_cut().await;
-            Closing::Ours
+            CloseReason::ClosedLocally
         })
         .await
     })
     .await;
-    if side == Side::Callers && closing == Closing::Ours {
+    if side == Side::Callers && closing == CloseReason::ClosedLocally {
         future::or(outbox.until_cut(), see_off(&stream, spent.get())).await;
     }
     if fault_injected(InjectedFault::LeakedConnection) {
@@ -181,13 +181,13 @@
     }
 }
 
-async fn write(mut stream: &Async<TcpStream>, outbox: &Outbox) -> Closing {
+async fn write(mut stream: &Async<TcpStream>, outbox: &Outbox) -> CloseReason {
     while let Some(bytes) = outbox.take(CHUNK).await {
         if stream.write_all(&bytes).await.is_err() {
-            return Closing::Broken;
+            return CloseReason::Broken;
         }
     }
-    Closing::Ours
+    CloseReason::ClosedLocally
 }
 
 async fn read(
@@ -197,7 +197,7 @@
     inbox: &Sender<Inbound>,
     outbox: &Outbox,
     spent: &Cell<bool>,
-) -> Closing {
+) -> CloseReason {
     let mut buffer = vec![0; CHUNK];
     let (mut lines, mut half) = (LineSplitter::default(), false);
     loop {
@@ -210,11 +210,11 @@
             None
         };
         let n = match future::or(stopped, async { Some(stream.read(&mut buffer).await) }).await {
-            Some(Ok(0)) => return Closing::Ended,
+            Some(Ok(0)) => return CloseReason::ClosedByPeer,
             Some(Ok(n)) => n,
-            Some(Err(_)) => return Closing::Broken,
+            Some(Err(_)) => return CloseReason::Broken,
             None if inbox.send(Inbound::Conn(side, conn, ConnNews::ReadingStopped)).await.is_err() => {
-                return Closing::Ours;
+                return CloseReason::ClosedLocally;
             }
             None => return future::pending().await,
         };
@@ -232,7 +232,7 @@
         spent.set(bad.is_some());
         for n in news.into_iter().chain(bad.map(ConnNews::Bad)) {
             if inbox.send(Inbound::Conn(side, conn, n)).await.is_err() {
-                return Closing::Ours;
+                return CloseReason::ClosedLocally;
             }
         }
         if spent.get() {
--- a/tests/models.rs
+++ b/tests/models.rs
@@ -6,7 +6,7 @@
 use walnuthatch::protocol::client::{Ask, ClientConnections, ClientOutput, ClientTimer};
 use walnuthatch::protocol::json_lines::{Kind, LineError, LineSplitter, Message, Sid, LONGEST};
 use walnuthatch::protocol::membership::Place;
-use walnuthatch::protocol::upstream::{Closing, UpstreamConnections, UpstreamOutput, UpstreamTimer};
+use walnuthatch::protocol::upstream::{CloseReason, UpstreamConnections, UpstreamOutput, UpstreamTimer};
 use walnuthatch::protocol::ConnId;
 use walnuthatch::routing::interface::*;
 use walnuthatch::routing::ledger::{Answer, FrontendId, Ledger, LedgerTimer, OfferedCall, Output};
@@ -68,7 +68,7 @@
     SetUp,
     Clear(usize),
     Up,
-    Down(Closing),
+    Down(CloseReason),
     Ready(usize),
     Close(usize, u16),
     Spoil,
@@ -198,7 +198,7 @@
             }
             LinkStep::Down(how) => {
                 if let Some((conn, up)) = self.conn.take() {
-                    let how = if up && how == Closing::Refused { Closing::Broken } else { how };
+                    let how = if up && how == CloseReason::Refused { CloseReason::Broken } else { how };
                     self.links.closed(self.now, conn, how);
                 }
             }
@@ -414,11 +414,11 @@
 fn a_link_keeps_one_connection_and_ends_each_set_up_once() {
     use LinkStep::*;
     let how = prop::sample::select(vec![
-        Closing::Refused,
-        Closing::NotMade,
-        Closing::Ended,
-        Closing::Broken,
-        Closing::Ours,
+        CloseReason::Refused,
+        CloseReason::ConnectFailed,
+        CloseReason::ClosedByPeer,
+        CloseReason::Broken,
+        CloseReason::ClosedLocally,
     ]);
     let state = prop::sample::select(vec![ListState::Ready, ListState::Draining, ListState::Gone]);
     let step = prop_oneof![ 4 => Just(SetUp), 2 => (0_usize..50).prop_map(Clear), 3 => Just(Up), 1 => how.prop_map(Down), 3 => (0_usize..50).prop_map(Ready), 2 => (0_usize..50, prop::sample::select(vec![16, 34, 41, 102])).prop_map(|(i, c)| Close(i, c)), 1 => Just(Spoil), 1 => any::<bool>().prop_map(Half), 1 => state.prop_map(List), 1 => Just(Vanish), 2 => (0..700 * MS).prop_map(Pass), ];
@@ -766,7 +766,7 @@
     while m.now < end {
         m.reconnect();
         m.hear();
-        m.step(LinkStep::Down(Closing::Ended));
+        m.step(LinkStep::Down(CloseReason::ClosedByPeer));
         tries += 1;
     }
     assert!(tries < 25, "{tries} connections in 10 s");
