--- a/src/protocol/upstream/connections.rs
+++ b/src/protocol/upstream/connections.rs
@@ -100,7 +100,7 @@
                 let office = self.conns.get(&conn).copied();
                 let link = office.and_then(|o| self.links.get(&o));
                 if link.is_some_and(|l| l.connection == ConnectionState::Connecting(conn)) {
-                    self.out.push(UpstreamOutput::HangUp(conn, HangUpReason::NotUpInTime));
+                    self.out.push(UpstreamOutput::HangUp(conn, DisconnectReason::ConnectTimeout));
                     self.closed(now, conn, CloseReason::ConnectFailed);
                 }
             }
--- a/src/protocol/upstream/list.rs
+++ b/src/protocol/upstream/list.rs
@@ -100,7 +100,7 @@
         let Some(link) = self.links.remove(&office) else { return };
         if let ConnectionState::Connecting(conn) | ConnectionState::Up(conn) = link.connection {
             self.conns.remove(&conn);
-            self.out.push(UpstreamOutput::HangUp(conn, HangUpReason::MemberRemoved));
+            self.out.push(UpstreamOutput::HangUp(conn, DisconnectReason::MemberRemoved));
         }
     }
 }
--- a/src/protocol/upstream/mod.rs
+++ b/src/protocol/upstream/mod.rs
@@ -98,16 +98,16 @@
 
 /// Why this side ends a connection, for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum HangUpReason {
+pub enum DisconnectReason {
     /// It did not come up in time.
     #[error("it did not come up in time")]
-    NotUpInTime,
+    ConnectTimeout,
     /// What came on it could not be read, or stopped within a message.
     #[error("what comes can't be read")]
     Unreadable,
     /// Nothing came on it, not even the answer to a test.
     #[error("nothing comes")]
-    Silent,
+    Unresponsive,
     /// Its exchange was removed from the list.
     #[error("its exchange was removed from the list")]
     MemberRemoved,
@@ -146,7 +146,7 @@
         attempt: AttemptNumber,
     },
     /// End a connection.
-    HangUp(ConnId, HangUpReason),
+    HangUp(ConnId, DisconnectReason),
     /// Come back then.
     Wake(Micros, UpstreamTimer),
     /// A set-up was answered.
@@ -160,7 +160,7 @@
     /// A call of this program's earlier life is over.
     Earlier(Sid, u16),
     /// The connection to this member of the list was given up, and why: for the log.
-    GaveUp(String, HangUpReason),
+    GaveUp(String, DisconnectReason),
     /// So many calls at this member were cut since nothing showed any more that they stand: for the log.
     LeaseOver(String, usize),
 }
--- a/src/protocol/upstream/silence.rs
+++ b/src/protocol/upstream/silence.rs
@@ -9,8 +9,8 @@
         let link = self.conns.get(&conn).and_then(|o| self.links.get(o));
         if let Some(link) = link {
             self.counts.spoilt += 1;
-            self.out.push(UpstreamOutput::GaveUp(link.place.member.clone(), HangUpReason::Unreadable));
-            self.out.push(UpstreamOutput::HangUp(conn, HangUpReason::Unreadable));
+            self.out.push(UpstreamOutput::GaveUp(link.place.member.clone(), DisconnectReason::Unreadable));
+            self.out.push(UpstreamOutput::HangUp(conn, DisconnectReason::Unreadable));
             self.closed(now, conn, CloseReason::ClosedLocally);
         }
     }
@@ -32,8 +32,9 @@
                 let how = if link.consecutive_timeouts == 0 { Ending::Reset } else { Ending::TimedOut };
                 link.consecutive_timeouts += 1;
                 self.counts.stalled += 1;
-                self.out.push(UpstreamOutput::GaveUp(link.place.member.clone(), HangUpReason::Silent));
-                self.out.push(UpstreamOutput::HangUp(conn, HangUpReason::Silent));
+                self.out
+                    .push(UpstreamOutput::GaveUp(link.place.member.clone(), DisconnectReason::Unresponsive));
+                self.out.push(UpstreamOutput::HangUp(conn, DisconnectReason::Unresponsive));
                 self.end_sent(now, office, how);
                 return self.closed(now, conn, CloseReason::ClosedLocally);
             }
