--- a/src/program/switchboard.rs
+++ b/src/program/switchboard.rs
@@ -525,25 +525,25 @@
             UpstreamOutput::Send { conn, message, set_up } => {
                 self.send(Side::Exchanges, conn, set_up, &message);
             }
-            UpstreamOutput::TakeBack { conn, call, message } => {
+            UpstreamOutput::CancelSetUp { conn, call, message } => {
                 let outbox = self.outboxes.get(&(Side::Exchanges, conn));
                 if !outbox.is_some_and(|o| o.take_back(call)) {
                     self.send(Side::Exchanges, conn, None, &message);
                 }
             }
-            UpstreamOutput::Unsend { conn, call, attempt } => {
+            UpstreamOutput::WithdrawSetUp { conn, call, attempt } => {
                 let outbox = self.outboxes.get(&(Side::Exchanges, conn));
                 if outbox.is_some_and(|o| o.take_back(call)) {
                     self.links.unsent(call, attempt);
                 }
             }
-            UpstreamOutput::HangUp(conn, why) => {
+            UpstreamOutput::Disconnect(conn, why) => {
                 tracing::debug!(target: CONNECTIONS, conn = conn.0, "exchange's connection ended: {why}");
                 if let Some(outbox) = self.outboxes.get(&(Side::Exchanges, conn)) {
                     outbox.cut();
                 }
             }
-            UpstreamOutput::Wake(at, due) => self.deadlines.add(at, Due::Link(due)),
+            UpstreamOutput::SetTimer(at, due) => self.deadlines.add(at, Due::Link(due)),
             UpstreamOutput::Answered(call, attempt, text) => {
                 if !self.ledger.attempt_answered(now, call, attempt, text) {
                     self.links.clear(now, call, attempt);
@@ -552,15 +552,15 @@
             UpstreamOutput::Ended(call, attempt, how, load) => {
                 self.ledger.attempt_ended(now, call, attempt, how, load);
             }
-            UpstreamOutput::Group(office, load) => self.ledger.group_report(now, office, load),
+            UpstreamOutput::GroupReport(office, load) => self.ledger.group_report(now, office, load),
             UpstreamOutput::ProbeFailed(office) => self.ledger.probe_failed(now, office),
-            UpstreamOutput::GaveUp(member, why) => {
+            UpstreamOutput::ConnectionDropped(member, why) => {
                 tracing::info!(%member, "exchange {member}: connection given up: {why}");
             }
-            UpstreamOutput::LeaseOver(member, calls) => {
+            UpstreamOutput::LeasesExpired(member, calls) => {
                 tracing::info!(%member, calls, "exchange {member}: nothing heard for too long, {calls} calls cut");
             }
-            UpstreamOutput::Earlier(sid, code) => self.callers.release_earlier(now, sid, code),
+            UpstreamOutput::PreviousRunReleased(sid, code) => self.callers.release_earlier(now, sid, code),
         }
     }
 
--- a/src/protocol/upstream/calls.rs
+++ b/src/protocol/upstream/calls.rs
@@ -24,7 +24,7 @@
             Some(ConnectionState::Connecting(_) | ConnectionState::Down) => {
                 self.legs.insert(sid, Attempt { message: Some(message), ..leg });
                 let until = now + self.connect_timeout;
-                self.out.push(UpstreamOutput::Wake(until, UpstreamTimer::Waiting(call, attempt)));
+                self.out.push(UpstreamOutput::SetTimer(until, UpstreamTimer::Waiting(call, attempt)));
                 self.connect(now, office);
             }
             None => {
@@ -47,7 +47,7 @@
             Stage::Waiting => {}
             Stage::Sent(conn) => {
                 let message = Message::close(sid, cause::NORMAL);
-                self.out.push(UpstreamOutput::TakeBack { conn, call, message });
+                self.out.push(UpstreamOutput::CancelSetUp { conn, call, message });
             }
             Stage::Standing(_) => self.release_at(now, leg.office, sid),
         }
--- a/src/protocol/upstream/connections.rs
+++ b/src/protocol/upstream/connections.rs
@@ -15,7 +15,7 @@
         self.conns.insert(conn, office);
         self.counts.connects += 1;
         self.out.push(UpstreamOutput::Connect(conn, link.place.clone()));
-        self.out.push(UpstreamOutput::Wake(now + self.connect_timeout, UpstreamTimer::Connect(conn)));
+        self.out.push(UpstreamOutput::SetTimer(now + self.connect_timeout, UpstreamTimer::Connect(conn)));
     }
 
     /// A connection is up.
@@ -25,7 +25,7 @@
         link.connection = ConnectionState::Up(conn);
         link.came_up = Some(now);
         link.suspected = false;
-        self.out.push(UpstreamOutput::Wake(now + LOOK, UpstreamTimer::Look(conn, now + LOOK)));
+        self.out.push(UpstreamOutput::SetTimer(now + LOOK, UpstreamTimer::Look(conn, now + LOOK)));
         for (until, sid) in std::mem::take(&mut link.owed) {
             if now < until {
                 let message = Message::close(sid, cause::NORMAL);
@@ -89,7 +89,7 @@
             let due = now + link.retry.min(longest);
             link.retry_due = Some(due);
             link.retry = (link.retry * 2).min(RETRY.1);
-            self.out.push(UpstreamOutput::Wake(due, UpstreamTimer::Retry(office)));
+            self.out.push(UpstreamOutput::SetTimer(due, UpstreamTimer::Retry(office)));
         }
     }
 
@@ -100,7 +100,7 @@
                 let office = self.conns.get(&conn).copied();
                 let link = office.and_then(|o| self.links.get(&o));
                 if link.is_some_and(|l| l.connection == ConnectionState::Connecting(conn)) {
-                    self.out.push(UpstreamOutput::HangUp(conn, DisconnectReason::ConnectTimeout));
+                    self.out.push(UpstreamOutput::Disconnect(conn, DisconnectReason::ConnectTimeout));
                     self.closed(now, conn, CloseReason::ConnectFailed);
                 }
             }
--- a/src/protocol/upstream/leases.rs
+++ b/src/protocol/upstream/leases.rs
@@ -21,7 +21,7 @@
         if let Some(link) = self.links.get_mut(&office) {
             link.lease_due = Some(due);
         }
-        self.out.push(UpstreamOutput::Wake(due, UpstreamTimer::Lease(office, due)));
+        self.out.push(UpstreamOutput::SetTimer(due, UpstreamTimer::Lease(office, due)));
     }
 
     /// Guards callers against an exchange that is gone without a word: the calls whose lease is over are cut, towards
@@ -36,7 +36,7 @@
             // This program stood still, and what came meanwhile may not have been read.
             let due = meant + LEASE_GRACE;
             link.lease_due = Some(due);
-            return self.out.push(UpstreamOutput::Wake(due, UpstreamTimer::Lease(office, due)));
+            return self.out.push(UpstreamOutput::SetTimer(due, UpstreamTimer::Lease(office, due)));
         }
         let leases = link.leases.clone();
         let over = |l: &Attempt| matches!(l.stage, Stage::Standing(g) if leases.expired(now, g));
@@ -46,7 +46,7 @@
         self.counts.lease_expired += owed.len() as u64;
         if let Some(link) = self.links.get_mut(&office).filter(|_| !owed.is_empty()) {
             let member = link.place.member.clone();
-            self.out.push(UpstreamOutput::LeaseOver(member, owed.len()));
+            self.out.push(UpstreamOutput::LeasesExpired(member, owed.len()));
         }
         owed.into_iter().for_each(|sid| self.release_at(now, office, sid));
         self.cut_standing(office, over);
--- a/src/protocol/upstream/list.rs
+++ b/src/protocol/upstream/list.rs
@@ -72,7 +72,7 @@
         };
         let mut sent: Vec<_> = self.legs.values().filter_map(sent).collect();
         sent.sort_unstable();
-        let unsend = |(call, attempt, conn)| UpstreamOutput::Unsend { conn, call, attempt };
+        let unsend = |(call, attempt, conn)| UpstreamOutput::WithdrawSetUp { conn, call, attempt };
         self.out.extend(sent.into_iter().map(unsend));
     }
 
@@ -88,7 +88,7 @@
         if link.state != ListState::Gone {
             link.state = ListState::Gone;
             self.shed(office);
-            self.out.push(UpstreamOutput::Wake(now + GONE_GRACE, UpstreamTimer::Gone(office)));
+            self.out.push(UpstreamOutput::SetTimer(now + GONE_GRACE, UpstreamTimer::Gone(office)));
         }
     }
 
@@ -100,7 +100,7 @@
         let Some(link) = self.links.remove(&office) else { return };
         if let ConnectionState::Connecting(conn) | ConnectionState::Up(conn) = link.connection {
             self.conns.remove(&conn);
-            self.out.push(UpstreamOutput::HangUp(conn, DisconnectReason::MemberRemoved));
+            self.out.push(UpstreamOutput::Disconnect(conn, DisconnectReason::MemberRemoved));
         }
     }
 }
--- a/src/protocol/upstream/messages.rs
+++ b/src/protocol/upstream/messages.rs
@@ -13,7 +13,7 @@
         self.probes.insert(sid, office);
         let message = Message { code: Some(1), ..Message::new(Kind::Probe, Some(sid)) };
         self.out.push(UpstreamOutput::Send { conn, message, set_up: None });
-        self.out.push(UpstreamOutput::Wake(now + PROBE_WAIT, UpstreamTimer::Probe(sid)));
+        self.out.push(UpstreamOutput::SetTimer(now + PROBE_WAIT, UpstreamTimer::Probe(sid)));
     }
 
     /// A message from an exchange.
@@ -75,7 +75,7 @@
                 self.counts.stray += 1;
                 if let Some(sid) = message.sid.filter(|&s| self.earlier.has(now, s)) {
                     let code = message.code.unwrap_or(cause::NORMAL);
-                    self.out.push(UpstreamOutput::Earlier(sid, code));
+                    self.out.push(UpstreamOutput::PreviousRunReleased(sid, code));
                 }
                 self.group(office, load);
             }
@@ -86,7 +86,7 @@
 
     pub(super) fn group(&mut self, office: ExchangeId, load: LoadReport) {
         if load != LoadReport::default() {
-            self.out.push(UpstreamOutput::Group(office, load));
+            self.out.push(UpstreamOutput::GroupReport(office, load));
         }
     }
 }
--- a/src/protocol/upstream/mod.rs
+++ b/src/protocol/upstream/mod.rs
@@ -128,7 +128,7 @@
         set_up: Option<CallId>,
     },
     /// Give up a set-up, unless its line has not left yet: then it must not leave at all.
-    TakeBack {
+    CancelSetUp {
         /// On which connection.
         conn: ConnId,
         /// The call.
@@ -137,7 +137,7 @@
         message: Message,
     },
     /// Take a set-up back if it has not begun to leave, and say so ([`UpstreamConnections::unsent`]).
-    Unsend {
+    WithdrawSetUp {
         /// On which connection.
         conn: ConnId,
         /// The call.
@@ -146,23 +146,23 @@
         attempt: AttemptNumber,
     },
     /// End a connection.
-    HangUp(ConnId, DisconnectReason),
+    Disconnect(ConnId, DisconnectReason),
     /// Come back then.
-    Wake(Micros, UpstreamTimer),
+    SetTimer(Micros, UpstreamTimer),
     /// A set-up was answered.
     Answered(CallId, AttemptNumber, Option<SessionDescription>),
     /// An attempt ended, or a call that stood is over.
     Ended(CallId, AttemptNumber, (Ending, Cause), LoadReport),
     /// Figures of an exchange.
-    Group(ExchangeId, LoadReport),
+    GroupReport(ExchangeId, LoadReport),
     /// A probe failed.
     ProbeFailed(ExchangeId),
     /// A call of this program's earlier life is over.
-    Earlier(Sid, u16),
+    PreviousRunReleased(Sid, u16),
     /// The connection to this member of the list was given up, and why: for the log.
-    GaveUp(String, DisconnectReason),
+    ConnectionDropped(String, DisconnectReason),
     /// So many calls at this member were cut since nothing showed any more that they stand: for the log.
-    LeaseOver(String, usize),
+    LeasesExpired(String, usize),
 }
 
 /// Counts of what was odd.
--- a/src/protocol/upstream/silence.rs
+++ b/src/protocol/upstream/silence.rs
@@ -9,8 +9,11 @@
         let link = self.conns.get(&conn).and_then(|o| self.links.get(o));
         if let Some(link) = link {
             self.counts.spoilt += 1;
-            self.out.push(UpstreamOutput::GaveUp(link.place.member.clone(), DisconnectReason::Unreadable));
-            self.out.push(UpstreamOutput::HangUp(conn, DisconnectReason::Unreadable));
+            self.out.push(UpstreamOutput::ConnectionDropped(
+                link.place.member.clone(),
+                DisconnectReason::Unreadable,
+            ));
+            self.out.push(UpstreamOutput::Disconnect(conn, DisconnectReason::Unreadable));
             self.closed(now, conn, CloseReason::ClosedLocally);
         }
     }
@@ -32,9 +35,11 @@
                 let how = if link.consecutive_timeouts == 0 { Ending::Reset } else { Ending::TimedOut };
                 link.consecutive_timeouts += 1;
                 self.counts.stalled += 1;
-                self.out
-                    .push(UpstreamOutput::GaveUp(link.place.member.clone(), DisconnectReason::Unresponsive));
-                self.out.push(UpstreamOutput::HangUp(conn, DisconnectReason::Unresponsive));
+                self.out.push(UpstreamOutput::ConnectionDropped(
+                    link.place.member.clone(),
+                    DisconnectReason::Unresponsive,
+                ));
+                self.out.push(UpstreamOutput::Disconnect(conn, DisconnectReason::Unresponsive));
                 self.end_sent(now, office, how);
                 return self.closed(now, conn, CloseReason::ClosedLocally);
             }
@@ -45,7 +50,7 @@
             }
             _ => link.tested = None,
         }
-        self.out.push(UpstreamOutput::Wake(now + LOOK, UpstreamTimer::Look(conn, now + LOOK)));
+        self.out.push(UpstreamOutput::SetTimer(now + LOOK, UpstreamTimer::Look(conn, now + LOOK)));
     }
 
     /// A message has begun on a connection, or what had begun is whole.
@@ -54,7 +59,7 @@
         let Some(link) = office.and_then(|o| self.links.get_mut(o)) else { return };
         link.half = half.then_some(now);
         if half {
-            self.out.push(UpstreamOutput::Wake(now + HALF, UpstreamTimer::Half(conn, now)));
+            self.out.push(UpstreamOutput::SetTimer(now + HALF, UpstreamTimer::Half(conn, now)));
         }
     }
 }
--- a/tests/models.rs
+++ b/tests/models.rs
@@ -137,16 +137,18 @@
                         *leg = Leg::Out;
                     }
                 }
-                UpstreamOutput::Unsend { call, .. } => {
+                UpstreamOutput::WithdrawSetUp { call, .. } => {
                     assert_ne!(self.state, ListState::Ready);
                     assert_eq!(self.legs[call.0 as usize], Leg::Out);
                 }
-                UpstreamOutput::TakeBack { call, .. } => assert_eq!(self.legs[call.0 as usize], Leg::Cleared),
-                UpstreamOutput::HangUp(conn, _) => {
+                UpstreamOutput::CancelSetUp { call, .. } => {
+                    assert_eq!(self.legs[call.0 as usize], Leg::Cleared)
+                }
+                UpstreamOutput::Disconnect(conn, _) => {
                     assert_eq!(self.conn.map(|c| c.0), Some(conn));
                     self.conn = None;
                 }
-                UpstreamOutput::Wake(at, due) => self.due.add(at, due),
+                UpstreamOutput::SetTimer(at, due) => self.due.add(at, due),
                 UpstreamOutput::Answered(call, ..) => {
                     assert_eq!(self.legs[call.0 as usize], Leg::Out);
                     self.legs[call.0 as usize] = Leg::Standing;
@@ -156,11 +158,11 @@
                     assert!(matches!(*leg, Leg::Waiting | Leg::Out | Leg::Standing), "one end: {leg:?}");
                     *leg = Leg::Over;
                 }
-                UpstreamOutput::Earlier(sid, _) => panic!("{sid} is of this life"),
-                UpstreamOutput::Group(..)
+                UpstreamOutput::PreviousRunReleased(sid, _) => panic!("{sid} is of this life"),
+                UpstreamOutput::GroupReport(..)
                 | UpstreamOutput::ProbeFailed(_)
-                | UpstreamOutput::GaveUp(..)
-                | UpstreamOutput::LeaseOver(..) => {}
+                | UpstreamOutput::ConnectionDropped(..)
+                | UpstreamOutput::LeasesExpired(..) => {}
             }
         }
     }
