--- a/src/protocol/upstream/calls.rs
+++ b/src/protocol/upstream/calls.rs
@@ -121,6 +121,6 @@
     pub(super) fn cut_standing(&mut self, office: ExchangeId, which: impl Fn(&Attempt) -> bool) {
         let standing = |l: &Attempt| matches!(l.stage, Stage::Standing(_));
         let cut = self.end_legs(office, Ending::Reset, |l| standing(l) && which(l));
-        self.counts.found_cut += cut as u64;
+        self.counts.cut_after_failure += cut as u64;
     }
 }
--- a/src/protocol/upstream/messages.rs
+++ b/src/protocol/upstream/messages.rs
@@ -72,14 +72,14 @@
                 _ => self.group(office, load),
             },
             (Kind::Close, None) => {
-                self.counts.stray += 1;
+                self.counts.unknown_call += 1;
                 if let Some(sid) = message.sid.filter(|&s| self.earlier.has(now, s)) {
                     let code = message.code.unwrap_or(cause::NORMAL);
                     self.out.push(UpstreamOutput::PreviousRunReleased(sid, code));
                 }
                 self.group(office, load);
             }
-            (Kind::Open | Kind::Probe, _) => self.counts.stray += 1,
+            (Kind::Open | Kind::Probe, _) => self.counts.unknown_call += 1,
             (Kind::Trying | Kind::Closed, _) => {}
         }
     }
--- a/src/protocol/upstream/mod.rs
+++ b/src/protocol/upstream/mod.rs
@@ -175,15 +175,15 @@
     /// Connections that broke.
     pub broken: u64,
     /// Connections given up since what came on them could not be read, or stopped within a message.
-    pub spoilt: u64,
+    pub malformed: u64,
     /// Connections given up since nothing came on them, not even the answer to a test.
-    pub stalled: u64,
+    pub unresponsive: u64,
     /// Answers to set-ups that had been given up; each was released.
     pub late_answers: u64,
     /// Messages about calls that are not known here.
-    pub stray: u64,
+    pub unknown_call: u64,
     /// Calls taken as cut since their exchange was found dead.
-    pub found_cut: u64,
+    pub cut_after_failure: u64,
     /// Those of them whose lease was over.
     pub lease_expired: u64,
 }
--- a/src/protocol/upstream/silence.rs
+++ b/src/protocol/upstream/silence.rs
@@ -8,7 +8,7 @@
     pub fn spoilt(&mut self, now: Micros, conn: ConnId) {
         let link = self.conns.get(&conn).and_then(|o| self.links.get(o));
         if let Some(link) = link {
-            self.counts.spoilt += 1;
+            self.counts.malformed += 1;
             self.out.push(UpstreamOutput::ConnectionDropped(
                 link.place.member.clone(),
                 DisconnectReason::Unreadable,
@@ -34,7 +34,7 @@
                 // shutting out an exchange that has lost a connection, and against trusting one that hangs.
                 let how = if link.consecutive_timeouts == 0 { Ending::Reset } else { Ending::TimedOut };
                 link.consecutive_timeouts += 1;
-                self.counts.stalled += 1;
+                self.counts.unresponsive += 1;
                 self.out.push(UpstreamOutput::ConnectionDropped(
                     link.place.member.clone(),
                     DisconnectReason::Unresponsive,
--- a/tests/models.rs
+++ b/tests/models.rs
@@ -335,7 +335,7 @@
         m.pass(110 * MS);
         m.hear();
     }
-    assert_eq!(m.links.counts().stalled, 0);
+    assert_eq!(m.links.counts().unresponsive, 0);
     for _ in 0..200 {
         m.pass(5 * MS);
         m.hear();
@@ -343,7 +343,7 @@
     m.step(LinkStep::SetUp);
     assert_eq!(m.legs[1], Leg::Out);
     m.pass(200 * MS);
-    assert_eq!((m.legs[1], m.links.counts().stalled), (Leg::Over, 1));
+    assert_eq!((m.legs[1], m.links.counts().unresponsive), (Leg::Over, 1));
 }
 
 #[test]
