--- a/src/program/switchboard.rs
+++ b/src/program/switchboard.rs
@@ -262,7 +262,7 @@
         while let Some(due) = self.deadlines.pop_expired(now) {
             match due {
                 Due::Ledger(due) => self.ledger.timer_expired(now, due),
-                Due::Link(due) => self.links.due(now, due),
+                Due::Link(due) => self.links.timer_expired(now, due),
                 Due::Caller(due) => self.callers.due(now, due),
                 Due::Agent(due) => {
                     if let Some(agent) = &mut self.agent {
@@ -339,7 +339,7 @@
                 self.counts.malformed += 1;
                 match side {
                     Side::Callers => self.callers.spoilt(now, conn),
-                    Side::Exchanges => self.links.spoilt(now, conn),
+                    Side::Exchanges => self.links.protocol_error(now, conn),
                 }
             }
             (side, ConnNews::ReadingStopped) => {
@@ -347,7 +347,7 @@
                     self.callers.reading_stopped(conn);
                 }
             }
-            (Side::Exchanges, ConnNews::Half(half)) => self.links.half(now, conn, half),
+            (Side::Exchanges, ConnNews::Half(half)) => self.links.partial_message(now, conn, half),
             (Side::Callers, ConnNews::Half(half)) => self.callers.half(now, conn, half),
             (side, ConnNews::Closed(how)) => {
                 tracing::debug!(target: CONNECTIONS, ?side, conn = conn.0, "closed: {how:?}");
@@ -384,9 +384,9 @@
                 tracing::debug!(target: CALLS, call = call.0, conn = conn.0, "given up or released by its caller");
                 self.ledger.caller_left(now, call);
             }
-            Ask::LeftEarlier(sid) => self.links.release_earlier(sid),
+            Ask::LeftEarlier(sid) => self.links.release_previous_run(sid),
             Ask::Test(sid) => {
-                let ready = self.links.settled() || now - self.born >= SETTLE;
+                let ready = self.links.all_contacted() || now - self.born >= SETTLE;
                 let draining = self.draining || self.appliance.as_ref().is_some_and(Appliance::fails_tests);
                 let code = u16::from(ready && self.stopping.is_none() && !draining);
                 let message = Message { code: Some(code), ..Message::new(Kind::Probed, sid) };
@@ -427,7 +427,7 @@
         }
         // The ledger first: the guard on drains must know before anything else is done.
         self.ledger.list_update(now, news);
-        self.links.list(now, &entries, &update.places, complete);
+        self.links.update_list(now, &entries, &update.places, complete);
     }
 
     fn gateway_entries(&self) -> Vec<ListEntry> {
@@ -534,7 +534,7 @@
             UpstreamOutput::WithdrawSetUp { conn, call, attempt } => {
                 let outbox = self.outboxes.get(&(Side::Exchanges, conn));
                 if outbox.is_some_and(|o| o.take_back(call)) {
-                    self.links.unsent(call, attempt);
+                    self.links.set_up_withdrawn(call, attempt);
                 }
             }
             UpstreamOutput::Disconnect(conn, why) => {
--- a/src/program/views.rs
+++ b/src/program/views.rs
@@ -62,7 +62,7 @@
         match (self.stopping, self.draining) {
             (true, _) => "stopping",
             (false, true) => "draining",
-            (false, false) if self.links.settled() => "serving",
+            (false, false) if self.links.all_contacted() => "serving",
             (false, false) => "starting",
         }
     }
--- a/src/protocol/upstream/calls.rs
+++ b/src/protocol/upstream/calls.rs
@@ -65,7 +65,7 @@
     }
 
     /// Releases a call of an earlier life: the exchange that has it is not known, and the others know no such call.
-    pub fn release_earlier(&mut self, sid: Sid) {
+    pub fn release_previous_run(&mut self, sid: Sid) {
         for link in self.links.values() {
             if let ConnectionState::Up(conn) = link.connection {
                 let message = Message::close(sid, cause::NORMAL);
--- a/src/protocol/upstream/connections.rs
+++ b/src/protocol/upstream/connections.rs
@@ -94,7 +94,7 @@
     }
 
     /// A deadline has come.
-    pub fn due(&mut self, now: Micros, due: UpstreamTimer) {
+    pub fn timer_expired(&mut self, now: Micros, due: UpstreamTimer) {
         match due {
             UpstreamTimer::Connect(conn) => {
                 let office = self.conns.get(&conn).copied();
@@ -123,7 +123,7 @@
             UpstreamTimer::Half(conn, since) => {
                 let link = self.conns.get(&conn).and_then(|o| self.links.get(o));
                 if link.is_some_and(|l| l.half == Some(since)) {
-                    self.spoilt(now, conn);
+                    self.protocol_error(now, conn);
                 }
             }
             UpstreamTimer::Look(conn, meant) => self.look(now, conn, meant),
--- a/src/protocol/upstream/list.rs
+++ b/src/protocol/upstream/list.rs
@@ -4,7 +4,7 @@
 
 impl UpstreamConnections {
     /// Entries of the list; `complete`: exchanges missing from them are gone.
-    pub fn list(&mut self, now: Micros, entries: &[ListEntry], places: &[Place], complete: bool) {
+    pub fn update_list(&mut self, now: Micros, entries: &[ListEntry], places: &[Place], complete: bool) {
         let others = |e: &&ListEntry| Some(e.exchange) != self.own;
         let others: Vec<_> = entries.iter().zip(places).filter(|(e, _)| others(e)).collect();
         for (e, place) in others {
@@ -46,7 +46,7 @@
         link.state = e.state;
         link.started = e.last_start;
         if e.state == ListState::Draining {
-            self.shed(e.exchange_id);
+            self.withdraw_unsent(e.exchange_id);
         }
         if restarted {
             // What stood at the old process went down with it.
@@ -64,7 +64,7 @@
 
     /// An office takes nothing new: a set-up that waits for a connection, or behind others on one that is slow,
     /// could leave after the grace.
-    pub fn shed(&mut self, office: ExchangeId) {
+    pub fn withdraw_unsent(&mut self, office: ExchangeId) {
         self.fail_waiting(office);
         let sent = |l: &Attempt| match l.stage {
             Stage::Sent(conn) if l.office == office => Some((l.call, l.attempt, conn)),
@@ -77,7 +77,7 @@
     }
 
     /// A set-up has not left, and never will.
-    pub fn unsent(&mut self, call: CallId, attempt: AttemptNumber) {
+    pub fn set_up_withdrawn(&mut self, call: CallId, attempt: AttemptNumber) {
         if self.leg_of(call).is_some_and(|l| l.attempt == attempt && matches!(l.stage, Stage::Sent(_))) {
             self.end_leg(call, (Ending::Unreachable, Cause::None), LoadReport::default());
         }
@@ -87,7 +87,7 @@
         let Some(link) = self.links.get_mut(&office) else { return };
         if link.state != ListState::Gone {
             link.state = ListState::Gone;
-            self.shed(office);
+            self.withdraw_unsent(office);
             self.out.push(UpstreamOutput::SetTimer(now + GONE_GRACE, UpstreamTimer::Gone(office)));
         }
     }
--- a/src/protocol/upstream/mod.rs
+++ b/src/protocol/upstream/mod.rs
@@ -136,7 +136,7 @@
         /// What to send if the set-up has left.
         message: Message,
     },
-    /// Take a set-up back if it has not begun to leave, and say so ([`UpstreamConnections::unsent`]).
+    /// Take a set-up back if it has not begun to leave, and say so ([`UpstreamConnections::set_up_withdrawn`]).
     WithdrawSetUp {
         /// On which connection.
         conn: ConnId,
@@ -297,12 +297,12 @@
     }
 
     /// Whether each exchange in service has been heard of, or proved out of reach.
-    pub fn settled(&self) -> bool {
+    pub fn all_contacted(&self) -> bool {
         self.links.values().all(|l| l.settled || l.state != ListState::Ready)
     }
 
     /// Whether this office is reached by these links.
-    pub fn has(&self, office: ExchangeId) -> bool {
+    pub fn contains(&self, office: ExchangeId) -> bool {
         self.links.contains_key(&office)
     }
 
--- a/src/protocol/upstream/silence.rs
+++ b/src/protocol/upstream/silence.rs
@@ -5,7 +5,7 @@
 impl UpstreamConnections {
     /// What came on a connection can't be read. Guards the other set-ups on it: nothing that follows can be trusted,
     /// so that it is given up at once and all that was out on it counts as run and lost.
-    pub fn spoilt(&mut self, now: Micros, conn: ConnId) {
+    pub fn protocol_error(&mut self, now: Micros, conn: ConnId) {
         let link = self.conns.get(&conn).and_then(|o| self.links.get(o));
         if let Some(link) = link {
             self.counts.malformed += 1;
@@ -54,7 +54,7 @@
     }
 
     /// A message has begun on a connection, or what had begun is whole.
-    pub fn half(&mut self, now: Micros, conn: ConnId, half: bool) {
+    pub fn partial_message(&mut self, now: Micros, conn: ConnId, half: bool) {
         let office = self.conns.get(&conn);
         let Some(link) = office.and_then(|o| self.links.get_mut(o)) else { return };
         link.half = half.then_some(now);
--- a/tests/models.rs
+++ b/tests/models.rs
@@ -114,7 +114,7 @@
     fn list(&mut self, state: ListState) {
         self.state = state;
         let place = Place { member: "s-1".to_owned(), address: "127.0.0.1:9".parse().unwrap() };
-        self.links.list(self.now, &[entry(1, state)], &[place], false);
+        self.links.update_list(self.now, &[entry(1, state)], &[place], false);
     }
 
     fn settle(&mut self) {
@@ -225,7 +225,7 @@
             }
             LinkStep::Spoil => {
                 if let Some(conn) = up {
-                    self.links.spoilt(self.now, conn);
+                    self.links.protocol_error(self.now, conn);
                     self.settle();
                     assert!(!self.legs.contains(&Leg::Out), "all that was out on it is over");
                     assert!(self.conn.is_none_or(|c| c.0 != conn), "and it is of no further use");
@@ -234,7 +234,7 @@
             LinkStep::Half(half) => {
                 if let Some(conn) = up {
                     self.half = half.then_some(self.now);
-                    self.links.half(self.now, conn, half);
+                    self.links.partial_message(self.now, conn, half);
                 }
             }
             LinkStep::List(state) => self.list(state),
@@ -249,7 +249,7 @@
         while let Some(at) = self.due.next_expiry().filter(|&at| at <= end) {
             self.now = self.now.max(at);
             while let Some(due) = self.due.pop_expired(self.now) {
-                self.links.due(self.now, due);
+                self.links.timer_expired(self.now, due);
                 self.settle();
             }
         }
@@ -432,7 +432,7 @@
         m.settle();
         m.pass(5_000 * MS);
         let left = m.legs.iter().filter(|l| !matches!(l, Leg::Over | Leg::Cleared)).count();
-        assert_eq!((left, m.conn, m.links.has(office(1))), (0, None, false));
+        assert_eq!((left, m.conn, m.links.contains(office(1))), (0, None, false));
     });
 }
 
