--- a/src/program/switchboard.rs
+++ b/src/program/switchboard.rs
@@ -8,7 +8,7 @@
 use super::gossip::Gossip;
 use super::log::{self, CALLS, CONNECTIONS};
 use super::telemetry::ExportCounts;
-use crate::protocol::client::{Ask, ClientConnections, ClientOutput, ClientTimer};
+use crate::protocol::client::{ClientConnections, ClientOutput, ClientRequest, ClientTimer};
 use crate::protocol::json_lines::{Kind, Message, Sid};
 use crate::protocol::membership::{Place, Roster};
 use crate::protocol::mgcp::agent::{Agent, AgentDue, AgentOutput};
@@ -374,25 +374,25 @@
 
     fn caller(&mut self, now: Micros, conn: ConnId, message: Message) {
         match self.callers.message(now, conn, message) {
-            Ask::Offer(sid, key, offer) => {
+            ClientRequest::Offer(sid, key, offer) => {
                 let (class, left) = (offer.new_call.class, offer.new_call.remaining_time);
                 tracing::debug!(target: CALLS, %sid, conn = conn.0, class, left, "taken");
                 let call = self.ledger.offer(now, *offer);
                 self.callers.taken(conn, sid, key, call);
             }
-            Ask::Left(call) => {
+            ClientRequest::Clear(call) => {
                 tracing::debug!(target: CALLS, call = call.0, conn = conn.0, "given up or released by its caller");
                 self.ledger.caller_left(now, call);
             }
-            Ask::LeftEarlier(sid) => self.links.release_previous_run(sid),
-            Ask::Test(sid) => {
+            ClientRequest::ReleasePreviousRun(sid) => self.links.release_previous_run(sid),
+            ClientRequest::Probe(sid) => {
                 let ready = self.links.all_contacted() || now - self.born >= SETTLE;
                 let draining = self.draining || self.appliance.as_ref().is_some_and(Appliance::fails_tests);
                 let code = u16::from(ready && self.stopping.is_none() && !draining);
                 let message = Message { code: Some(code), ..Message::new(Kind::Probed, sid) };
                 self.send(Side::Callers, conn, None, &message);
             }
-            Ask::Nothing => {}
+            ClientRequest::None => {}
         }
     }
 
--- a/src/protocol/client/messages.rs
+++ b/src/protocol/client/messages.rs
@@ -4,8 +4,8 @@
 
 impl ClientConnections {
     /// A message from a caller.
-    pub fn message(&mut self, now: Micros, conn: ConnId, message: Message) -> Ask {
-        let Some(c) = self.conns.get_mut(&conn) else { return Ask::Nothing };
+    pub fn message(&mut self, now: Micros, conn: ConnId, message: Message) -> ClientRequest {
+        let Some(c) = self.conns.get_mut(&conn) else { return ClientRequest::None };
         c.used = now;
         c.used_for_calls |= message.kind == Kind::Open;
         let (ending, stopped) = (c.ending, c.reading_stopped);
@@ -16,7 +16,7 @@
                     self.counts.crossed += 1;
                     self.tell(conn, crowded(sid));
                 }
-                Ask::Nothing
+                ClientRequest::None
             }
             (Kind::Open, Some(sid)) => {
                 self.earlier.meet(now, sid);
@@ -25,22 +25,22 @@
             (Kind::Close, Some(sid)) => match self.by_sid.get(&sid).copied() {
                 Some(call) if self.may_release(conn, call) => {
                     self.give_up(now, call);
-                    Ask::Left(call)
+                    ClientRequest::Clear(call)
                 }
-                None if self.earlier.has(now, sid) => Ask::LeftEarlier(sid),
+                None if self.earlier.has(now, sid) => ClientRequest::ReleasePreviousRun(sid),
                 _ => {
                     self.counts.stray += 1;
-                    Ask::Nothing
+                    ClientRequest::None
                 }
             },
-            (Kind::Probe, sid) => Ask::Test(sid),
+            (Kind::Probe, sid) => ClientRequest::Probe(sid),
             (Kind::Closed, Some(sid)) => {
                 self.releases.remove(&sid);
-                Ask::Nothing
+                ClientRequest::None
             }
             _ => {
                 self.counts.unexpected += 1;
-                Ask::Nothing
+                ClientRequest::None
             }
         };
         self.end_drained(now);
@@ -53,27 +53,27 @@
         self.calls.get(&call).is_some_and(|h| h.answered || h.conn == conn)
     }
 
-    pub(super) fn open(&mut self, now: Micros, conn: ConnId, sid: Sid, message: Message) -> Ask {
+    pub(super) fn open(&mut self, now: Micros, conn: ConnId, sid: Sid, message: Message) -> ClientRequest {
         if self.by_sid.contains_key(&sid) {
             // Guards against a second answer to one call: nothing is said about its name.
             self.counts.repeated += 1;
             self.end(now, conn, EndReason::NameInUse);
-            return Ask::Nothing;
+            return ClientRequest::None;
         }
         if self.conns.get(&conn).is_some_and(|c| !c.proven && c.open >= OPEN_NEW) {
             self.counts.crowded += 1;
             self.turn_away(now, conn, crowded(sid));
-            return Ask::Nothing;
+            return ClientRequest::None;
         }
         let not_before = self.given_up.not_before(now, sid);
         match self.offer(&message, not_before) {
-            Some(offer) => Ask::Offer(sid, message.attrs.get("key").cloned(), Box::new(offer)),
+            Some(offer) => ClientRequest::Offer(sid, message.attrs.get("key").cloned(), Box::new(offer)),
             None => {
                 // A class or a figure that nothing can be made of: failed, not refused, since trying the
                 // same again will not help.
                 self.counts.unusable += 1;
                 self.turn_away(now, conn, Message::close(sid, cause::NOT_IMPLEMENTED));
-                Ask::Nothing
+                ClientRequest::None
             }
         }
     }
--- a/src/protocol/client/mod.rs
+++ b/src/protocol/client/mod.rs
@@ -48,17 +48,17 @@
 
 /// What a caller's message asks for.
 #[derive(Debug, PartialEq)]
-pub enum Ask {
+pub enum ClientRequest {
     /// Offer this call to the core, and then [`ClientConnections::taken`].
     Offer(Sid, Option<Value>, Box<OfferedCall>),
     /// The caller gave this call up, or released it.
-    Left(CallId),
+    Clear(CallId),
     /// The caller released a call of this program's earlier life.
-    LeftEarlier(Sid),
+    ReleasePreviousRun(Sid),
     /// Whether this program is ready for calls.
-    Test(Option<Sid>),
+    Probe(Option<Sid>),
     /// Nothing more than the outputs say.
-    Nothing,
+    None,
 }
 
 /// Why this side ends a caller's connection, for the log.
--- a/tests/models.rs
+++ b/tests/models.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::collections::BTreeMap;
-use walnuthatch::protocol::client::{Ask, ClientConnections, ClientOutput, ClientTimer};
+use walnuthatch::protocol::client::{ClientConnections, ClientOutput, ClientRequest, ClientTimer};
 use walnuthatch::protocol::json_lines::{Kind, LineError, LineSplitter, Message, Sid, LONGEST};
 use walnuthatch::protocol::membership::Place;
 use walnuthatch::protocol::upstream::{CloseReason, UpstreamConnections, UpstreamOutput, UpstreamTimer};
@@ -576,8 +576,8 @@
                 let message = Message::new(Kind::Open, Some(sid)).with("class", "a").with("left", 900);
                 let ask = self.callers.message(self.now, conn, message.with("extras", extras));
                 let want = !known && !was && extras == "dest:2";
-                assert_eq!(matches!(ask, Ask::Offer(..)), want, "{ask:?}");
-                if let Ask::Offer(sid, key, _) = ask {
+                assert_eq!(matches!(ask, ClientRequest::Offer(..)), want, "{ask:?}");
+                if let ClientRequest::Offer(sid, key, _) = ask {
                     let call = CallId(self.next as u32);
                     self.next += 1;
                     self.callers.taken(conn, sid, key, call);
@@ -596,7 +596,7 @@
                 let may = |c: &(Sid, ConnId, bool)| c.0 == Sid(s) && (c.2 || c.1 == conn);
                 let known = self.calls.iter().find(|(_, c)| may(c)).map(|(&id, _)| id);
                 let ask = self.callers.message(self.now, conn, Message::close(Sid(s), 16));
-                assert_eq!(ask, known.map_or(Ask::Nothing, Ask::Left));
+                assert_eq!(ask, known.map_or(ClientRequest::None, ClientRequest::Clear));
                 known.and_then(|id| self.calls.remove(&id));
             }
             Answer(i, stands) => {
@@ -726,7 +726,7 @@
     (callers, ConnId(0))
 }
 
-fn set_up(callers: &mut ClientConnections, now: Micros, conn: ConnId, sid: u64) -> Ask {
+fn set_up(callers: &mut ClientConnections, now: Micros, conn: ConnId, sid: u64) -> ClientRequest {
     let message = Message::new(Kind::Open, Some(Sid(sid))).with("class", "a").with("left", 900);
     callers.message(now, conn, message.with("extras", "dest:2"))
 }
@@ -737,7 +737,7 @@
     callers.due(1_000 * MS, ClientTimer::Idle(conn));
     assert!(callers.take_outputs().contains(&ClientOutput::StopReading(conn)));
     // It had been read, and was on its way here.
-    assert_eq!(set_up(&mut callers, 1_000 * MS, conn, 7), Ask::Nothing);
+    assert_eq!(set_up(&mut callers, 1_000 * MS, conn, 7), ClientRequest::None);
     let refusal = ClientOutput::Tell(conn, Message::close(Sid(7), 42).with("wait", "1000"));
     assert_eq!(callers.take_outputs(), [refusal]);
     callers.reading_stopped(conn);
@@ -748,12 +748,12 @@
 fn a_connection_beyond_the_limit_has_its_first_set_up_answered() {
     let mut callers = ClientConnections::new(0, FrontendId(0), vec!["a".to_owned()], 1);
     callers.opened(0, ConnId(0));
-    assert!(matches!(set_up(&mut callers, 0, ConnId(0), 6), Ask::Offer(..)));
+    assert!(matches!(set_up(&mut callers, 0, ConnId(0), 6), ClientRequest::Offer(..)));
     callers.taken(ConnId(0), Sid(6), None, CallId(1));
     // Every connection is needed, so that this one has to go.
     callers.opened(10 * MS, ConnId(1));
     assert!(!callers.take_outputs().contains(&ClientOutput::StopReading(ConnId(1))));
-    assert_eq!(set_up(&mut callers, 12 * MS, ConnId(1), 7), Ask::Nothing);
+    assert_eq!(set_up(&mut callers, 12 * MS, ConnId(1), 7), ClientRequest::None);
     let refusal = ClientOutput::Tell(ConnId(1), Message::close(Sid(7), 42).with("wait", "1000"));
     assert!(callers.take_outputs().contains(&refusal));
     callers.due(110 * MS, ClientTimer::StopReading(ConnId(1)));
@@ -777,17 +777,17 @@
 #[test]
 fn a_call_that_is_released_on_a_connection_which_ends_is_released() {
     let (mut callers, conn) = front_with_connection();
-    assert!(matches!(set_up(&mut callers, 0, conn, 7), Ask::Offer(..)));
+    assert!(matches!(set_up(&mut callers, 0, conn, 7), ClientRequest::Offer(..)));
     callers.taken(conn, Sid(7), None, CallId(1));
     callers.answer(10 * MS, CallId(1), Answer::Established(None));
     callers.end_all(20 * MS);
-    assert_eq!(callers.message(20 * MS, conn, Message::close(Sid(7), 16)), Ask::Left(CallId(1)));
+    assert_eq!(callers.message(20 * MS, conn, Message::close(Sid(7), 16)), ClientRequest::Clear(CallId(1)));
 }
 
 #[test]
 fn a_connection_that_drains_stays_until_the_ends_of_its_calls_are_heard() {
     let (mut callers, conn) = front_with_connection();
-    assert!(matches!(set_up(&mut callers, 0, conn, 7), Ask::Offer(..)));
+    assert!(matches!(set_up(&mut callers, 0, conn, 7), ClientRequest::Offer(..)));
     callers.taken(conn, Sid(7), None, CallId(1));
     callers.drain(10 * MS);
     callers.answer(20 * MS, CallId(1), Answer::Established(None));
@@ -997,8 +997,8 @@
 fn a_request_that_comes_again_is_not_attempted_before_its_quiet_period() {
     let mut callers =
         ClientConnections::new(0, FrontendId(0), vec!["a".to_owned()], 6).with_quiet_period(505 * MS);
-    let not_before = |ask: Ask| match ask {
-        Ask::Offer(_, _, offer) => offer.new_call.earliest_attempt,
+    let not_before = |ask: ClientRequest| match ask {
+        ClientRequest::Offer(_, _, offer) => offer.new_call.earliest_attempt,
         other => panic!("{other:?}"),
     };
     callers.opened(0, ConnId(0));
