--- a/src/program/switchboard.rs
+++ b/src/program/switchboard.rs
@@ -567,15 +567,15 @@
     fn caller_output(&mut self, now: Micros, output: ClientOutput) {
         let outbox = |conn| self.outboxes.get(&(Side::Callers, conn));
         match output {
-            ClientOutput::Tell(conn, message) => self.send(Side::Callers, conn, None, &message),
+            ClientOutput::Send(conn, message) => self.send(Side::Callers, conn, None, &message),
             ClientOutput::Fail(call) => self.ledger.fail_call(now, call, AnswerReason::ConnectionEnding),
-            ClientOutput::Ending(conn, why) => {
+            ClientOutput::Closing(conn, why) => {
                 tracing::debug!(target: CONNECTIONS, conn = conn.0, "caller's connection ends: {why:?}");
             }
             ClientOutput::StopReading(conn) => drop(outbox(conn).map(Outbox::stop_reading)),
-            ClientOutput::End(conn) => drop(outbox(conn).map(Outbox::close)),
-            ClientOutput::Cut(conn) => drop(outbox(conn).map(Outbox::cut)),
-            ClientOutput::Wake(at, due) => self.deadlines.add(at, Due::Caller(due)),
+            ClientOutput::Close(conn) => drop(outbox(conn).map(Outbox::close)),
+            ClientOutput::Abort(conn) => drop(outbox(conn).map(Outbox::cut)),
+            ClientOutput::SetTimer(at, due) => self.deadlines.add(at, Due::Caller(due)),
         }
     }
 
--- a/src/protocol/client/answers.rs
+++ b/src/protocol/client/answers.rs
@@ -46,7 +46,7 @@
 
     pub(super) fn tell(&mut self, conn: ConnId, message: Message) {
         if self.conns.contains_key(&conn) {
-            self.out.push(ClientOutput::Tell(conn, message));
+            self.out.push(ClientOutput::Send(conn, message));
         }
     }
 
@@ -65,7 +65,7 @@
 
     pub(super) fn end_if_answered(&mut self, conn: ConnId) {
         if self.conns.get(&conn).is_some_and(|c| c.ending && c.reading_stopped && c.open == 0) {
-            self.out.push(ClientOutput::End(conn));
+            self.out.push(ClientOutput::Close(conn));
         }
     }
 }
--- a/src/protocol/client/connections.rs
+++ b/src/protocol/client/connections.rs
@@ -21,7 +21,7 @@
             reading_stopped: false,
         };
         self.conns.insert(conn, fresh);
-        self.out.push(ClientOutput::Wake(now + IDLE_NEW, ClientTimer::Idle(conn)));
+        self.out.push(ClientOutput::SetTimer(now + IDLE_NEW, ClientTimer::Idle(conn)));
         if over {
             self.counts.turned_away += 1;
             self.end(now, spare.unwrap_or(conn), EndReason::TooMany);
@@ -105,7 +105,7 @@
         let Some(c) = self.conns.get_mut(&conn) else { return };
         c.half = half.then_some(now);
         if half {
-            self.out.push(ClientOutput::Wake(now + HALF, ClientTimer::Half(conn, now)));
+            self.out.push(ClientOutput::SetTimer(now + HALF, ClientTimer::Half(conn, now)));
         }
     }
 
@@ -122,12 +122,12 @@
     pub(super) fn end(&mut self, now: Micros, conn: ConnId, reason: EndReason) {
         let Some(c) = self.conns.get_mut(&conn).filter(|c| !c.ending) else { return };
         c.ending = true;
-        self.out.push(ClientOutput::Ending(conn, reason));
-        self.out.push(ClientOutput::Wake(now + ENDING, ClientTimer::Ending(conn)));
+        self.out.push(ClientOutput::Closing(conn, reason));
+        self.out.push(ClientOutput::SetTimer(now + ENDING, ClientTimer::Ending(conn)));
         let first_may_come = !c.used_for_calls && now - c.born < YOUNG;
         if !c.reading_stopped && first_may_come {
             // It came up, so that its caller sends: what it sends is answered rather than left unread.
-            self.out.push(ClientOutput::Wake(c.born + YOUNG, ClientTimer::StopReading(conn)));
+            self.out.push(ClientOutput::SetTimer(c.born + YOUNG, ClientTimer::StopReading(conn)));
         } else if !c.reading_stopped {
             self.out.push(ClientOutput::StopReading(conn));
         }
@@ -161,7 +161,7 @@
                     return self.end(now, conn, EndReason::Idle);
                 }
                 let at = if needed { now } else { c.used };
-                self.out.push(ClientOutput::Wake(at + limit, due));
+                self.out.push(ClientOutput::SetTimer(at + limit, due));
             }
             ClientTimer::Half(conn, since) => {
                 if self.conns.get(&conn).is_some_and(|c| c.half == Some(since)) {
@@ -170,7 +170,7 @@
             }
             ClientTimer::Ending(conn) => {
                 if self.conns.contains_key(&conn) {
-                    self.out.push(ClientOutput::Cut(conn));
+                    self.out.push(ClientOutput::Abort(conn));
                 }
             }
             ClientTimer::StopReading(conn) => {
@@ -182,7 +182,7 @@
                 Some(r) if now >= r.until => drop(self.releases.remove(&sid)),
                 Some(_) => {
                     self.send_release(now, sid, None);
-                    self.out.push(ClientOutput::Wake(now + UNHEARD, due));
+                    self.out.push(ClientOutput::SetTimer(now + UNHEARD, due));
                 }
                 None => {}
             },
--- a/src/protocol/client/mod.rs
+++ b/src/protocol/client/mod.rs
@@ -84,20 +84,20 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClientOutput {
     /// Send a message on this connection.
-    Tell(ConnId, Message),
+    Send(ConnId, Message),
     /// Fail this call, whose caller is not to be served any further.
     Fail(CallId),
     /// This connection takes nothing more in, for this reason.
-    Ending(ConnId, EndReason),
+    Closing(ConnId, EndReason),
     /// Read no further on this connection than to the end of the present message, and say so
     /// ([`ClientConnections::reading_stopped`]).
     StopReading(ConnId),
     /// Close this connection once what waits on it has gone out.
-    End(ConnId),
+    Close(ConnId),
     /// Close it at once.
-    Cut(ConnId),
+    Abort(ConnId),
     /// Come back then.
-    Wake(Micros, ClientTimer),
+    SetTimer(Micros, ClientTimer),
 }
 
 /// What a deadline of the front is for.
--- a/src/protocol/client/releases.rs
+++ b/src/protocol/client/releases.rs
@@ -24,7 +24,7 @@
         let release = Release { message: Message::close(sid, code), until: now + OWED_FOR, sent: Vec::new() };
         self.releases.insert(sid, release);
         self.send_release(now, sid, own);
-        self.out.push(ClientOutput::Wake(now + UNHEARD, ClientTimer::Unheard(sid)));
+        self.out.push(ClientOutput::SetTimer(now + UNHEARD, ClientTimer::Unheard(sid)));
     }
 
     /// Sends a release on its own connection, else on one that it has not gone out on yet: one that calls have
@@ -38,7 +38,7 @@
         if let Some(conn) = best {
             self.counts.released_again += u64::from(!release.sent.is_empty());
             release.sent.push(conn);
-            self.out.push(ClientOutput::Tell(conn, release.message.clone()));
+            self.out.push(ClientOutput::Send(conn, release.message.clone()));
         }
     }
 
--- a/tests/models.rs
+++ b/tests/models.rs
@@ -496,7 +496,7 @@
             }
             for output in outputs {
                 match output {
-                    ClientOutput::Tell(conn, message) => {
+                    ClientOutput::Send(conn, message) => {
                         let c = &self.conns[&conn];
                         assert!(!c.ended, "nothing after its end");
                         let Some(owed) = message.sid.and_then(|s| self.owed.get_mut(&s)) else { continue };
@@ -513,21 +513,21 @@
                         assert!(!self.calls.remove(&call).unwrap().2, "what stands is not failed");
                     }
                     ClientOutput::StopReading(conn) => self.callers.reading_stopped(conn),
-                    ClientOutput::Ending(conn, _) => {
+                    ClientOutput::Closing(conn, _) => {
                         let c = self.conns.get_mut(&conn).unwrap();
                         assert!(!c.ending && !c.ended, "said once, before its end");
                         c.ending = true;
                     }
-                    ClientOutput::End(conn) => {
+                    ClientOutput::Close(conn) => {
                         assert_eq!(self.open_on(conn), 0, "every set-up taken is answered first");
                         let c = self.conns.get_mut(&conn).unwrap();
                         (c.ending, c.ended) = (true, true);
                     }
-                    ClientOutput::Cut(conn) => {
+                    ClientOutput::Abort(conn) => {
                         assert!(self.conns[&conn].ended);
                         self.drop(conn);
                     }
-                    ClientOutput::Wake(at, due) => self.due.add(at, due),
+                    ClientOutput::SetTimer(at, due) => self.due.add(at, due),
                 }
             }
         }
@@ -612,7 +612,7 @@
                 self.callers.answer(self.now, id, answer);
                 let want = if stands { Kind::Ready } else { Kind::Close };
                 let outputs = self.callers.take_outputs();
-                let told = |o: &ClientOutput| matches!(o, ClientOutput::Tell(c, m) if *c == conn && m.sid == Some(sid) && m.kind == want);
+                let told = |o: &ClientOutput| matches!(o, ClientOutput::Send(c, m) if *c == conn && m.sid == Some(sid) && m.kind == want);
                 assert_eq!(
                     outputs.iter().filter(|o| told(o)).count(),
                     1,
@@ -623,13 +623,13 @@
                     self.conns.get_mut(&conn).unwrap().proven = true;
                 } else {
                     self.calls.remove(&id);
-                    let ends = outputs.contains(&ClientOutput::End(conn));
+                    let ends = outputs.contains(&ClientOutput::Close(conn));
                     let c = self.conns.get_mut(&conn).unwrap();
                     assert!(!ends || !c.proven, "a refusal ends none that calls have stood on");
                     (c.ending, c.ended) = (c.ending || ends, c.ended || ends);
                 }
                 for output in outputs {
-                    if let ClientOutput::Wake(at, due) = output {
+                    if let ClientOutput::SetTimer(at, due) = output {
                         self.due.add(at, due);
                     }
                 }
@@ -738,10 +738,10 @@
     assert!(callers.take_outputs().contains(&ClientOutput::StopReading(conn)));
     // It had been read, and was on its way here.
     assert_eq!(set_up(&mut callers, 1_000 * MS, conn, 7), ClientRequest::None);
-    let refusal = ClientOutput::Tell(conn, Message::close(Sid(7), 42).with("wait", "1000"));
+    let refusal = ClientOutput::Send(conn, Message::close(Sid(7), 42).with("wait", "1000"));
     assert_eq!(callers.take_outputs(), [refusal]);
     callers.reading_stopped(conn);
-    assert_eq!(callers.take_outputs(), [ClientOutput::End(conn)]);
+    assert_eq!(callers.take_outputs(), [ClientOutput::Close(conn)]);
 }
 
 #[test]
@@ -754,7 +754,7 @@
     callers.opened(10 * MS, ConnId(1));
     assert!(!callers.take_outputs().contains(&ClientOutput::StopReading(ConnId(1))));
     assert_eq!(set_up(&mut callers, 12 * MS, ConnId(1), 7), ClientRequest::None);
-    let refusal = ClientOutput::Tell(ConnId(1), Message::close(Sid(7), 42).with("wait", "1000"));
+    let refusal = ClientOutput::Send(ConnId(1), Message::close(Sid(7), 42).with("wait", "1000"));
     assert!(callers.take_outputs().contains(&refusal));
     callers.due(110 * MS, ClientTimer::StopReading(ConnId(1)));
     assert_eq!(callers.take_outputs(), [ClientOutput::StopReading(ConnId(1))]);
@@ -792,7 +792,7 @@
     callers.drain(10 * MS);
     callers.answer(20 * MS, CallId(1), Answer::Established(None));
     callers.release(500 * MS, CallId(1), false);
-    let ends = |o: &ClientOutput| matches!(o, ClientOutput::Ending(..));
+    let ends = |o: &ClientOutput| matches!(o, ClientOutput::Closing(..));
     assert!(!callers.take_outputs().iter().any(ends), "its end has not been heard");
     callers.message(510 * MS, conn, Message::new(Kind::Closed, Some(Sid(7))));
     assert!(callers.take_outputs().iter().any(ends));
