--- a/src/protocol/client/answers.rs
+++ b/src/protocol/client/answers.rs
@@ -59,7 +59,7 @@
             self.end_if_answered(conn);
         } else if !c.proven && c.turned_away >= TURNED_AWAY && c.open == 0 {
             self.counts.idle += 1;
-            self.end(now, conn, EndReason::TurnedAway);
+            self.end(now, conn, CloseReason::TooManyRefused);
         }
     }
 
--- a/src/protocol/client/connections.rs
+++ b/src/protocol/client/connections.rs
@@ -24,7 +24,7 @@
         self.out.push(ClientOutput::SetTimer(now + IDLE_NEW, ClientTimer::Idle(conn)));
         if over {
             self.counts.turned_away += 1;
-            self.end(now, spare.unwrap_or(conn), EndReason::TooMany);
+            self.end(now, spare.unwrap_or(conn), CloseReason::ConnectionLimit);
         }
     }
 
@@ -70,7 +70,7 @@
     /// Ends every connection.
     pub fn end_all(&mut self, now: Micros) {
         let all: Vec<ConnId> = self.conns.keys().copied().collect();
-        all.into_iter().for_each(|conn| self.end(now, conn, EndReason::Shutdown));
+        all.into_iter().for_each(|conn| self.end(now, conn, CloseReason::Shutdown));
     }
 
     pub(super) fn end_drained(&mut self, now: Micros) {
@@ -84,7 +84,7 @@
         let drained = |id: &ConnId, c: &Conn| !c.ending && settled(c) && empty(c) && !owing.contains(id);
         let over: Vec<ConnId> =
             self.conns.iter().filter(|(id, c)| drained(id, c)).map(|(&id, _)| id).collect();
-        over.into_iter().for_each(|conn| self.end(now, conn, EndReason::Drained));
+        over.into_iter().for_each(|conn| self.end(now, conn, CloseReason::Drained));
     }
 
     /// What came on a connection can't be read, so that nothing after it can be either.
@@ -94,7 +94,7 @@
         match self.conns.get_mut(&conn) {
             Some(c) if !c.ending => {
                 c.reading_stopped = true;
-                self.end(now, conn, EndReason::Unreadable);
+                self.end(now, conn, CloseReason::Unreadable);
             }
             _ => self.reading_stopped(conn),
         }
@@ -105,7 +105,7 @@
         let Some(c) = self.conns.get_mut(&conn) else { return };
         c.half = half.then_some(now);
         if half {
-            self.out.push(ClientOutput::SetTimer(now + HALF, ClientTimer::Half(conn, now)));
+            self.out.push(ClientOutput::SetTimer(now + HALF, ClientTimer::PartialMessage(conn, now)));
         }
     }
 
@@ -119,11 +119,11 @@
 
     /// Ends a connection: fails what is open on it, has reading stopped, and closes it once all that was read by then
     /// is answered. Guards a set-up that crosses the end: either it has not been read, or it is answered.
-    pub(super) fn end(&mut self, now: Micros, conn: ConnId, reason: EndReason) {
+    pub(super) fn end(&mut self, now: Micros, conn: ConnId, reason: CloseReason) {
         let Some(c) = self.conns.get_mut(&conn).filter(|c| !c.ending) else { return };
         c.ending = true;
         self.out.push(ClientOutput::Closing(conn, reason));
-        self.out.push(ClientOutput::SetTimer(now + ENDING, ClientTimer::Ending(conn)));
+        self.out.push(ClientOutput::SetTimer(now + ENDING, ClientTimer::Close(conn)));
         let first_may_come = !c.used_for_calls && now - c.born < YOUNG;
         if !c.reading_stopped && first_may_come {
             // It came up, so that its caller sends: what it sends is answered rather than left unread.
@@ -158,17 +158,17 @@
                 let needed = c.open > 0 || c.standing > 0;
                 if !needed && now - c.used >= limit {
                     self.counts.idle += 1;
-                    return self.end(now, conn, EndReason::Idle);
+                    return self.end(now, conn, CloseReason::Idle);
                 }
                 let at = if needed { now } else { c.used };
                 self.out.push(ClientOutput::SetTimer(at + limit, due));
             }
-            ClientTimer::Half(conn, since) => {
+            ClientTimer::PartialMessage(conn, since) => {
                 if self.conns.get(&conn).is_some_and(|c| c.half == Some(since)) {
                     self.spoilt(now, conn);
                 }
             }
-            ClientTimer::Ending(conn) => {
+            ClientTimer::Close(conn) => {
                 if self.conns.contains_key(&conn) {
                     self.out.push(ClientOutput::Abort(conn));
                 }
@@ -178,7 +178,7 @@
                     self.out.push(ClientOutput::StopReading(conn));
                 }
             }
-            ClientTimer::Unheard(sid) => match self.releases.get(&sid) {
+            ClientTimer::ResendRelease(sid) => match self.releases.get(&sid) {
                 Some(r) if now >= r.until => drop(self.releases.remove(&sid)),
                 Some(_) => {
                     self.send_release(now, sid, None);
--- a/src/protocol/client/messages.rs
+++ b/src/protocol/client/messages.rs
@@ -57,7 +57,7 @@
         if self.by_sid.contains_key(&sid) {
             // Guards against a second answer to one call: nothing is said about its name.
             self.counts.repeated += 1;
-            self.end(now, conn, EndReason::NameInUse);
+            self.end(now, conn, CloseReason::DuplicateSid);
             return ClientRequest::None;
         }
         if self.conns.get(&conn).is_some_and(|c| !c.proven && c.open >= OPEN_NEW) {
--- a/src/protocol/client/mod.rs
+++ b/src/protocol/client/mod.rs
@@ -63,17 +63,17 @@
 
 /// Why this side ends a caller's connection, for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EndReason {
+pub enum CloseReason {
     /// What came on it could not be read, or stopped within a message.
     Unreadable,
     /// A set-up named a call that is open or stands.
-    NameInUse,
+    DuplicateSid,
     /// Nothing came for too long.
     Idle,
     /// Too many set-ups in a row were turned away.
-    TurnedAway,
+    TooManyRefused,
     /// Too many connections are open.
-    TooMany,
+    ConnectionLimit,
     /// The program stops, and nothing is left on it.
     Drained,
     /// The program ends.
@@ -88,7 +88,7 @@
     /// Fail this call, whose caller is not to be served any further.
     Fail(CallId),
     /// This connection takes nothing more in, for this reason.
-    Closing(ConnId, EndReason),
+    Closing(ConnId, CloseReason),
     /// Read no further on this connection than to the end of the present message, and say so
     /// ([`ClientConnections::reading_stopped`]).
     StopReading(ConnId),
@@ -106,13 +106,13 @@
     /// Look whether a connection has been idle for too long.
     Idle(ConnId),
     /// What began at that time ought to be whole.
-    Half(ConnId, Micros),
+    PartialMessage(ConnId, Micros),
     /// A connection that ends has had its time.
-    Ending(ConnId),
+    Close(ConnId),
     /// The first set-up of a connection that ends has come by now, or never will.
     StopReading(ConnId),
     /// A release ought to have been heard.
-    Unheard(Sid),
+    ResendRelease(Sid),
 }
 
 /// Counts of what came in.
--- a/src/protocol/client/releases.rs
+++ b/src/protocol/client/releases.rs
@@ -24,7 +24,7 @@
         let release = Release { message: Message::close(sid, code), until: now + OWED_FOR, sent: Vec::new() };
         self.releases.insert(sid, release);
         self.send_release(now, sid, own);
-        self.out.push(ClientOutput::SetTimer(now + UNHEARD, ClientTimer::Unheard(sid)));
+        self.out.push(ClientOutput::SetTimer(now + UNHEARD, ClientTimer::ResendRelease(sid)));
     }
 
     /// Sends a release on its own connection, else on one that it has not gone out on yet: one that calls have
