--- a/src/protocol/client/connections.rs
+++ b/src/protocol/client/connections.rs
@@ -23,7 +23,7 @@
         self.conns.insert(conn, fresh);
         self.out.push(ClientOutput::SetTimer(now + IDLE_NEW, ClientTimer::Idle(conn)));
         if over {
-            self.counts.turned_away += 1;
+            self.counts.over_limit += 1;
             self.end(now, spare.unwrap_or(conn), CloseReason::ConnectionLimit);
         }
     }
@@ -89,7 +89,7 @@
 
     /// What came on a connection can't be read, so that nothing after it can be either.
     pub fn spoilt(&mut self, now: Micros, conn: ConnId) {
-        self.counts.spoilt += 1;
+        self.counts.malformed += 1;
         // Nothing that follows on it can be trusted.
         match self.conns.get_mut(&conn) {
             Some(c) if !c.ending => {
--- a/src/protocol/client/messages.rs
+++ b/src/protocol/client/messages.rs
@@ -13,7 +13,7 @@
             (Kind::Open, Some(sid)) if ending => {
                 // It crossed the end of its connection, and has been read.
                 if !stopped && !self.by_sid.contains_key(&sid) {
-                    self.counts.crossed += 1;
+                    self.counts.set_up_while_closing += 1;
                     self.tell(conn, crowded(sid));
                 }
                 ClientRequest::None
@@ -29,7 +29,7 @@
                 }
                 None if self.earlier.has(now, sid) => ClientRequest::ReleasePreviousRun(sid),
                 _ => {
-                    self.counts.stray += 1;
+                    self.counts.unknown_call += 1;
                     ClientRequest::None
                 }
             },
@@ -56,12 +56,12 @@
     pub(super) fn open(&mut self, now: Micros, conn: ConnId, sid: Sid, message: Message) -> ClientRequest {
         if self.by_sid.contains_key(&sid) {
             // Guards against a second answer to one call: nothing is said about its name.
-            self.counts.repeated += 1;
+            self.counts.duplicate_sid += 1;
             self.end(now, conn, CloseReason::DuplicateSid);
             return ClientRequest::None;
         }
         if self.conns.get(&conn).is_some_and(|c| !c.proven && c.open >= OPEN_NEW) {
-            self.counts.crowded += 1;
+            self.counts.too_many_open += 1;
             self.turn_away(now, conn, crowded(sid));
             return ClientRequest::None;
         }
@@ -71,7 +71,7 @@
             None => {
                 // A class or a figure that nothing can be made of: failed, not refused, since trying the
                 // same again will not help.
-                self.counts.unusable += 1;
+                self.counts.invalid_set_up += 1;
                 self.turn_away(now, conn, Message::close(sid, cause::NOT_IMPLEMENTED));
                 ClientRequest::None
             }
--- a/src/protocol/client/mod.rs
+++ b/src/protocol/client/mod.rs
@@ -119,27 +119,27 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ClientCounts {
     /// Set-ups whose class or figures were not usable; each was failed.
-    pub unusable: u64,
+    pub invalid_set_up: u64,
     /// Set-ups that named a call which is open or stands; each ended its connection.
-    pub repeated: u64,
+    pub duplicate_sid: u64,
     /// Set-ups refused since they crossed the end of their connection.
-    pub crossed: u64,
+    pub set_up_while_closing: u64,
     /// Set-ups refused since too many were open on a connection that no call has stood on.
-    pub crowded: u64,
+    pub too_many_open: u64,
     /// Releases of calls that are not known here, or not the sender's.
-    pub stray: u64,
+    pub unknown_call: u64,
     /// Messages that callers have no reason to send.
     pub unexpected: u64,
     /// Answers that found their connection gone.
     pub undeliverable: u64,
     /// Connections ended for what could not be read, or stopped within a message.
-    pub spoilt: u64,
+    pub malformed: u64,
     /// Connections ended since nothing came, or nothing but what was turned away.
     pub idle: u64,
     /// Connections ended since too many were open.
-    pub turned_away: u64,
+    pub over_limit: u64,
     /// Releases sent once more on another connection.
-    pub released_again: u64,
+    pub release_resent: u64,
 }
 
 #[derive(Debug)]
--- a/src/protocol/client/releases.rs
+++ b/src/protocol/client/releases.rs
@@ -36,7 +36,7 @@
         let own = own.filter(|c| self.conns.get(c).is_some_and(|c| !c.ending));
         let best = others.max_by_key(|(&id, c)| (Some(id) == own, c.proven, c.used)).map(|(&id, _)| id);
         if let Some(conn) = best {
-            self.counts.released_again += u64::from(!release.sent.is_empty());
+            self.counts.release_resent += u64::from(!release.sent.is_empty());
             release.sent.push(conn);
             self.out.push(ClientOutput::Send(conn, release.message.clone()));
         }
