--- a/src/protocol/client/messages.rs
+++ b/src/protocol/client/messages.rs
@@ -19,7 +19,7 @@
                 ClientRequest::None
             }
             (Kind::Open, Some(sid)) => {
-                self.earlier.meet(now, sid);
+                self.previous_run.record(now, sid);
                 self.open(now, conn, sid, message)
             }
             (Kind::Close, Some(sid)) => match self.by_sid.get(&sid).copied() {
@@ -27,7 +27,7 @@
                     self.give_up(now, call);
                     ClientRequest::Clear(call)
                 }
-                None if self.earlier.has(now, sid) => ClientRequest::ReleasePreviousRun(sid),
+                None if self.previous_run.may_contain(now, sid) => ClientRequest::ReleasePreviousRun(sid),
                 _ => {
                     self.counts.unknown_call += 1;
                     ClientRequest::None
--- a/src/protocol/client/mod.rs
+++ b/src/protocol/client/mod.rs
@@ -10,7 +10,7 @@
 mod messages;
 mod releases;
 
-use super::json_lines::{cause, figures, EarlierLife, Kind, Message, Sid};
+use super::json_lines::{cause, figures, Kind, Message, PreviousRun, Sid};
 use super::ConnId;
 use crate::fault_injection::{fault_injected, InjectedFault};
 use crate::routing::interface::{CallId, ExchangeNumber, Micros, NewCall};
@@ -194,7 +194,7 @@
     by_sid: HashMap<Sid, CallId>,
     calls: HashMap<CallId, ClientCall>,
     releases: BTreeMap<Sid, Release>,
-    earlier: EarlierLife,
+    previous_run: PreviousRun,
     /// Requests given up of late.
     given_up: GivenUp,
     /// Connections with nothing left on them are ended.
@@ -214,7 +214,7 @@
             by_sid: HashMap::new(),
             calls: HashMap::new(),
             releases: BTreeMap::new(),
-            earlier: EarlierLife::new(now),
+            previous_run: PreviousRun::new(now),
             given_up: GivenUp::default(),
             draining: false,
             out: Vec::new(),
--- a/src/protocol/client/releases.rs
+++ b/src/protocol/client/releases.rs
@@ -15,7 +15,7 @@
 
     /// The release of a call that stood in an earlier life of this program.
     pub fn release_previous_run(&mut self, now: Micros, sid: Sid, code: u16) {
-        if !self.by_sid.contains_key(&sid) && self.earlier.has(now, sid) {
+        if !self.by_sid.contains_key(&sid) && self.previous_run.may_contain(now, sid) {
             self.owe(now, sid, code, None);
         }
     }
--- a/src/protocol/json_lines.rs
+++ b/src/protocol/json_lines.rs
@@ -243,7 +243,7 @@
 /// Tells names of this program's life from those of the life before it: calls that stood through a restart are
 /// released by messages about names that this life has never met. After a while no such call is left.
 #[derive(Debug)]
-pub struct EarlierLife {
+pub struct PreviousRun {
     until: Micros,
     met: HashSet<Sid>,
 }
@@ -253,14 +253,14 @@
 /// Names kept meanwhile; with more than that, none counts as earlier.
 const MET: usize = 200_000;
 
-impl EarlierLife {
+impl PreviousRun {
     /// A life that begins now.
     pub fn new(now: Micros) -> Self {
-        EarlierLife { until: now + EARLIER, met: HashSet::new() }
+        PreviousRun { until: now + EARLIER, met: HashSet::new() }
     }
 
     /// Notes a name of this life.
-    pub fn meet(&mut self, now: Micros, sid: Sid) {
+    pub fn record(&mut self, now: Micros, sid: Sid) {
         if now >= self.until || self.met.len() >= MET {
             (self.until, self.met) = (now, HashSet::new());
         } else {
@@ -269,7 +269,7 @@
     }
 
     /// Whether a name may be one of the earlier life.
-    pub fn has(&self, now: Micros, sid: Sid) -> bool {
+    pub fn may_contain(&self, now: Micros, sid: Sid) -> bool {
         now < self.until && !self.met.contains(&sid)
     }
 }
--- a/src/protocol/upstream/calls.rs
+++ b/src/protocol/upstream/calls.rs
@@ -15,7 +15,7 @@
         let line = self.links.get(&office).map(|l| l.connection);
         let leg = Attempt { call, attempt, office, stage: Stage::Waiting, began: now, message: None };
         self.sids.insert(call, sid);
-        self.earlier.meet(now, sid);
+        self.previous_run.record(now, sid);
         match line {
             Some(ConnectionState::Up(conn)) => {
                 self.legs.insert(sid, Attempt { stage: Stage::Sent(conn), ..leg });
--- a/src/protocol/upstream/messages.rs
+++ b/src/protocol/upstream/messages.rs
@@ -73,7 +73,7 @@
             },
             (Kind::Close, None) => {
                 self.counts.unknown_call += 1;
-                if let Some(sid) = message.sid.filter(|&s| self.earlier.has(now, s)) {
+                if let Some(sid) = message.sid.filter(|&s| self.previous_run.may_contain(now, s)) {
                     let code = message.code.unwrap_or(cause::NORMAL);
                     self.out.push(UpstreamOutput::PreviousRunReleased(sid, code));
                 }
--- a/src/protocol/upstream/mod.rs
+++ b/src/protocol/upstream/mod.rs
@@ -11,7 +11,7 @@
 mod messages;
 mod silence;
 
-use super::json_lines::{cause, EarlierLife, Kind, Message, Sid};
+use super::json_lines::{cause, Kind, Message, PreviousRun, Sid};
 use super::membership::Place;
 use super::ConnId;
 use crate::fault_injection::{fault_injected, InjectedFault};
@@ -260,7 +260,7 @@
     connect_timeout: Micros,
     /// The exchange that this controller runs in: nothing is ever sent there.
     own: Option<ExchangeNumber>,
-    earlier: EarlierLife,
+    previous_run: PreviousRun,
     next_conn: u64,
     next_probe: u64,
     out: Vec<UpstreamOutput>,
@@ -278,7 +278,7 @@
             probes: HashMap::new(),
             connect_timeout,
             own,
-            earlier: EarlierLife::new(now),
+            previous_run: PreviousRun::new(now),
             next_conn: 0,
             next_probe: 0,
             out: Vec::new(),
