--- a/src/protocol/client/messages.rs
+++ b/src/protocol/client/messages.rs
@@ -83,7 +83,7 @@
         let class = self.classes.iter().position(|c| *c == class)?;
         let patience = message.millis("left").filter(|&p| p <= PATIENCE)?;
         let extras = message.field("extras").unwrap_or_default();
-        let figures = figures(&extras)?;
+        let figures = parse_all_pairs(&extras)?;
         let flag = |name: &str| figures.get(name).is_some_and(|&v| v != 0.0);
         let exchange = |v: f64| ((0.0..=65_535.0).contains(&v) && v.fract() == 0.0).then_some(v as u16);
         let width = figures.get("width").copied().unwrap_or(1.0);
--- a/src/protocol/client/mod.rs
+++ b/src/protocol/client/mod.rs
@@ -10,7 +10,7 @@
 mod messages;
 mod releases;
 
-use super::json_lines::{cause, figures, Kind, Message, PreviousRun, Sid};
+use super::json_lines::{cause, parse_all_pairs, Kind, Message, PreviousRun, Sid};
 use super::ConnId;
 use crate::fault_injection::{fault_injected, InjectedFault};
 use crate::routing::interface::{CallId, ExchangeNumber, Micros, NewCall};
--- a/src/protocol/json_lines.rs
+++ b/src/protocol/json_lines.rs
@@ -8,7 +8,7 @@
 use std::fmt;
 
 /// The longest message, without its line feed.
-pub const LONGEST: usize = 16 * 1024;
+pub const MAX_MESSAGE_BYTES: usize = 16 * 1024;
 
 /// The type of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -81,7 +81,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LineError {
     /// It is longer than a message may be.
-    #[error("longer than {LONGEST} bytes")]
+    #[error("longer than {MAX_MESSAGE_BYTES} bytes")]
     TooLong,
     /// It is not the JSON of a message.
     #[error("not a message: {0}")]
@@ -194,7 +194,7 @@
 
     /// The load report that it carries.
     pub fn load(&self) -> LoadReport {
-        self.field("load").map_or_else(LoadReport::default, |text| load_report(&text))
+        self.field("load").map_or_else(LoadReport::default, |text| parse_load_report(&text))
     }
 }
 
@@ -205,7 +205,7 @@
 }
 
 /// Splits `a:1;b:2` into its pairs.
-pub fn pairs(text: &str) -> impl Iterator<Item = (&str, f64)> {
+pub fn parse_pairs(text: &str) -> impl Iterator<Item = (&str, f64)> {
     let pair = |p: &'_ str| -> Option<(usize, f64)> {
         let at = p.find(':')?;
         p[at + 1..].trim().parse().ok().filter(|v: &f64| v.is_finite()).map(|v| (at, v))
@@ -214,17 +214,17 @@
 }
 
 /// Reads `a:1;b:2` where every pair must be one of a name and a figure.
-pub fn figures(text: &str) -> Option<BTreeMap<&str, f64>> {
+pub fn parse_all_pairs(text: &str) -> Option<BTreeMap<&str, f64>> {
     let parts = text.split(';').map(str::trim).filter(|p| !p.is_empty());
     let whole = parts.clone().count();
-    let read: BTreeMap<&str, f64> = parts.flat_map(pairs).collect();
+    let read: BTreeMap<&str, f64> = parts.flat_map(parse_pairs).collect();
     (read.len() == whole).then_some(read)
 }
 
 /// Reads a load report. Figures below 0 were not told; names that are unknown are passed over.
-pub fn load_report(text: &str) -> LoadReport {
+pub fn parse_load_report(text: &str) -> LoadReport {
     let mut r = LoadReport::default();
-    for (name, value) in pairs(text).filter(|p| p.1 >= 0.0) {
+    for (name, value) in parse_pairs(text).filter(|p| p.1 >= 0.0) {
         match name {
             "x0" | "spare" => r.free = Some(value),
             "x1" | "total" => r.size = Some(value),
@@ -290,7 +290,7 @@
             let end = bytes.iter().position(|&b| b == b'\n');
             let (head, tail) = bytes.split_at(end.unwrap_or(bytes.len()));
             // One byte more may be a carriage return.
-            if self.rest.len() + head.len() > LONGEST + 1 {
+            if self.rest.len() + head.len() > MAX_MESSAGE_BYTES + 1 {
                 self.rest = Vec::new();
                 self.spent = true;
                 return each(Err(LineError::TooLong));
@@ -308,7 +308,7 @@
             let line = whole.strip_suffix(b"\r").unwrap_or(whole);
             match line.len() {
                 0 => {}
-                n if n > LONGEST => {
+                n if n > MAX_MESSAGE_BYTES => {
                     self.spent = true;
                     each(Err(LineError::TooLong));
                 }
@@ -319,7 +319,7 @@
     }
 
     /// Whether a line has begun and not ended.
-    pub fn half(&self) -> bool {
+    pub fn has_partial_line(&self) -> bool {
         !self.rest.is_empty()
     }
 }
--- a/src/transport/streams.rs
+++ b/src/transport/streams.rs
@@ -225,7 +225,7 @@
             Err(e) => drop(bad.get_or_insert(e)),
         });
         // A half line is told when it begins, so that its time counts from then however slowly the rest comes.
-        let was = std::mem::replace(&mut half, lines.half());
+        let was = std::mem::replace(&mut half, lines.has_partial_line());
         if half != was || (half && !news.is_empty()) {
             news.push(ConnNews::Half(half));
         }
--- a/tests/models.rs
+++ b/tests/models.rs
@@ -4,7 +4,7 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::collections::BTreeMap;
 use walnuthatch::protocol::client::{ClientConnections, ClientOutput, ClientRequest, ClientTimer};
-use walnuthatch::protocol::json_lines::{Kind, LineError, LineSplitter, Message, Sid, LONGEST};
+use walnuthatch::protocol::json_lines::{Kind, LineError, LineSplitter, Message, Sid, MAX_MESSAGE_BYTES};
 use walnuthatch::protocol::membership::Place;
 use walnuthatch::protocol::upstream::{CloseReason, UpstreamConnections, UpstreamOutput, UpstreamTimer};
 use walnuthatch::protocol::ConnId;
@@ -36,12 +36,12 @@
 
 #[test]
 fn lines_come_out_the_same_however_the_stream_is_cut() {
-    let lines = prop::collection::vec(0_usize..LONGEST + 200, 1..6);
+    let lines = prop::collection::vec(0_usize..MAX_MESSAGE_BYTES + 200, 1..6);
     let cuts = prop::collection::vec(1_usize..9_000, 1..40);
     check((lines, cuts), |(lengths, cuts)| {
         let bytes: Vec<u8> = lengths.iter().flat_map(|&n| [vec![b'a'; n], vec![b'\n']].concat()).collect();
         // Up to the first that is too long, and nothing after it.
-        let good = lengths.iter().position(|&n| n > LONGEST).unwrap_or(lengths.len());
+        let good = lengths.iter().position(|&n| n > MAX_MESSAGE_BYTES).unwrap_or(lengths.len());
         let whole = lengths[..good].iter().filter(|&&n| n > 0).map(|&n| Ok(n));
         let too_long = (good < lengths.len()).then_some(Err(LineError::TooLong));
         let want: Vec<Result<usize, LineError>> = whole.chain(too_long).collect();
@@ -52,7 +52,9 @@
             rest = tail;
             let sent = bytes.len() - rest.len();
             let within = sent > 0 && bytes[sent - 1] != b'\n';
-            assert!(splitter.half() == within || got.contains(&Err(LineError::TooLong)) || sent == 0);
+            assert!(
+                splitter.has_partial_line() == within || got.contains(&Err(LineError::TooLong)) || sent == 0
+            );
             if rest.is_empty() {
                 break;
             }
