--- a/src/program/switchboard.rs
+++ b/src/program/switchboard.rs
@@ -634,7 +634,7 @@
     fn send(&mut self, side: Side, conn: ConnId, set_up: Option<CallId>, message: &Message) {
         let Some(outbox) = self.outboxes.get(&(side, conn)) else { return };
         self.counts.messages_out += 1;
-        if !outbox.push(set_up, message.line()) {
+        if !outbox.push(set_up, message.to_line()) {
             // Guards this task and its memory against a peer that does not read.
             self.counts.overflows += 1;
             outbox.cut();
--- a/src/protocol/json_lines.rs
+++ b/src/protocol/json_lines.rs
@@ -167,7 +167,7 @@
     }
 
     /// The line, with its line feed.
-    pub fn line(&self) -> Vec<u8> {
+    pub fn to_line(&self) -> Vec<u8> {
         let text = self.text.as_ref().map(|t| &*t.0);
         let sid = self.sid.map(|s| s.to_string());
         let out = Outgoing { msg: self.kind, sid, attrs: &self.attrs, code: self.code, text };
@@ -193,7 +193,7 @@
     }
 
     /// The load report that it carries.
-    pub fn load(&self) -> LoadReport {
+    pub fn load_report(&self) -> LoadReport {
         self.field("load").map_or_else(LoadReport::default, |text| parse_load_report(&text))
     }
 }
--- a/src/protocol/upstream/messages.rs
+++ b/src/protocol/upstream/messages.rs
@@ -19,7 +19,7 @@
     /// A message from an exchange.
     pub fn message(&mut self, now: Micros, conn: ConnId, message: Message) {
         let Some(&office) = self.conns.get(&conn) else { return };
-        let load = message.load();
+        let load = message.load_report();
         if let Some(link) = self.links.get_mut(&office) {
             link.settled = true;
             if link.came_up.is_none_or(|at| now - at >= SETTLING) {
