--- a/src/program/switchboard.rs
+++ b/src/program/switchboard.rs
@@ -10,7 +10,7 @@
 use super::telemetry::ExportCounts;
 use crate::protocol::client::{ClientConnections, ClientOutput, ClientRequest, ClientTimer};
 use crate::protocol::json_lines::{Kind, Message, Sid};
-use crate::protocol::membership::{Place, Roster};
+use crate::protocol::membership::{MemberAddress, MemberIds};
 use crate::protocol::mgcp::agent::{Agent, AgentDue, AgentOutput};
 use crate::protocol::otlp::{CallSpan, Snapshot};
 use crate::protocol::upstream::{UpstreamConnections, UpstreamOutput, UpstreamTimer};
@@ -103,7 +103,7 @@
     agent: Option<Agent>,
     appliance: Option<Appliance>,
     gossip: Option<Gossip>,
-    roster: Roster,
+    member_ids: MemberIds,
     deadlines: TimerQueue<Due>,
     outboxes: HashMap<(Side, ConnId), Outbox>,
     tasks: Vec<Task>,
@@ -144,7 +144,7 @@
             agent: config.mgcp.as_ref().map(|m| Agent::new(GATEWAYS, m.agent.clone(), config.seed)),
             appliance,
             gossip: config.gossip.as_ref().map(|g| Gossip::new(now, g, config.seed)),
-            roster: Roster::new(config.zones.clone()),
+            member_ids: MemberIds::new(config.zones.clone()),
             deadlines: TimerQueue::default(),
             outboxes: HashMap::new(),
             tasks: Vec::new(),
@@ -398,7 +398,7 @@
 
     fn list(&mut self, now: Micros, json: &str, cached: bool) {
         self.counts.list_events += 1;
-        let update = match self.roster.read(json, cached) {
+        let update = match self.member_ids.read(json, cached) {
             Ok(update) => update,
             Err(e) => {
                 self.counts.bad_list_events += 1;
@@ -409,25 +409,25 @@
                 return tracing::warn!("coordinator: {e}");
             }
         };
-        let (entries, complete) = match &update.news {
+        let (entries, complete) = match &update.update {
             ListUpdate::Failed => return,
             ListUpdate::Changes(e) => (e.clone(), false),
             ListUpdate::Complete(e) | ListUpdate::Cached(e) => (e.clone(), true),
         };
         // The coordinator knows nothing of gateways: a whole list of its own must not remove them.
         let whole = || entries.iter().cloned().chain(self.gateway_entries()).collect();
-        let news = match update.news {
+        let news = match update.update {
             ListUpdate::Complete(_) => ListUpdate::Complete(whole()),
             ListUpdate::Cached(_) => ListUpdate::Cached(whole()),
             other => other,
         };
-        for (entry, place) in entries.iter().zip(&update.places) {
+        for (entry, place) in entries.iter().zip(&update.addresses) {
             let (member, state) = (&place.member, entry.state);
             tracing::debug!(target: "walnuthatch::list", index = update.index, %member, "{state:?}");
         }
         // The ledger first: the guard on drains must know before anything else is done.
         self.ledger.list_update(now, news);
-        self.links.update_list(now, &entries, &update.places, complete);
+        self.links.update_list(now, &entries, &update.addresses, complete);
     }
 
     fn gateway_entries(&self) -> Vec<ListEntry> {
@@ -516,7 +516,7 @@
 
     fn link_output(&mut self, now: Micros, output: UpstreamOutput) {
         match output {
-            UpstreamOutput::Connect(conn, Place { address, member }) => {
+            UpstreamOutput::Connect(conn, MemberAddress { address, member }) => {
                 tracing::debug!(target: CONNECTIONS, conn = conn.0, %member, %address, "connecting");
                 let outbox = Outbox::default();
                 self.outboxes.insert((Side::Exchanges, conn), outbox.clone());
--- a/src/protocol/membership.rs
+++ b/src/protocol/membership.rs
@@ -58,55 +58,55 @@
 
 /// What a member of the list is called and where it is reached.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct MemberAddress {
     /// The coordinator's name of it.
     pub member: String,
     /// Its address.
     pub address: SocketAddr,
 }
 
-/// News of the list, with the places of the members that it names.
+/// News of the list, with the addresses of the members that it names.
 #[derive(Debug)]
-pub struct Update {
+pub struct ParsedUpdate {
     /// The event's number, if it bears one.
     pub index: Option<u64>,
     /// For the core.
-    pub news: ListUpdate,
+    pub update: ListUpdate,
     /// Where the members are, in the order of the entries.
-    pub places: Vec<Place>,
+    pub addresses: Vec<MemberAddress>,
 }
 
 /// Gives each member a name of the core's kind. An exchange that is new may have the address of one that has
 /// gone, so that the address can't be the name.
 #[derive(Debug, Default)]
-pub struct Roster {
+pub struct MemberIds {
     names: BTreeMap<String, ExchangeId>,
     next: u32,
     zones: Vec<String>,
     begun: bool,
 }
 
-impl Roster {
+impl MemberIds {
     /// A roster that knows the names of the zones, in their order.
     pub fn new(zones: Vec<String>) -> Self {
-        Roster { zones, ..Roster::default() }
+        MemberIds { zones, ..MemberIds::default() }
     }
 
-    fn office(&mut self, member: &str) -> ExchangeId {
-        if let Some(&office) = self.names.get(member) {
-            return office;
+    fn exchange_id(&mut self, member: &str) -> ExchangeId {
+        if let Some(&exchange_id) = self.names.get(member) {
+            return exchange_id;
         }
         self.next += 1;
-        let office = ExchangeId { addr: self.next.to_be_bytes(), port: 0 };
-        self.names.insert(member.to_owned(), office);
-        office
+        let exchange_id = ExchangeId { addr: self.next.to_be_bytes(), port: 0 };
+        self.names.insert(member.to_owned(), exchange_id);
+        exchange_id
     }
 
     /// Reads the JSON of an event. `cached`: it is from before the start, maybe old.
-    pub fn read(&mut self, json: &str, cached: bool) -> Result<Update, ListError> {
+    pub fn read(&mut self, json: &str, cached: bool) -> Result<ParsedUpdate, ListError> {
         let event: Event = serde_json::from_str(json)?;
         let mut entries = Vec::with_capacity(event.endpoints.members.len());
-        let mut places = Vec::with_capacity(event.endpoints.members.len());
+        let mut addresses = Vec::with_capacity(event.endpoints.members.len());
         for m in event.endpoints.members {
             let address = m.host_port.parse();
             let address = address.map_err(|_| ListError::Address(m.id.clone(), m.host_port.clone()))?;
@@ -119,26 +119,27 @@
             };
             let last_start = (m.up_since_ms > 0.0).then_some((m.up_since_ms * 1000.0) as i64);
             // Guards memory: machines are replaced for as long as the program runs, each under a new name. One that
-            // is removed gives its name back, and is news only if it was known.
-            let office = match state {
+            // is removed gives its name back, and is update only if it was known.
+            let exchange_id = match state {
                 ListState::Gone => self.names.remove(&m.id),
-                _ => Some(self.office(&m.id)),
+                _ => Some(self.exchange_id(&m.id)),
             };
-            let (exchange, Some(office)) = (ExchangeNumber(m.cell), office) else { continue };
-            entries.push(ListEntry { exchange, zone, state, exchange_id: office, last_start });
-            places.push(Place { member: m.id, address });
+            let (exchange, Some(exchange_id)) = (ExchangeNumber(m.cell), exchange_id) else { continue };
+            entries.push(ListEntry { exchange, zone, state, exchange_id, last_start });
+            addresses.push(MemberAddress { member: m.id, address });
         }
         let complete = event.endpoints.complete || !self.begun;
         self.begun = true;
         if complete {
-            self.names.retain(|_, office| entries.iter().any(|e: &ListEntry| e.exchange_id == *office));
+            self.names
+                .retain(|_, exchange_id| entries.iter().any(|e: &ListEntry| e.exchange_id == *exchange_id));
         }
-        let news = match (complete, cached) {
+        let update = match (complete, cached) {
             (false, _) => ListUpdate::Changes(entries.into()),
             (true, false) => ListUpdate::Complete(entries.into()),
             (true, true) => ListUpdate::Cached(entries.into()),
         };
-        Ok(Update { index: event.index, news, places })
+        Ok(ParsedUpdate { index: event.index, update, addresses })
     }
 }
 
@@ -154,18 +155,18 @@
 
     #[test]
     fn names_of_replaced_machines_are_given_back_and_a_removal_is_told_once() {
-        let mut roster = Roster::new(Vec::new());
+        let mut roster = MemberIds::new(Vec::new());
         let mut seen = std::collections::BTreeSet::new();
         roster.read(&event(true, &[("s-0", "up")]), true).unwrap();
         for n in 0..1000 {
             let (old, new) = (format!("s-{n}"), format!("s-{}", n + 1));
             let text = event(false, &[(&new, "up"), (&old, "draining"), (&old, "removed")]);
             let update = roster.read(&text, false).unwrap();
-            let ListUpdate::Changes(entries) = update.news else { panic!("not a change") };
+            let ListUpdate::Changes(entries) = update.update else { panic!("not a change") };
             assert_eq!((entries.len(), entries[1].exchange_id), (3, entries[2].exchange_id));
             assert!(seen.insert(entries[0].exchange_id), "a new machine at an old address is another one");
             let again = roster.read(&event(false, &[(&old, "removed")]), false).unwrap();
-            assert!(again.places.is_empty());
+            assert!(again.addresses.is_empty());
             assert_eq!(roster.names.len(), 1);
         }
         roster.read(&event(true, &[("s-a", "up"), ("s-b", "up")]), false).unwrap();
--- a/src/protocol/upstream/list.rs
+++ b/src/protocol/upstream/list.rs
@@ -4,7 +4,13 @@
 
 impl UpstreamConnections {
     /// Entries of the list; `complete`: exchanges missing from them are gone.
-    pub fn update_list(&mut self, now: Micros, entries: &[ListEntry], places: &[Place], complete: bool) {
+    pub fn update_list(
+        &mut self,
+        now: Micros,
+        entries: &[ListEntry],
+        places: &[MemberAddress],
+        complete: bool,
+    ) {
         let others = |e: &&ListEntry| Some(e.exchange) != self.own;
         let others: Vec<_> = entries.iter().zip(places).filter(|(e, _)| others(e)).collect();
         for (e, place) in others {
@@ -17,7 +23,7 @@
         }
     }
 
-    pub(super) fn entry(&mut self, now: Micros, e: &ListEntry, place: &Place) {
+    pub(super) fn entry(&mut self, now: Micros, e: &ListEntry, place: &MemberAddress) {
         if e.state == ListState::Gone {
             return self.gone(now, e.exchange_id);
         }
--- a/src/protocol/upstream/mod.rs
+++ b/src/protocol/upstream/mod.rs
@@ -12,7 +12,7 @@
 mod silence;
 
 use super::json_lines::{cause, Kind, Message, PreviousRun, Sid};
-use super::membership::Place;
+use super::membership::MemberAddress;
 use super::ConnId;
 use crate::fault_injection::{fault_injected, InjectedFault};
 use crate::routing::interface::{
@@ -117,7 +117,7 @@
 #[derive(Debug, PartialEq)]
 pub enum UpstreamOutput {
     /// Open a connection.
-    Connect(ConnId, Place),
+    Connect(ConnId, MemberAddress),
     /// Send a message; `set_up` names the call whose set-up this is.
     Send {
         /// On which connection.
@@ -218,7 +218,7 @@
 
 #[derive(Debug)]
 struct Upstream {
-    place: Place,
+    place: MemberAddress,
     state: ListState,
     started: Option<Micros>,
     connection: ConnectionState,
@@ -307,7 +307,7 @@
     }
 
     /// The links, for the console: office, place, state, whether connected.
-    pub fn views(&self) -> impl Iterator<Item = (ExchangeId, &Place, ListState, bool)> + '_ {
+    pub fn views(&self) -> impl Iterator<Item = (ExchangeId, &MemberAddress, ListState, bool)> + '_ {
         self.links
             .iter()
             .map(|(&o, l)| (o, &l.place, l.state, matches!(l.connection, ConnectionState::Up(_))))
--- a/tests/models.rs
+++ b/tests/models.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use walnuthatch::protocol::client::{ClientConnections, ClientOutput, ClientRequest, ClientTimer};
 use walnuthatch::protocol::json_lines::{Kind, LineError, LineSplitter, Message, Sid, MAX_MESSAGE_BYTES};
-use walnuthatch::protocol::membership::Place;
+use walnuthatch::protocol::membership::MemberAddress;
 use walnuthatch::protocol::upstream::{CloseReason, UpstreamConnections, UpstreamOutput, UpstreamTimer};
 use walnuthatch::protocol::ConnId;
 use walnuthatch::routing::interface::*;
@@ -115,7 +115,7 @@
 
     fn list(&mut self, state: ListState) {
         self.state = state;
-        let place = Place { member: "s-1".to_owned(), address: "127.0.0.1:9".parse().unwrap() };
+        let place = MemberAddress { member: "s-1".to_owned(), address: "127.0.0.1:9".parse().unwrap() };
         self.links.update_list(self.now, &[entry(1, state)], &[place], false);
     }
 
