--- a/src/program/switchboard.rs
+++ b/src/program/switchboard.rs
@@ -398,7 +398,7 @@
 
     fn list(&mut self, now: Micros, json: &str, cached: bool) {
         self.counts.list_events += 1;
-        let update = match self.member_ids.read(json, cached) {
+        let update = match self.member_ids.parse_event(json, cached) {
             Ok(update) => update,
             Err(e) => {
                 self.counts.bad_list_events += 1;
@@ -409,14 +409,14 @@
                 return tracing::warn!("coordinator: {e}");
             }
         };
-        let (entries, complete) = match &update.update {
+        let (entries, complete) = match &update.list_update {
             ListUpdate::Failed => return,
             ListUpdate::Changes(e) => (e.clone(), false),
             ListUpdate::Complete(e) | ListUpdate::Cached(e) => (e.clone(), true),
         };
         // The coordinator knows nothing of gateways: a whole list of its own must not remove them.
         let whole = || entries.iter().cloned().chain(self.gateway_entries()).collect();
-        let news = match update.update {
+        let news = match update.list_update {
             ListUpdate::Complete(_) => ListUpdate::Complete(whole()),
             ListUpdate::Cached(_) => ListUpdate::Cached(whole()),
             other => other,
--- a/src/protocol/membership.rs
+++ b/src/protocol/membership.rs
@@ -71,7 +71,7 @@
     /// The event's number, if it bears one.
     pub index: Option<u64>,
     /// For the core.
-    pub update: ListUpdate,
+    pub list_update: ListUpdate,
     /// Where the members are, in the order of the entries.
     pub addresses: Vec<MemberAddress>,
 }
@@ -87,7 +87,7 @@
 }
 
 impl MemberIds {
-    /// A roster that knows the names of the zones, in their order.
+    /// A member_ids that knows the names of the zones, in their order.
     pub fn new(zones: Vec<String>) -> Self {
         MemberIds { zones, ..MemberIds::default() }
     }
@@ -103,7 +103,7 @@
     }
 
     /// Reads the JSON of an event. `cached`: it is from before the start, maybe old.
-    pub fn read(&mut self, json: &str, cached: bool) -> Result<ParsedUpdate, ListError> {
+    pub fn parse_event(&mut self, json: &str, cached: bool) -> Result<ParsedUpdate, ListError> {
         let event: Event = serde_json::from_str(json)?;
         let mut entries = Vec::with_capacity(event.endpoints.members.len());
         let mut addresses = Vec::with_capacity(event.endpoints.members.len());
@@ -134,12 +134,12 @@
             self.names
                 .retain(|_, exchange_id| entries.iter().any(|e: &ListEntry| e.exchange_id == *exchange_id));
         }
-        let update = match (complete, cached) {
+        let list_update = match (complete, cached) {
             (false, _) => ListUpdate::Changes(entries.into()),
             (true, false) => ListUpdate::Complete(entries.into()),
             (true, true) => ListUpdate::Cached(entries.into()),
         };
-        Ok(ParsedUpdate { index: event.index, update, addresses })
+        Ok(ParsedUpdate { index: event.index, list_update, addresses })
     }
 }
 
@@ -155,21 +155,21 @@
 
     #[test]
     fn names_of_replaced_machines_are_given_back_and_a_removal_is_told_once() {
-        let mut roster = MemberIds::new(Vec::new());
+        let mut member_ids = MemberIds::new(Vec::new());
         let mut seen = std::collections::BTreeSet::new();
-        roster.read(&event(true, &[("s-0", "up")]), true).unwrap();
+        member_ids.parse_event(&event(true, &[("s-0", "up")]), true).unwrap();
         for n in 0..1000 {
             let (old, new) = (format!("s-{n}"), format!("s-{}", n + 1));
             let text = event(false, &[(&new, "up"), (&old, "draining"), (&old, "removed")]);
-            let update = roster.read(&text, false).unwrap();
-            let ListUpdate::Changes(entries) = update.update else { panic!("not a change") };
+            let update = member_ids.parse_event(&text, false).unwrap();
+            let ListUpdate::Changes(entries) = update.list_update else { panic!("not a change") };
             assert_eq!((entries.len(), entries[1].exchange_id), (3, entries[2].exchange_id));
             assert!(seen.insert(entries[0].exchange_id), "a new machine at an old address is another one");
-            let again = roster.read(&event(false, &[(&old, "removed")]), false).unwrap();
+            let again = member_ids.parse_event(&event(false, &[(&old, "removed")]), false).unwrap();
             assert!(again.addresses.is_empty());
-            assert_eq!(roster.names.len(), 1);
+            assert_eq!(member_ids.names.len(), 1);
         }
-        roster.read(&event(true, &[("s-a", "up"), ("s-b", "up")]), false).unwrap();
-        assert_eq!(roster.names.len(), 2, "what a whole list leaves out is gone too");
+        member_ids.parse_event(&event(true, &[("s-a", "up"), ("s-b", "up")]), false).unwrap();
+        assert_eq!(member_ids.names.len(), 2, "what a whole list leaves out is gone too");
     }
 }
