--- a/src/program/switchboard.rs
+++ b/src/program/switchboard.rs
@@ -12,7 +12,7 @@
 use crate::protocol::json_lines::{Kind, Message, Sid};
 use crate::protocol::membership::{MemberAddress, MemberIds};
 use crate::protocol::mgcp::agent::{Agent, AgentDue, AgentOutput};
-use crate::protocol::otlp::{CallSpan, Snapshot};
+use crate::protocol::otlp::{CallSpan, MetricsSnapshot};
 use crate::protocol::upstream::{UpstreamConnections, UpstreamOutput, UpstreamTimer};
 use crate::protocol::ConnId;
 use crate::routing::interface::{CallId, ListEntry, ListUpdate, LoadReport, Micros, PeerNumber};
@@ -81,7 +81,7 @@
     /// Send a datagram to an instance that gossips.
     Gossip(SocketAddr, Vec<u8>),
     /// Hand these figures to the exporter.
-    Export(Snapshot),
+    Export(MetricsSnapshot),
     /// Print the answer to a command.
     Print(String),
     /// Write the state that survives.
--- a/src/program/switchboard/exports.rs
+++ b/src/program/switchboard/exports.rs
@@ -2,7 +2,7 @@
 
 use super::{Due, Switchboard, Task, SPANS};
 use crate::program::telemetry::ExportCounts;
-use crate::protocol::otlp::{CallSpan, Snapshot};
+use crate::protocol::otlp::{CallSpan, MetricsSnapshot};
 use crate::routing::interface::{CallId, ExchangeNumber, Micros};
 use crate::routing::ledger::Answer;
 use std::rc::Rc;
@@ -40,7 +40,7 @@
         self.deadlines.add(now + interval, Due::Export);
         let gauges = self.gauges().map(|(name, v)| (name.to_owned(), v)).to_vec();
         let calls = std::mem::take(&mut self.spans);
-        self.tasks.push(Task::Export(Snapshot { at: now, counters: self.counters(), gauges, calls }));
+        self.tasks.push(Task::Export(MetricsSnapshot { at: now, counters: self.counters(), gauges, calls }));
     }
 
     fn gauges(&self) -> [(&'static str, u64); 4] {
--- a/src/program/telemetry.rs
+++ b/src/program/telemetry.rs
@@ -1,7 +1,7 @@
 //! The exporter: takes snapshots from a bounded queue and brings them to the collector, in a task of its own.
 //! Nothing here is ever waited for by the task that owns routing.
 
-use crate::protocol::otlp::{verdict, CallSpan, Encoder, Signal, Snapshot, Verdict};
+use crate::protocol::otlp::{interpret_response, CallSpan, Encoder, ExportResult, MetricsSnapshot, Signal};
 use crate::routing::interface::Micros;
 use crate::transport::http;
 use async_channel::Receiver;
@@ -53,12 +53,12 @@
 pub async fn export(
     collector: SocketAddr,
     encoder: Encoder,
-    queue: Receiver<Snapshot>,
+    queue: Receiver<MetricsSnapshot>,
     counts: Rc<ExportCounts>,
 ) {
     let mut spans: Vec<CallSpan> = Vec::new();
     let mut wait = WAIT.0;
-    let mut newest: Option<Snapshot> = None;
+    let mut newest: Option<MetricsSnapshot> = None;
     loop {
         if newest.is_none() && spans.is_empty() {
             match queue.recv().await {
@@ -77,16 +77,16 @@
             }
         };
         let verdict = match http::post(collector, signal.path(), &body).await {
-            Ok(r) => verdict(signal, r.status, r.retry_after.as_deref(), &r.body),
-            Err(_) => Verdict::Again(None),
+            Ok(r) => interpret_response(signal, r.status, r.retry_after.as_deref(), &r.body),
+            Err(_) => ExportResult::Retry(None),
         };
         match verdict {
-            Verdict::Taken { rejected } => {
+            ExportResult::Accepted { rejected } => {
                 add(&counts.taken, 1);
                 add(&counts.rejected, rejected);
             }
-            Verdict::Never => add(&counts.dropped, 1),
-            Verdict::Again(after) => {
+            ExportResult::Failed => add(&counts.dropped, 1),
+            ExportResult::Retry(after) => {
                 add(&counts.again, 1);
                 Timer::after(Duration::from_micros(after.unwrap_or(wait).max(0) as u64)).await;
                 wait = (wait * 2).min(WAIT.1);
@@ -101,7 +101,12 @@
     }
 }
 
-fn keep(mut s: Snapshot, newest: &mut Option<Snapshot>, spans: &mut Vec<CallSpan>, counts: &ExportCounts) {
+fn keep(
+    mut s: MetricsSnapshot,
+    newest: &mut Option<MetricsSnapshot>,
+    spans: &mut Vec<CallSpan>,
+    counts: &ExportCounts,
+) {
     spans.append(&mut s.calls);
     let over = spans.len().saturating_sub(SPANS_KEPT);
     spans.drain(..over);
--- a/src/protocol/otlp.rs
+++ b/src/protocol/otlp.rs
@@ -39,7 +39,7 @@
 
 /// The figures at one moment.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Snapshot {
+pub struct MetricsSnapshot {
     /// When, in Unix time.
     pub at: Micros,
     /// What only grows.
@@ -93,7 +93,7 @@
     }
 
     /// The body of a request for metrics.
-    pub fn metrics(&self, s: &Snapshot) -> Vec<u8> {
+    pub fn metrics(&self, s: &MetricsSnapshot) -> Vec<u8> {
         let point = |value: u64| NumberDataPoint {
             start_time_unix_nano: nanos(self.start),
             time_unix_nano: nanos(s.at),
@@ -166,20 +166,25 @@
 
 /// What a collector's response means for the batch that it answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum ExportResult {
     /// Taken; so many items were rejected, and must not be sent again.
-    Taken {
+    Accepted {
         /// Items that were rejected.
         rejected: u64,
     },
     /// Send it again, no sooner than this if that was said (µs).
-    Again(Option<Micros>),
+    Retry(Option<Micros>),
     /// It will never be taken.
-    Never,
+    Failed,
 }
 
 /// Reads a response: its status, its Retry-After, its body.
-pub fn verdict(signal: Signal, status: u16, retry_after: Option<&str>, body: &[u8]) -> Verdict {
+pub fn interpret_response(
+    signal: Signal,
+    status: u16,
+    retry_after: Option<&str>,
+    body: &[u8],
+) -> ExportResult {
     match status {
         200..=299 => {
             let rejected = match signal {
@@ -192,14 +197,14 @@
                     .and_then(|r| r.partial_success)
                     .map_or(0, |p| p.rejected_spans),
             };
-            Verdict::Taken { rejected: rejected.try_into().unwrap_or(0) }
+            ExportResult::Accepted { rejected: rejected.try_into().unwrap_or(0) }
         }
         429 | 502 | 503 | 504 => {
             // The form with a date is passed over: the usual wait serves then.
             let seconds = retry_after.and_then(|t| t.trim().parse::<u32>().ok());
-            Verdict::Again(seconds.map(|s| Micros::from(s.min(3600)) * 1_000_000))
+            ExportResult::Retry(seconds.map(|s| Micros::from(s.min(3600)) * 1_000_000))
         }
-        _ => Verdict::Never,
+        _ => ExportResult::Failed,
     }
 }
 
@@ -210,7 +215,7 @@
 
     #[test]
     fn metrics_read_back_as_they_were_told() {
-        let s = Snapshot {
+        let s = MetricsSnapshot {
             at: 2_000_000,
             counters: vec![("calls.offered".to_owned(), 7)],
             gauges: vec![("calls.open".to_owned(), 3)],
@@ -241,10 +246,10 @@
         let partial = ExportMetricsPartialSuccess { rejected_data_points: 2, ..Default::default() };
         let body = ExportMetricsServiceResponse { partial_success: Some(partial) }.encode_to_vec();
         let m = Signal::Metrics;
-        assert_eq!(verdict(m, 200, None, &body), Verdict::Taken { rejected: 2 });
-        assert_eq!(verdict(m, 200, None, b""), Verdict::Taken { rejected: 0 });
-        assert_eq!(verdict(m, 429, Some("3"), b""), Verdict::Again(Some(3_000_000)));
-        assert_eq!(verdict(m, 503, Some("Tue, 01 Dec"), b""), Verdict::Again(None));
-        assert_eq!(verdict(m, 400, Some("3"), b""), Verdict::Never);
+        assert_eq!(interpret_response(m, 200, None, &body), ExportResult::Accepted { rejected: 2 });
+        assert_eq!(interpret_response(m, 200, None, b""), ExportResult::Accepted { rejected: 0 });
+        assert_eq!(interpret_response(m, 429, Some("3"), b""), ExportResult::Retry(Some(3_000_000)));
+        assert_eq!(interpret_response(m, 503, Some("Tue, 01 Dec"), b""), ExportResult::Retry(None));
+        assert_eq!(interpret_response(m, 400, Some("3"), b""), ExportResult::Failed);
     }
 }
