--- a/src/program/switchboard/exports.rs
+++ b/src/program/switchboard/exports.rs
@@ -32,7 +32,7 @@
             Answer::Refused { .. } => "refused",
             Answer::Failed => "failed",
         };
-        self.spans.push(CallSpan { call: call.0, from, to, destination: destination.0, answer });
+        self.spans.push(CallSpan { call: call.0, start: from, end: to, destination: destination.0, answer });
     }
 
     pub(super) fn export(&mut self, now: Micros) {
--- a/src/protocol/otlp.rs
+++ b/src/protocol/otlp.rs
@@ -56,9 +56,9 @@
     /// Its number.
     pub call: u32,
     /// When it was taken.
-    pub from: Micros,
+    pub start: Micros,
     /// When it was answered.
-    pub to: Micros,
+    pub end: Micros,
     /// Where it goes.
     pub destination: u16,
     /// How it was answered.
@@ -131,8 +131,8 @@
                 span_id: id.max(1).to_be_bytes().to_vec(),
                 name: "call".to_owned(),
                 kind: SpanKind::Server as i32,
-                start_time_unix_nano: nanos(c.from),
-                end_time_unix_nano: nanos(c.to),
+                start_time_unix_nano: nanos(c.start),
+                end_time_unix_nano: nanos(c.end),
                 attributes: vec![
                     text("walnuthatch.answer", c.answer),
                     number("walnuthatch.destination", c.destination.into()),
@@ -233,7 +233,7 @@
 
     #[test]
     fn spans_have_ids_of_the_right_length_and_differ() {
-        let call = |call| CallSpan { call, from: 1, to: 2, destination: 4, answer: "failed" };
+        let call = |call| CallSpan { call, start: 1, end: 2, destination: 4, answer: "failed" };
         let body = Encoder::new("n3".to_owned(), 0, 9).spans(&[call(0), call(1)]);
         let read = ExportTraceServiceRequest::decode(&body[..]).unwrap();
         let spans = &read.resource_spans[0].scope_spans[0].spans;
