--- a/src/protocol/server_events.rs
+++ b/src/protocol/server_events.rs
@@ -74,13 +74,13 @@
 
 /// Takes the chunked transfer coding off a body.
 #[derive(Debug, Default)]
-pub struct Dechunker {
+pub struct ChunkedDecoder {
     head: Vec<u8>,
     /// Bytes left of the present chunk, its line end included.
     left: usize,
 }
 
-impl Dechunker {
+impl ChunkedDecoder {
     /// Adds bytes and passes the content on. `Ok(true)`: the last chunk has come.
     pub fn push(
         &mut self,
@@ -156,13 +156,14 @@
             body.extend(b"\r\n");
         }
         for at in 0..body.len() {
-            let (mut d, mut reader, mut got) = (Dechunker::default(), EventReader::default(), Vec::new());
+            let (mut d, mut reader, mut got) =
+                (ChunkedDecoder::default(), EventReader::default(), Vec::new());
             for part in [&body[..at], &body[at..]] {
                 assert_eq!(d.push(part, |c| reader.push(c, &mut |e| got.push(e))), Ok(false));
             }
             assert_eq!(got, wanted(), "cut at {at}");
         }
-        assert_eq!(Dechunker::default().push(b"zz\r\n", |_| Ok(())), Err(StreamError::BadChunk));
-        assert_eq!(Dechunker::default().push(b"0\r\n\r\n", |_| Ok(())), Ok(true));
+        assert_eq!(ChunkedDecoder::default().push(b"zz\r\n", |_| Ok(())), Err(StreamError::BadChunk));
+        assert_eq!(ChunkedDecoder::default().push(b"0\r\n\r\n", |_| Ok(())), Ok(true));
     }
 }
--- a/src/transport/coordinator.rs
+++ b/src/transport/coordinator.rs
@@ -2,7 +2,7 @@
 
 use super::Inbound;
 use crate::fault_injection::{fault_injected, InjectedFault};
-use crate::protocol::server_events::{Dechunker, EventReader, StreamError};
+use crate::protocol::server_events::{ChunkedDecoder, EventReader, StreamError};
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
@@ -192,7 +192,7 @@
     let Opened { mut stream, chunked, body } = open_with_spare(address, *last, MOST_ASKED).await?;
     inbox.send(Inbound::Stream(Ok(()))).await.map_err(|_| Lost::Over)?;
     let mut buffer = vec![0; CHUNK];
-    let (mut chunks, mut reader) = (Dechunker::default(), EventReader::default());
+    let (mut chunks, mut reader) = (ChunkedDecoder::default(), EventReader::default());
     let mut bytes = body;
     loop {
         let mut events = Vec::new();
