--- a/src/bin/walnuthatch-simhost.rs
+++ b/src/bin/walnuthatch-simhost.rs
@@ -7,7 +7,7 @@
 use std::io::{self, Read, Write};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::process::ExitCode;
-use walnuthatch::protocol::simulator::{self as wire, Lists, Reader, Record, Reply, WireError};
+use walnuthatch::protocol::simulator::{self as wire, DefinedLists, Reader, Record, Reply, WireError};
 use walnuthatch::routing::control::Controller;
 use walnuthatch::routing::interface::{Action, Event, Micros, ReportField, Settings};
 
@@ -40,18 +40,18 @@
 
 fn serve(input: &mut impl Read, output: &mut impl Write) -> Result<(), HostError> {
     let mut instances = Instances::new();
-    let mut lists = Lists::default();
+    let mut lists = DefinedLists::default();
     let mut body = Vec::new();
     loop {
-        let mut head = Vec::with_capacity(wire::HEADER);
-        input.by_ref().take(wire::HEADER as u64).read_to_end(&mut head)?;
+        let mut head = Vec::with_capacity(wire::HEADER_BYTES);
+        input.by_ref().take(wire::HEADER_BYTES as u64).read_to_end(&mut head)?;
         if head.is_empty() {
             return Ok(());
         }
-        let Ok(head) = <[u8; wire::HEADER]>::try_from(head.as_slice()) else {
-            return Err(HostError::Short(wire::HEADER as u32, head.len()));
+        let Ok(head) = <[u8; wire::HEADER_BYTES]>::try_from(head.as_slice()) else {
+            return Err(HostError::Short(wire::HEADER_BYTES as u32, head.len()));
         };
-        let head = wire::header(&head)?;
+        let head = wire::parse_header(&head)?;
         body.clear();
         input.by_ref().take(u64::from(head.length)).read_to_end(&mut body)?;
         if body.len() != head.length as usize {
@@ -63,7 +63,12 @@
     }
 }
 
-fn batch(now: Micros, body: &[u8], all: &mut Instances, lists: &mut Lists) -> Result<Reply, WireError> {
+fn batch(
+    now: Micros,
+    body: &[u8],
+    all: &mut Instances,
+    lists: &mut DefinedLists,
+) -> Result<Reply, WireError> {
     let mut reply = Reply::default();
     let mut actions = Vec::new();
     // A record is read with the report fields of its own instance, which the same batch may set.
@@ -74,10 +79,10 @@
         let Some(record) = rest.next(lists, names) else { return Ok(reply) };
         match (record?, current) {
             (Record::Instance(i), _) => current = Some(i),
-            (Record::Killed, Some(i)) => {
+            (Record::Kill, Some(i)) => {
                 all.remove(&i);
             }
-            (Record::Start { seed, settings }, Some(i)) => match wire::settings(&settings) {
+            (Record::Start { seed, settings }, Some(i)) => match wire::parse_settings(&settings) {
                 Ok(s) => start(i, s, seed, all, &mut reply),
                 Err(e) => reply.failure(i, &e.to_string()),
             },
@@ -86,7 +91,7 @@
                     handle(i, &mut instance.controller, now, event, &mut actions, &mut reply);
                 }
             }
-            (Record::Killed | Record::Start { .. } | Record::Event(_), None) => {}
+            (Record::Kill | Record::Start { .. } | Record::Event(_), None) => {}
         }
     }
 }
--- a/src/program/config.rs
+++ b/src/program/config.rs
@@ -471,7 +471,7 @@
     let listen = address(json, "listen")?.ok_or_else(|| ConfigError::Missing("listen".to_owned()))?;
     let settings_json = json.get("settings").ok_or_else(|| ConfigError::Missing("settings".to_owned()))?;
     let flat = text_settings::flatten(settings_json);
-    let settings = simulator::settings(&flat).map_err(|e| bad(&format!("settings.{}", e.key), &e))?;
+    let settings = simulator::parse_settings(&flat).map_err(|e| bad(&format!("settings.{}", e.key), &e))?;
     if settings.classes.is_empty() {
         return Err(ConfigError::Missing("settings.classes".to_owned()));
     }
--- a/src/protocol/simulator.rs
+++ b/src/protocol/simulator.rs
@@ -7,9 +7,9 @@
 use std::rc::Rc;
 
 /// Bytes of a batch header.
-pub const HEADER: usize = 16;
-const ENTRY: usize = 24;
-const LISTS: u16 = 16;
+pub const HEADER_BYTES: usize = 16;
+const LIST_ENTRY_BYTES: usize = 24;
+const MAX_LISTS: u16 = 16;
 
 /// Why a frame could not be read.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
@@ -25,7 +25,7 @@
     UnknownCode(u16),
     /// A field holds what it cannot.
     #[error("record {code}: impossible {what}")]
-    Impossible {
+    InvalidField {
         /// Code of the record.
         code: u16,
         /// The field.
@@ -33,7 +33,7 @@
     },
     /// A record names a list that was never defined.
     #[error("list {0} was never defined")]
-    NoSuchList(u16),
+    UndefinedList(u16),
 }
 
 /// Why settings could not be read.
@@ -70,17 +70,17 @@
         settings: String,
     },
     /// An instance was killed.
-    Killed,
+    Kill,
     /// An event of the present instance.
     Event(Event),
 }
 
 /// The numbered lists of offices, shared by the process.
 #[derive(Debug, Default)]
-pub struct Lists(BTreeMap<u16, Rc<[ListEntry]>>);
+pub struct DefinedLists(BTreeMap<u16, Rc<[ListEntry]>>);
 
 /// Reads a batch header.
-pub fn header(bytes: &[u8; HEADER]) -> Result<Header, WireError> {
+pub fn parse_header(bytes: &[u8; HEADER_BYTES]) -> Result<Header, WireError> {
     let mut b = &bytes[..];
     let length = b.get_u32();
     let now = micros(b.get_f64());
@@ -102,7 +102,7 @@
         WireError::Truncated { code: self.code }
     }
     fn bad<T>(&self, what: &'static str) -> Result<T, WireError> {
-        Err(WireError::Impossible { code: self.code, what })
+        Err(WireError::InvalidField { code: self.code, what })
     }
     fn u8(&mut self) -> Result<u8, WireError> {
         self.rest.try_get_u8().map_err(|_| self.cut())
@@ -163,7 +163,11 @@
     }
 
     /// The next record, or `None` at the end; `names` are the report fields of the present instance.
-    pub fn next(&mut self, lists: &mut Lists, names: &[ReportField]) -> Option<Result<Record, WireError>> {
+    pub fn next(
+        &mut self,
+        lists: &mut DefinedLists,
+        names: &[ReportField],
+    ) -> Option<Result<Record, WireError>> {
         while !self.rest.is_empty() {
             match self.record(lists, names) {
                 Ok(None) => continue,
@@ -177,7 +181,11 @@
         None
     }
 
-    fn record(&mut self, lists: &mut Lists, names: &[ReportField]) -> Result<Option<Record>, WireError> {
+    fn record(
+        &mut self,
+        lists: &mut DefinedLists,
+        names: &[ReportField],
+    ) -> Result<Option<Record>, WireError> {
         let mut f = Fields { code: 0, rest: self.rest };
         f.code = f.u16()?;
         let event = match f.code {
@@ -195,7 +203,7 @@
             }
             1070 => {
                 self.rest = f.rest;
-                return Ok(Some(Record::Killed));
+                return Ok(Some(Record::Kill));
             }
             1040 => {
                 define_list(&mut f, lists)?;
@@ -206,7 +214,7 @@
                 let buffer = f.u16()?;
                 let kind = f.u8()?;
                 let _version = f.u32()?;
-                let held = || lists.0.get(&buffer).cloned().ok_or(WireError::NoSuchList(buffer));
+                let held = || lists.0.get(&buffer).cloned().ok_or(WireError::UndefinedList(buffer));
                 Event::List(match kind {
                     0 => ListUpdate::Changes(held()?),
                     1 => ListUpdate::Complete(held()?),
@@ -281,15 +289,15 @@
     Ok(Outcome { call, attempt, exchange_id: office, ending, cause, elapsed: took, call_ended: over, report })
 }
 
-fn define_list(f: &mut Fields<'_>, lists: &mut Lists) -> Result<(), WireError> {
+fn define_list(f: &mut Fields<'_>, lists: &mut DefinedLists) -> Result<(), WireError> {
     let number = f.u16()?;
-    if number >= LISTS {
+    if number >= MAX_LISTS {
         return f.bad("list number");
     }
     let n = f.u32()? as usize;
-    let bytes = f.take(n.checked_mul(ENTRY).ok_or_else(|| f.cut())?)?;
+    let bytes = f.take(n.checked_mul(LIST_ENTRY_BYTES).ok_or_else(|| f.cut())?)?;
     let mut entries = Vec::with_capacity(n);
-    for chunk in bytes.chunks_exact(ENTRY) {
+    for chunk in bytes.chunks_exact(LIST_ENTRY_BYTES) {
         let mut e = Fields { code: f.code, rest: chunk };
         let exchange = ExchangeNumber(e.u16()?);
         let zone = e.u8()?;
@@ -482,7 +490,7 @@
 }
 
 /// Reads the settings text. Unknown keys are passed over, missing ones mean what their absence means.
-pub fn settings(text: &str) -> Result<Settings, SettingsError> {
+pub fn parse_settings(text: &str) -> Result<Settings, SettingsError> {
     let t = Text(text.lines().filter_map(|l| l.split_once('=')).map(|(k, v)| (k.trim(), v.trim())).collect());
     let list = |key: &str| -> Vec<&str> {
         t.0.get(key).map_or(Vec::new(), |v| v.split(',').filter(|s| !s.is_empty()).collect())
--- a/src/protocol/text_settings.rs
+++ b/src/protocol/text_settings.rs
@@ -1,4 +1,4 @@
-//! Turns the settings' nested JSON into the path=value lines that [`super::simulator::settings`] reads, so
+//! Turns the settings' nested JSON into the path=value lines that [`super::simulator::parse_settings`] reads, so
 //! that there is one reader of settings.
 
 use serde_json::Value;
@@ -47,7 +47,7 @@
             "extra": {"shape": "meshed", "ownExchange": 0, "classHold": [10400.0]},
             "report": {"fields": ["spare", "total"]}, "parties": [], "limits": {"peers": true}
         });
-        let s = crate::protocol::simulator::settings(&flatten(&json)).unwrap();
+        let s = crate::protocol::simulator::parse_settings(&flatten(&json)).unwrap();
         assert_eq!(
             (s.classes[0].latency_objective, s.classes[0].mean_hold_time, s.may_message_peers),
             (1_200_000, 10_400_000, true)
--- a/tests/simulator.rs
+++ b/tests/simulator.rs
@@ -2,7 +2,7 @@
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
-use walnuthatch::protocol::simulator::{self as wire, Lists, Reader, Record, Reply, WireError};
+use walnuthatch::protocol::simulator::{self as wire, DefinedLists, Reader, Record, Reply, WireError};
 use walnuthatch::routing::interface::*;
 
 fn hex(text: &str) -> Vec<u8> {
@@ -12,7 +12,7 @@
 }
 
 fn read(bytes: &[u8], names: &[ReportField]) -> Vec<Result<Record, WireError>> {
-    let (mut lists, mut reader) = (Lists::default(), Reader::new(bytes));
+    let (mut lists, mut reader) = (DefinedLists::default(), Reader::new(bytes));
     std::iter::from_fn(|| reader.next(&mut lists, names)).collect()
 }
 
@@ -80,9 +80,9 @@
     assert_eq!(read(&hex("270f"), &[]), [Err(WireError::UnknownCode(9999))]);
     let huge = read(&hex("0410 0000 ffffffff"), &[]);
     assert_eq!(huge, [Err(WireError::Truncated { code: 1040 })]);
-    assert_eq!(read(&hex("0456 0003 01 00000003"), &[]), [Err(WireError::NoSuchList(3))]);
+    assert_eq!(read(&hex("0456 0003 01 00000003"), &[]), [Err(WireError::UndefinedList(3))]);
     let state = LIST.replace("0007 01 02", "0007 01 09");
-    assert!(matches!(read(&hex(&state), &[])[0], Err(WireError::Impossible { .. })));
+    assert!(matches!(read(&hex(&state), &[])[0], Err(WireError::InvalidField { .. })));
 }
 
 #[test]
@@ -105,15 +105,15 @@
     let text =
         "classes.count=1\nclasses.0.aim=1200.0\nclasses.0.giveUp=9000.0\nnew.key=1\nextra.shape=groups\n\
         report.fields=spare,total,avg_ms,novel\nextra.allowedPools=2,4";
-    let s = wire::settings(text).unwrap();
+    let s = wire::parse_settings(text).unwrap();
     assert_eq!(
         (s.classes[0].latency_objective, s.topology, s.own_exchange),
         (1_200_000, Topology::Pools, None)
     );
     assert_eq!(s.report_fields[2..], [ReportField::WaitMs, ReportField::Unknown]);
     assert_eq!(s.classes[0].allowed_pools, [ExchangeNumber(2), ExchangeNumber(4)]);
-    assert_eq!(wire::settings("tick=soon").unwrap_err().key, "tick");
-    assert_eq!(wire::settings("classes.count=1").unwrap_err().key, "classes.0.giveUp");
+    assert_eq!(wire::parse_settings("tick=soon").unwrap_err().key, "tick");
+    assert_eq!(wire::parse_settings("classes.count=1").unwrap_err().key, "classes.0.giveUp");
 }
 
 fn host(input: &[u8]) -> Output {
