--- a/src/bin/walnuthatch-simhost.rs
+++ b/src/bin/walnuthatch-simhost.rs
@@ -58,7 +58,7 @@
             return Err(HostError::Short(head.length, body.len()));
         }
         let reply = batch(head.now, &body, &mut instances, &mut lists)?;
-        output.write_all(&reply.frame(head.batch))?;
+        output.write_all(&reply.into_frame(head.batch))?;
         output.flush()?;
     }
 }
@@ -84,7 +84,7 @@
             }
             (Record::Start { seed, settings }, Some(i)) => match wire::parse_settings(&settings) {
                 Ok(s) => start(i, s, seed, all, &mut reply),
-                Err(e) => reply.failure(i, &e.to_string()),
+                Err(e) => reply.report_failure(i, &e.to_string()),
             },
             (Record::Event(event), Some(i)) => {
                 if let Some(instance) = all.get_mut(&i) {
@@ -102,7 +102,7 @@
         Ok(controller) => {
             all.insert(i, Instance { controller, fields });
         }
-        Err(panic) => reply.failure(i, &panic_text(panic.as_ref())),
+        Err(panic) => reply.report_failure(i, &panic_text(panic.as_ref())),
     }
 }
 
@@ -116,8 +116,8 @@
 ) {
     actions.clear();
     match catch_unwind(AssertUnwindSafe(|| controller.handle(now, event, actions))) {
-        Ok(()) => actions.iter().for_each(|a| reply.action(i, a)),
-        Err(panic) => reply.failure(i, &panic_text(panic.as_ref())),
+        Ok(()) => actions.iter().for_each(|a| reply.add_action(i, a)),
+        Err(panic) => reply.report_failure(i, &panic_text(panic.as_ref())),
     }
 }
 
--- a/src/protocol/simulator.rs
+++ b/src/protocol/simulator.rs
@@ -392,7 +392,7 @@
     }
 
     /// Adds an action of an instance.
-    pub fn action(&mut self, instance: u16, action: &Action) {
+    pub fn add_action(&mut self, instance: u16, action: &Action) {
         match action {
             Action::SetUp { call, exchange_id: office, timeout } => {
                 self.begin(instance, 1070);
@@ -443,13 +443,13 @@
     }
 
     /// Reports that the decision code of an instance has failed.
-    pub fn failure(&mut self, instance: u16, text: &str) {
+    pub fn report_failure(&mut self, instance: u16, text: &str) {
         self.begin(instance, 1000);
         self.text(text);
     }
 
     /// The whole frame.
-    pub fn frame(self, batch: u32) -> Vec<u8> {
+    pub fn into_frame(self, batch: u32) -> Vec<u8> {
         let mut out = Vec::with_capacity(self.body.len() + 8);
         out.put_u32(self.body.len() as u32);
         out.put_u32(batch);
--- a/tests/simulator.rs
+++ b/tests/simulator.rs
@@ -90,14 +90,14 @@
     let mut r = Reply::default();
     let office = ExchangeId { addr: [10, 18, 74, 7], port: 9003 };
     let call = CallId(0x5d3a_91c4);
-    r.action(3, &Action::SetUp { call, exchange_id: office, timeout: Some(80_000) });
-    r.action(3, &Action::SetTimer { after: 500_000, token: 77 });
-    r.action(5, &Action::Refuse { call, retry_after: 0 });
+    r.add_action(3, &Action::SetUp { call, exchange_id: office, timeout: Some(80_000) });
+    r.add_action(3, &Action::SetTimer { after: 500_000, token: 77 });
+    r.add_action(5, &Action::Refuse { call, retry_after: 0 });
     let want = "00000037 0000000c 041a 0003 042e 5d3a91c4 4054000000000000 0a124a07 232b
         03fc 407f400000000000 000000000000004d 041a 0005 0442 5d3a91c4 0000000000000000";
     let mut want = hex(want);
     want[3] = (want.len() - 8) as u8;
-    assert_eq!(r.frame(12), want);
+    assert_eq!(r.into_frame(12), want);
 }
 
 #[test]
