--- a/src/protocol/mgcp/agent.rs
+++ b/src/protocol/mgcp/agent.rs
@@ -6,7 +6,7 @@
 //! towards an endpoint is a CRCX that rings; it stands when the hook is told, or at once where the gateway
 //! answers by itself. DLCX clears, and an endpoint is free again only when its DLCX was answered.
 
-use super::super::upstream::lease::LEASE;
+use super::super::upstream::lease::LEASE_DURATION;
 use super::codes;
 use super::message::{self, events, Command, Endpoint, Packet, Params, Response, Verb};
 use super::transactions::{command, Commands, History, Repeat};
@@ -809,7 +809,7 @@
             return;
         }
         let silent = now - self.heard[self.ports[p].gateway];
-        if silent + LOOK > LEASE {
+        if silent + LOOK > LEASE_DURATION {
             self.counts.lease_expired += 1;
             self.lost(p);
             return self.silent(now, p);
--- a/src/protocol/upstream/lease.rs
+++ b/src/protocol/upstream/lease.rs
@@ -12,7 +12,7 @@
 /// A lease lasts this long after the last proof of the process (µs). The caller must hear of the end within 8 s of
 /// it; what is left is for the proof's way here, a late timer and the release's way to a caller whose own connection
 /// is dead. A network that is cut for 6 s leaves time for the next connection to show that the process is there.
-pub const LEASE: Micros = 6_800_000;
+pub const LEASE_DURATION: Micros = 6_800_000;
 /// Silence up to this long is no break (µs). With calls at an exchange its connection is tested after 300 ms at the
 /// most, and no process is back under its address within this without having refused a connection.
 const UNBROKEN: Micros = 500_000;
@@ -73,7 +73,7 @@
     fn break_off(&mut self, now: Micros) {
         self.earlier.push(self.current);
         // Guards memory against an exchange that is out of reach for ever.
-        self.earlier.retain(|process| now - process.proven < 2 * LEASE);
+        self.earlier.retain(|process| now - process.proven < 2 * LEASE_DURATION);
         let next = Generation(self.current.last.0 + 1);
         self.current = Process { first: next, last: next, proven: self.current.proven };
     }
@@ -105,6 +105,6 @@
         let of = |process: &&Process| (process.first..=process.last).contains(&generation);
         let process = std::iter::once(&self.current).chain(&self.earlier).find(of);
         // One that is no longer known has not been heard of for longer than a lease.
-        process.map_or(0, |process| process.proven + LEASE)
+        process.map_or(0, |process| process.proven + LEASE_DURATION)
     }
 }
