--- a/src/protocol/upstream/calls.rs
+++ b/src/protocol/upstream/calls.rs
@@ -1,126 +1,136 @@
-//! Set-ups and releases, and the one place where each attempt is given back.
+//! Set-ups and releases, and the removal of attempts that have ended.
 
 use super::*;
 
 impl UpstreamConnections {
-    /// Sends a set-up, or keeps it until there is a connection.
+    /// Sends a set-up, or queues it until the exchange is connected.
     pub fn set_up(
         &mut self,
         now: Micros,
         (call, attempt): (CallId, AttemptNumber),
-        office: ExchangeId,
+        exchange_id: ExchangeId,
         message: Message,
     ) {
         let Some(sid) = message.sid else { return };
-        let line = self.links.get(&office).map(|l| l.connection);
-        let leg = Attempt { call, attempt, office, stage: Stage::Waiting, began: now, message: None };
-        self.sids.insert(call, sid);
+        let connection = self.upstreams.get(&exchange_id).map(|u| u.connection);
+        let entry =
+            Attempt { call, attempt, exchange_id, stage: Stage::Waiting, started_at: now, message: None };
+        self.sid_by_call.insert(call, sid);
         self.previous_run.record(now, sid);
-        match line {
+        match connection {
             Some(ConnectionState::Up(conn)) => {
-                self.legs.insert(sid, Attempt { stage: Stage::Sent(conn), ..leg });
-                self.out.push(UpstreamOutput::Send { conn, message, set_up: Some(call) });
+                self.attempts.insert(sid, Attempt { stage: Stage::Sent(conn), ..entry });
+                self.outputs.push(UpstreamOutput::Send { conn, message, set_up: Some(call) });
             }
             Some(ConnectionState::Connecting(_) | ConnectionState::Down) => {
-                self.legs.insert(sid, Attempt { message: Some(message), ..leg });
+                self.attempts.insert(sid, Attempt { message: Some(message), ..entry });
                 let until = now + self.connect_timeout;
-                self.out.push(UpstreamOutput::SetTimer(until, UpstreamTimer::Waiting(call, attempt)));
-                self.connect(now, office);
+                self.outputs
+                    .push(UpstreamOutput::SetTimer(until, UpstreamTimer::SetUpWaiting(call, attempt)));
+                self.connect(now, exchange_id);
             }
             None => {
-                self.legs.insert(sid, leg);
-                self.end_leg(call, (Ending::Unreachable, Cause::None), LoadReport::default());
+                self.attempts.insert(sid, entry);
+                self.end_attempt(call, (Ending::Unreachable, Cause::None), LoadReport::default());
             }
         }
     }
 
-    /// Gives a set-up up, or releases a call that stands.
+    /// Cancels a set-up in progress, or releases an established call.
     pub fn clear(&mut self, now: Micros, call: CallId, attempt: AttemptNumber) {
-        if self.leg_of(call).is_none_or(|l| l.attempt != attempt) {
+        if self.attempt_of(call).is_none_or(|a| a.attempt != attempt) {
             return;
         }
-        let Some((sid, leg)) = self.remove_leg(call) else { return };
+        let Some((sid, entry)) = self.remove_attempt(call) else { return };
         if fault_injected(InjectedFault::LeakedCall) {
             return;
         }
-        match leg.stage {
+        match entry.stage {
             Stage::Waiting => {}
             Stage::Sent(conn) => {
                 let message = Message::close(sid, cause::NORMAL);
-                self.out.push(UpstreamOutput::CancelSetUp { conn, call, message });
+                self.outputs.push(UpstreamOutput::CancelSetUp { conn, call, message });
             }
-            Stage::Standing(_) => self.release_at(now, leg.office, sid),
+            Stage::Established(_) => self.release_at(now, entry.exchange_id, sid),
         }
     }
 
-    /// Releases a call at its exchange, now or on the next connection.
-    pub(super) fn release_at(&mut self, now: Micros, office: ExchangeId, sid: Sid) {
-        let Some(link) = self.links.get_mut(&office) else { return };
-        if let ConnectionState::Up(conn) = link.connection {
+    /// Releases a call at its exchange, at once or on the next connection.
+    pub(super) fn release_at(&mut self, now: Micros, exchange_id: ExchangeId, sid: Sid) {
+        let Some(upstream) = self.upstreams.get_mut(&exchange_id) else { return };
+        if let ConnectionState::Up(conn) = upstream.connection {
             let message = Message::close(sid, cause::NORMAL);
-            return self.out.push(UpstreamOutput::Send { conn, message, set_up: None });
+            return self.outputs.push(UpstreamOutput::Send { conn, message, set_up: None });
         }
-        link.owed.retain(|o| now < o.0);
-        link.owed.push((now + OWED_FOR, sid));
+        upstream.pending_releases.retain(|o| now < o.0);
+        upstream.pending_releases.push((now + RELEASE_RETENTION, sid));
     }
 
-    /// Releases a call of an earlier life: the exchange that has it is not known, and the others know no such call.
+    /// Releases a call of the previous run. The exchange that has it is not known, so the release goes to every
+    /// connected exchange; those that don't know the call ignore it.
     pub fn release_previous_run(&mut self, sid: Sid) {
-        for link in self.links.values() {
-            if let ConnectionState::Up(conn) = link.connection {
+        for upstream in self.upstreams.values() {
+            if let ConnectionState::Up(conn) = upstream.connection {
                 let message = Message::close(sid, cause::NORMAL);
-                self.out.push(UpstreamOutput::Send { conn, message, set_up: None });
+                self.outputs.push(UpstreamOutput::Send { conn, message, set_up: None });
             }
         }
     }
 
-    pub(super) fn leg_of(&self, call: CallId) -> Option<&Attempt> {
-        self.legs.get(self.sids.get(&call)?)
+    pub(super) fn attempt_of(&self, call: CallId) -> Option<&Attempt> {
+        self.attempts.get(self.sid_by_call.get(&call)?)
     }
 
-    /// The one place where a leg is given back.
-    pub(super) fn remove_leg(&mut self, call: CallId) -> Option<(Sid, Attempt)> {
-        let sid = self.sids.remove(&call)?;
-        Some((sid, self.legs.remove(&sid)?))
+    /// Removes an attempt from both maps. The only place that does so.
+    pub(super) fn remove_attempt(&mut self, call: CallId) -> Option<(Sid, Attempt)> {
+        let sid = self.sid_by_call.remove(&call)?;
+        Some((sid, self.attempts.remove(&sid)?))
     }
 
-    pub(super) fn end_leg(&mut self, call: CallId, how: (Ending, Cause), load: LoadReport) {
-        if let Some((_, leg)) = self.remove_leg(call) {
-            self.out.push(UpstreamOutput::Ended(call, leg.attempt, how, load));
+    pub(super) fn end_attempt(&mut self, call: CallId, result: (Ending, Cause), load: LoadReport) {
+        if let Some((_, entry)) = self.remove_attempt(call) {
+            self.outputs.push(UpstreamOutput::Ended(call, entry.attempt, result, load));
         }
     }
 
-    pub(super) fn end_legs(
+    /// Ends the selected attempts at an exchange, in the order of their calls, and returns their number.
+    pub(super) fn end_attempts(
         &mut self,
-        office: ExchangeId,
-        how: Ending,
+        exchange_id: ExchangeId,
+        ending: Ending,
         which: impl Fn(&Attempt) -> bool,
     ) -> usize {
-        let of = |l: &&Attempt| l.office == office && which(l);
-        let mut calls: Vec<CallId> = self.legs.values().filter(of).map(|l| l.call).collect();
+        let selected = |a: &&Attempt| a.exchange_id == exchange_id && which(a);
+        let mut calls: Vec<CallId> = self.attempts.values().filter(selected).map(|a| a.call).collect();
         calls.sort_unstable();
-        calls.iter().for_each(|&c| self.end_leg(c, (how, Cause::None), LoadReport::default()));
+        calls.iter().for_each(|&c| self.end_attempt(c, (ending, Cause::None), LoadReport::default()));
         calls.len()
     }
 
-    pub(super) fn fail_waiting(&mut self, office: ExchangeId) {
-        self.end_legs(office, Ending::Unreachable, |l| l.stage == Stage::Waiting);
+    /// Fails the set-ups to an exchange that wait for a connection.
+    pub(super) fn fail_waiting(&mut self, exchange_id: ExchangeId) {
+        self.end_attempts(exchange_id, Ending::Unreachable, |a| a.stage == Stage::Waiting);
     }
 
-    pub(super) fn end_sent(&mut self, now: Micros, office: ExchangeId, how: Ending) {
-        let sent = |l: &Attempt| l.office == office && matches!(l.stage, Stage::Sent(_));
-        let mut sids: Vec<Sid> = self.legs.iter().filter(|(_, l)| sent(l)).map(|(&s, _)| s).collect();
+    /// Ends the set-ups in progress at an exchange, and releases them on its next connection, since their answers may
+    /// be lost in transit.
+    pub(super) fn fail_sent(&mut self, now: Micros, exchange_id: ExchangeId, ending: Ending) {
+        let sent = |a: &Attempt| a.exchange_id == exchange_id && matches!(a.stage, Stage::Sent(_));
+        let mut sids: Vec<Sid> = self.attempts.iter().filter(|(_, a)| sent(a)).map(|(&s, _)| s).collect();
         sids.sort_unstable();
-        self.end_legs(office, how, |l| matches!(l.stage, Stage::Sent(_)));
-        if let Some(link) = self.links.get_mut(&office) {
-            link.owed.retain(|o| now < o.0);
-            link.owed.extend(sids.into_iter().map(|sid| (now + RELEASE_RESET, sid)));
+        self.end_attempts(exchange_id, ending, |a| matches!(a.stage, Stage::Sent(_)));
+        if let Some(upstream) = self.upstreams.get_mut(&exchange_id) {
+            upstream.pending_releases.retain(|o| now < o.0);
+            upstream
+                .pending_releases
+                .extend(sids.into_iter().map(|sid| (now + RESET_RELEASE_RETENTION, sid)));
         }
     }
 
-    pub(super) fn cut_standing(&mut self, office: ExchangeId, which: impl Fn(&Attempt) -> bool) {
-        let standing = |l: &Attempt| matches!(l.stage, Stage::Standing(_));
-        let cut = self.end_legs(office, Ending::Reset, |l| standing(l) && which(l));
-        self.counts.cut_after_failure += cut as u64;
+    /// Ends the selected established calls at an exchange as cut.
+    pub(super) fn cut_established(&mut self, exchange_id: ExchangeId, which: impl Fn(&Attempt) -> bool) {
+        let established = |a: &Attempt| matches!(a.stage, Stage::Established(_));
+        let cut_calls = self.end_attempts(exchange_id, Ending::Reset, |a| established(a) && which(a));
+        self.counts.cut_after_failure += cut_calls as u64;
     }
 }
--- a/src/protocol/upstream/connections.rs
+++ b/src/protocol/upstream/connections.rs
@@ -1,136 +1,153 @@
-//! Connections from their making to their end, and the deadlines of all of them.
+//! Opening and closing of connections, and the timers of all exchanges.
 
 use super::*;
 
 impl UpstreamConnections {
-    pub(super) fn connect(&mut self, now: Micros, office: ExchangeId) {
-        let Some(link) = self.links.get_mut(&office) else { return };
-        if link.connection != ConnectionState::Down {
+    /// Connects to an exchange, unless a connection is up or being set up.
+    pub(super) fn connect(&mut self, now: Micros, exchange_id: ExchangeId) {
+        let Some(upstream) = self.upstreams.get_mut(&exchange_id) else { return };
+        if upstream.connection != ConnectionState::Down {
             return;
         }
-        let conn = ConnId(self.next_conn);
-        self.next_conn += 1;
-        link.connection = ConnectionState::Connecting(conn);
-        (link.retry_due, link.heard, link.tested, link.half) = (None, None, None, None);
-        self.conns.insert(conn, office);
+        let conn = ConnId(self.next_conn_id);
+        self.next_conn_id += 1;
+        upstream.connection = ConnectionState::Connecting(conn);
+        (upstream.retry_at, upstream.last_received, upstream.probed_at, upstream.partial_since) =
+            (None, None, None, None);
+        self.exchange_by_conn.insert(conn, exchange_id);
         self.counts.connects += 1;
-        self.out.push(UpstreamOutput::Connect(conn, link.place.clone()));
-        self.out.push(UpstreamOutput::SetTimer(now + self.connect_timeout, UpstreamTimer::Connect(conn)));
+        self.outputs.push(UpstreamOutput::Connect(conn, upstream.member_address.clone()));
+        self.outputs
+            .push(UpstreamOutput::SetTimer(now + self.connect_timeout, UpstreamTimer::ConnectTimeout(conn)));
     }
 
-    /// A connection is up.
+    /// A connection has been established: sends the pending releases and the waiting set-ups.
     pub fn connected(&mut self, now: Micros, conn: ConnId) {
-        let Some(&office) = self.conns.get(&conn) else { return };
-        let Some(link) = self.links.get_mut(&office) else { return };
-        link.connection = ConnectionState::Up(conn);
-        link.came_up = Some(now);
-        link.suspected = false;
-        self.out.push(UpstreamOutput::SetTimer(now + LOOK, UpstreamTimer::Look(conn, now + LOOK)));
-        for (until, sid) in std::mem::take(&mut link.owed) {
+        let Some(&exchange_id) = self.exchange_by_conn.get(&conn) else { return };
+        let Some(upstream) = self.upstreams.get_mut(&exchange_id) else { return };
+        upstream.connection = ConnectionState::Up(conn);
+        upstream.connected_at = Some(now);
+        upstream.crash_suspected = false;
+        self.outputs.push(UpstreamOutput::SetTimer(
+            now + LIVENESS_CHECK_INTERVAL,
+            UpstreamTimer::LivenessCheck(conn, now + LIVENESS_CHECK_INTERVAL),
+        ));
+        for (until, sid) in std::mem::take(&mut upstream.pending_releases) {
             if now < until {
                 let message = Message::close(sid, cause::NORMAL);
-                self.out.push(UpstreamOutput::Send { conn, message, set_up: None });
+                self.outputs.push(UpstreamOutput::Send { conn, message, set_up: None });
             }
         }
-        for leg in self.legs.values_mut().filter(|l| l.office == office && l.stage == Stage::Waiting) {
-            if let Some(message) = leg.message.take() {
-                leg.stage = Stage::Sent(conn);
-                self.out.push(UpstreamOutput::Send { conn, message, set_up: Some(leg.call) });
+        for entry in
+            self.attempts.values_mut().filter(|a| a.exchange_id == exchange_id && a.stage == Stage::Waiting)
+        {
+            if let Some(message) = entry.message.take() {
+                entry.stage = Stage::Sent(conn);
+                self.outputs.push(UpstreamOutput::Send { conn, message, set_up: Some(entry.call) });
             }
         }
     }
 
-    /// A connection is no more.
-    pub fn closed(&mut self, now: Micros, conn: ConnId, how: CloseReason) {
-        let Some(office) = self.conns.remove(&conn) else { return };
-        let Some(link) = self.links.get_mut(&office) else { return };
-        let was_up = matches!(link.connection, ConnectionState::Up(_));
-        link.connection = ConnectionState::Down;
-        link.settled = true;
-        let early = link.heard.is_none() || link.came_up.is_some_and(|at| now - at < SETTLING);
+    /// A connection has closed or could not be established. Set-ups that were sent on it end as reset; established
+    /// calls are kept unless the exchange is known to have crashed.
+    pub fn closed(&mut self, now: Micros, conn: ConnId, reason: CloseReason) {
+        let Some(exchange_id) = self.exchange_by_conn.remove(&conn) else { return };
+        let Some(upstream) = self.upstreams.get_mut(&exchange_id) else { return };
+        let was_up = matches!(upstream.connection, ConnectionState::Up(_));
+        upstream.connection = ConnectionState::Down;
+        upstream.contacted = true;
+        let early = upstream.last_received.is_none()
+            || upstream.connected_at.is_some_and(|at| now - at < MIN_STABLE_TIME);
         match (was_up, early) {
-            (true, true) => link.leases.lost_early(now),
-            (true, false) => link.leases.lost(),
+            (true, true) => upstream.leases.connection_lost_early(now),
+            (true, false) => upstream.leases.connection_lost(),
             (false, _) => {}
         }
-        match how {
+        match reason {
             CloseReason::Refused => {
                 self.counts.refused += 1;
-                // Nobody listens: the process that had the calls is dead, and with a connection of its own
-                // lost it can tell no more.
-                let dead = std::mem::take(&mut link.suspected);
-                self.fail_waiting(office);
-                if dead {
-                    self.cut_standing(office, |_| true);
+                // Nobody listens. After the loss of a connection this means that the process which had the calls is
+                // dead and will not report their end.
+                let crashed = std::mem::take(&mut upstream.crash_suspected);
+                self.fail_waiting(exchange_id);
+                if crashed {
+                    self.cut_established(exchange_id, |_| true);
                 }
             }
-            CloseReason::ConnectFailed => self.fail_waiting(office),
+            CloseReason::ConnectFailed => self.fail_waiting(exchange_id),
             CloseReason::ClosedByPeer | CloseReason::ClosedLocally => {
-                self.end_sent(now, office, Ending::Reset)
+                self.fail_sent(now, exchange_id, Ending::Reset)
             }
             CloseReason::Broken => {
                 self.counts.broken += 1;
-                link.suspected = true;
-                self.end_sent(now, office, Ending::Reset);
+                upstream.crash_suspected = true;
+                self.fail_sent(now, exchange_id, Ending::Reset);
             }
         }
-        let Some(link) = self.links.get_mut(&office) else { return };
-        if link.state == ListState::Gone {
-            return self.drop_link(now, office);
+        let Some(upstream) = self.upstreams.get_mut(&exchange_id) else { return };
+        if upstream.state == ListState::Gone {
+            return self.drop_upstream(now, exchange_id);
         }
-        // An end in order with calls standing may be a process that stops.
-        link.suspected |= was_up && how == CloseReason::ClosedByPeer;
-        // Guards this task and the peer against one that ends each connection as soon as it is made.
+        // An orderly close with calls established may come from a process that is shutting down.
+        upstream.crash_suspected |= was_up && reason == CloseReason::ClosedByPeer;
+        // Prevents a reconnect loop with an exchange that closes each connection as soon as it is established.
         if was_up && !early {
-            self.connect(now, office);
+            self.connect(now, exchange_id);
         } else {
-            let standing = |l: &Attempt| l.office == office && matches!(l.stage, Stage::Standing(_));
-            let longest = if self.legs.values().any(standing) { RETRY_WITH_CALLS } else { RETRY.1 };
-            let due = now + link.retry.min(longest);
-            link.retry_due = Some(due);
-            link.retry = (link.retry * 2).min(RETRY.1);
-            self.out.push(UpstreamOutput::SetTimer(due, UpstreamTimer::Retry(office)));
+            let established =
+                |a: &Attempt| a.exchange_id == exchange_id && matches!(a.stage, Stage::Established(_));
+            let max_delay = if self.attempts.values().any(established) {
+                MAX_RETRY_DELAY_WITH_CALLS
+            } else {
+                MAX_RETRY_DELAY
+            };
+            let retry_at = now + upstream.retry_delay.min(max_delay);
+            upstream.retry_at = Some(retry_at);
+            upstream.retry_delay = (upstream.retry_delay * 2).min(MAX_RETRY_DELAY);
+            self.outputs.push(UpstreamOutput::SetTimer(retry_at, UpstreamTimer::Reconnect(exchange_id)));
         }
     }
 
-    /// A deadline has come.
-    pub fn timer_expired(&mut self, now: Micros, due: UpstreamTimer) {
-        match due {
-            UpstreamTimer::Connect(conn) => {
-                let office = self.conns.get(&conn).copied();
-                let link = office.and_then(|o| self.links.get(&o));
-                if link.is_some_and(|l| l.connection == ConnectionState::Connecting(conn)) {
-                    self.out.push(UpstreamOutput::Disconnect(conn, DisconnectReason::ConnectTimeout));
+    /// A timer expired. A timer whose subject has changed since is ignored.
+    pub fn timer_expired(&mut self, now: Micros, timer: UpstreamTimer) {
+        match timer {
+            UpstreamTimer::ConnectTimeout(conn) => {
+                let exchange_id = self.exchange_by_conn.get(&conn).copied();
+                let upstream = exchange_id.and_then(|id| self.upstreams.get(&id));
+                if upstream.is_some_and(|u| u.connection == ConnectionState::Connecting(conn)) {
+                    self.outputs.push(UpstreamOutput::Disconnect(conn, DisconnectReason::ConnectTimeout));
                     self.closed(now, conn, CloseReason::ConnectFailed);
                 }
             }
-            UpstreamTimer::Retry(office) => {
-                if self.links.get(&office).is_some_and(|l| l.retry_due.is_some_and(|at| at <= now)) {
-                    self.connect(now, office);
+            UpstreamTimer::Reconnect(exchange_id) => {
+                if self.upstreams.get(&exchange_id).is_some_and(|u| u.retry_at.is_some_and(|at| at <= now)) {
+                    self.connect(now, exchange_id);
                 }
             }
-            UpstreamTimer::Waiting(call, attempt) => {
-                let waits = |l: &Attempt| l.attempt == attempt && l.stage == Stage::Waiting;
-                if self.leg_of(call).is_some_and(waits) {
-                    self.end_leg(call, (Ending::Unreachable, Cause::None), LoadReport::default());
+            UpstreamTimer::SetUpWaiting(call, attempt) => {
+                let waiting = |a: &Attempt| a.attempt == attempt && a.stage == Stage::Waiting;
+                if self.attempt_of(call).is_some_and(waiting) {
+                    self.end_attempt(call, (Ending::Unreachable, Cause::None), LoadReport::default());
                 }
             }
-            UpstreamTimer::Gone(office) => {
-                if self.links.get(&office).is_some_and(|l| l.state == ListState::Gone) {
-                    self.drop_link(now, office);
+            UpstreamTimer::RemovalGrace(exchange_id) => {
+                if self.upstreams.get(&exchange_id).is_some_and(|u| u.state == ListState::Gone) {
+                    self.drop_upstream(now, exchange_id);
                 }
             }
-            UpstreamTimer::Half(conn, since) => {
-                let link = self.conns.get(&conn).and_then(|o| self.links.get(o));
-                if link.is_some_and(|l| l.half == Some(since)) {
+            UpstreamTimer::PartialMessage(conn, since) => {
+                let upstream = self.exchange_by_conn.get(&conn).and_then(|id| self.upstreams.get(id));
+                if upstream.is_some_and(|u| u.partial_since == Some(since)) {
                     self.protocol_error(now, conn);
                 }
             }
-            UpstreamTimer::Look(conn, meant) => self.look(now, conn, meant),
-            UpstreamTimer::Lease(office, meant) => self.look_at_leases(now, office, meant),
-            UpstreamTimer::Probe(sid) => {
-                if let Some(office) = self.probes.remove(&sid) {
-                    self.out.push(UpstreamOutput::ProbeFailed(office));
+            UpstreamTimer::LivenessCheck(conn, scheduled) => self.check_liveness(now, conn, scheduled),
+            UpstreamTimer::LeaseCheck(exchange_id, scheduled) => {
+                self.check_leases(now, exchange_id, scheduled)
+            }
+            UpstreamTimer::ProbeTimeout(sid) => {
+                if let Some(exchange_id) = self.probes.remove(&sid) {
+                    self.outputs.push(UpstreamOutput::ProbeFailed(exchange_id));
                 }
             }
         }
--- a/src/protocol/upstream/lease.rs
+++ b/src/protocol/upstream/lease.rs
@@ -1,110 +1,111 @@
-//! How long calls that stand at an exchange are taken to stand while nothing shows that the process which has them
-//! is still there.
+//! Leases of the calls established at an exchange: how long they count as established without evidence that the
+//! process that has them is still running.
 //!
-//! Calls that stand are quiet for as long as they last, so that the end of the process which has them may be told by
-//! nobody: a machine that vanishes says nothing, the coordinator may be down, and another process may come up at the
-//! same address. Each call therefore stands on a lease. The lease is renewed by whatever comes from the process that
-//! has the call, and by nothing else. A process is known by what it says without a break; after a break, only by what
-//! it says of a call that it had before.
+//! An established call exchanges no messages until it ends, and the end of the process that has it may never be
+//! reported: a machine that vanishes sends nothing, the coordinator may be down, and another process may start at the
+//! same address. Each call therefore has a lease, which is renewed only by messages from the process that has the
+//! call. Without an interruption, all messages come from the same process; after an interruption, a process is
+//! recognized only by a message about a call that it had before.
 
 use crate::routing::interface::Micros;
 
-/// A lease lasts this long after the last proof of the process (µs). The caller must hear of the end within 8 s of
-/// it; what is left is for the proof's way here, a late timer and the release's way to a caller whose own connection
-/// is dead. A network that is cut for 6 s leaves time for the next connection to show that the process is there.
+/// Duration of a lease after the last message from the process (µs). The caller must be informed within 8 s of the end
+/// of the process; the rest covers the transit time of that message, a late timer, and the release to a caller whose
+/// own connection is dead. A network outage of 6 s still leaves time to hear from the process on the next connection.
 pub const LEASE_DURATION: Micros = 6_800_000;
-/// Silence up to this long is no break (µs). With calls at an exchange its connection is tested after 300 ms at the
-/// most, and no process is back under its address within this without having refused a connection.
-const UNBROKEN: Micros = 500_000;
+/// A gap up to this long between the messages before and after the loss of a connection is no interruption (µs). While
+/// an exchange has calls, its connection is probed after at most 300 ms, and no process can be replaced at its address
+/// within this time without refusing a connection first.
+const MAX_SAME_PROCESS_GAP: Micros = 500_000;
 
-/// A process at the far end, numbered by the breaks before it: after each it may be another one.
+/// Number of interruptions before a process was heard from; after each one it may be another process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Generation(u64);
 
-/// Generations that one process was shown to have lived through, and when it was last heard of.
+/// The generations known to belong to one process, and when a message was last received from it.
 #[derive(Clone, Copy, Debug)]
 struct Process {
     first: Generation,
     last: Generation,
-    proven: Micros,
+    last_received: Micros,
 }
 
-/// The leases of the calls that stand at one exchange.
+/// The leases of the calls established at one exchange.
 #[derive(Clone, Debug)]
 pub struct Leases {
-    /// The process that speaks now.
+    /// The process that currently sends messages.
     current: Process,
-    /// The connection was lost since, and nothing has come on the next one.
+    /// The connection was lost, and nothing has been received on the next one yet.
     disconnected: bool,
-    /// Processes from before a break that have not been heard of since, oldest first.
+    /// Processes from before an interruption that have not been recognized since, oldest first.
     earlier: Vec<Process>,
-    /// Calls of earlier generations than this one may be over without a word, though their process is still there.
-    untold_before: Generation,
+    /// Calls of earlier generations than this one may have ended without a report although their process still runs.
+    unreported_before: Generation,
 }
 
 impl Leases {
-    /// No calls yet.
+    /// Creates the leases of an exchange without calls.
     pub fn new(now: Micros) -> Self {
         let first = Generation::default();
-        let current = Process { first, last: first, proven: now };
-        Leases { current, disconnected: false, earlier: Vec::new(), untold_before: first }
+        let current = Process { first, last: first, last_received: now };
+        Leases { current, disconnected: false, earlier: Vec::new(), unreported_before: first }
     }
 
-    /// The process that has the calls which come to stand now.
+    /// The generation of calls that become established now.
     pub fn current(&self) -> Generation {
         self.current.last
     }
 
-    /// The connection is no more.
-    pub fn lost(&mut self) {
+    /// The connection was lost.
+    pub fn connection_lost(&mut self) {
         self.disconnected = true;
     }
 
-    /// A connection is no more that had only just come up, or on which nothing has come. An exchange tells the ends of
-    /// calls that it could not tell before on the next connection, once: what it told on this one is lost, so that
-    /// none of the calls so far can be taken to stand for longer than its lease.
-    pub fn lost_early(&mut self, now: Micros) {
-        self.lost();
-        self.break_off(now);
-        self.untold_before = self.current.first;
+    /// A connection was lost shortly after it was established, or before anything was received on it. An exchange
+    /// reports the calls that ended meanwhile once, on the next connection. What it reported on this one may be lost,
+    /// so the leases of the present calls are not renewed any more.
+    pub fn connection_lost_early(&mut self, now: Micros) {
+        self.connection_lost();
+        self.start_generation(now);
+        self.unreported_before = self.current.first;
     }
 
-    /// What speaks from here on may be another process.
-    fn break_off(&mut self, now: Micros) {
+    /// Starts a new generation: the messages from here on may come from another process.
+    fn start_generation(&mut self, now: Micros) {
         self.earlier.push(self.current);
-        // Guards memory against an exchange that is out of reach for ever.
-        self.earlier.retain(|process| now - process.proven < 2 * LEASE_DURATION);
+        // Limits memory while an exchange is unreachable for a long time.
+        self.earlier.retain(|process| now - process.last_received < 2 * LEASE_DURATION);
         let next = Generation(self.current.last.0 + 1);
-        self.current = Process { first: next, last: next, proven: self.current.proven };
+        self.current = Process { first: next, last: next, last_received: self.current.last_received };
     }
 
-    /// Something came on the present connection.
-    pub fn heard(&mut self, now: Micros) {
-        if std::mem::take(&mut self.disconnected) && now - self.current.proven > UNBROKEN {
-            self.break_off(now);
+    /// A message was received on the current connection.
+    pub fn received(&mut self, now: Micros) {
+        if std::mem::take(&mut self.disconnected) && now - self.current.last_received > MAX_SAME_PROCESS_GAP {
+            self.start_generation(now);
         }
-        self.current.proven = now;
+        self.current.last_received = now;
     }
 
-    /// The process that speaks now said something of a call of that generation: it has been there since then.
+    /// The current process sent a message about a call of this generation, so it has been running since then.
     pub fn confirm(&mut self, generation: Generation) {
-        let oldest = generation.max(self.untold_before);
+        let oldest = generation.max(self.unreported_before);
         if let Some(at) = self.earlier.iter().position(|process| process.last >= oldest) {
             self.current.first = self.earlier[at].first;
             self.earlier.truncate(at);
         }
     }
 
-    /// Whether the calls of this generation have lost their lease.
+    /// Whether the leases of the calls of this generation have expired.
     pub fn expired(&self, now: Micros, generation: Generation) -> bool {
-        now >= self.expires(generation)
+        now >= self.expires_at(generation)
     }
 
-    /// When the calls of this generation lose their lease unless something renews it.
-    pub fn expires(&self, generation: Generation) -> Micros {
-        let of = |process: &&Process| (process.first..=process.last).contains(&generation);
-        let process = std::iter::once(&self.current).chain(&self.earlier).find(of);
-        // One that is no longer known has not been heard of for longer than a lease.
-        process.map_or(0, |process| process.proven + LEASE_DURATION)
+    /// When the leases of the calls of this generation expire unless they are renewed.
+    pub fn expires_at(&self, generation: Generation) -> Micros {
+        let has_generation = |process: &&Process| (process.first..=process.last).contains(&generation);
+        let process = std::iter::once(&self.current).chain(&self.earlier).find(has_generation);
+        // A process that was forgotten has sent nothing for longer than the duration of a lease.
+        process.map_or(0, |process| process.last_received + LEASE_DURATION)
     }
 }
--- a/src/protocol/upstream/leases.rs
+++ b/src/protocol/upstream/leases.rs
@@ -1,55 +1,65 @@
-//! The leases of the calls that stand: see [`super::lease`].
+//! Expiry of the leases of established calls; see [`super::lease`].
 
 use super::*;
 
 impl UpstreamConnections {
-    /// The generations of the calls that stand at an exchange.
-    pub(super) fn generations(&self, office: ExchangeId) -> impl Iterator<Item = Generation> + '_ {
-        self.legs.values().filter(move |l| l.office == office).filter_map(|l| match l.stage {
-            Stage::Standing(generation) => Some(generation),
+    /// The lease generations of the established calls at an exchange.
+    pub(super) fn lease_generations(&self, exchange_id: ExchangeId) -> impl Iterator<Item = Generation> + '_ {
+        self.attempts.values().filter(move |a| a.exchange_id == exchange_id).filter_map(|a| match a.stage {
+            Stage::Established(generation) => Some(generation),
             Stage::Waiting | Stage::Sent(_) => None,
         })
     }
 
-    /// Has the leases of the calls at an exchange looked at when the first of them is over.
-    pub(super) fn watch_leases(&mut self, office: ExchangeId) {
-        let Some(link) = self.links.get(&office) else { return };
-        let Some(due) = self.generations(office).map(|g| link.leases.expires(g)).min() else { return };
-        if link.lease_due.is_some_and(|at| at <= due) {
+    /// Schedules the next lease check of an exchange for the earliest expiry among its calls.
+    pub(super) fn schedule_lease_check(&mut self, exchange_id: ExchangeId) {
+        let Some(upstream) = self.upstreams.get(&exchange_id) else { return };
+        let Some(due) = self.lease_generations(exchange_id).map(|g| upstream.leases.expires_at(g)).min()
+        else {
+            return;
+        };
+        if upstream.lease_check_at.is_some_and(|at| at <= due) {
             return;
         }
-        if let Some(link) = self.links.get_mut(&office) {
-            link.lease_due = Some(due);
+        if let Some(upstream) = self.upstreams.get_mut(&exchange_id) {
+            upstream.lease_check_at = Some(due);
         }
-        self.out.push(UpstreamOutput::SetTimer(due, UpstreamTimer::Lease(office, due)));
+        self.outputs.push(UpstreamOutput::SetTimer(due, UpstreamTimer::LeaseCheck(exchange_id, due)));
     }
 
-    /// Guards callers against an exchange that is gone without a word: the calls whose lease is over are cut, towards
-    /// their callers now, and there as soon as it can be reached.
-    pub(super) fn look_at_leases(&mut self, now: Micros, office: ExchangeId, meant: Micros) {
-        let Some(link) = self.links.get_mut(&office).filter(|l| l.lease_due == Some(meant)) else { return };
-        link.lease_due = None;
+    /// Cuts the calls whose lease has expired: their callers would otherwise never learn that an exchange vanished
+    /// without a message. The callers are informed at once, the exchange as soon as it can be reached.
+    pub(super) fn check_leases(&mut self, now: Micros, exchange_id: ExchangeId, scheduled: Micros) {
+        let Some(upstream) =
+            self.upstreams.get_mut(&exchange_id).filter(|u| u.lease_check_at == Some(scheduled))
+        else {
+            return;
+        };
+        upstream.lease_check_at = None;
         if fault_injected(InjectedFault::NoReleaseForVanished) {
             return;
         }
-        if now - meant > STOOD_STILL && now - meant < LEASE_GRACE {
-            // This program stood still, and what came meanwhile may not have been read.
-            let due = meant + LEASE_GRACE;
-            link.lease_due = Some(due);
-            return self.out.push(UpstreamOutput::SetTimer(due, UpstreamTimer::Lease(office, due)));
+        if now - scheduled > STALL_THRESHOLD && now - scheduled < STALLED_LEASE_GRACE {
+            // This program stalled, and messages that arrived meanwhile may not have been read yet.
+            let due = scheduled + STALLED_LEASE_GRACE;
+            upstream.lease_check_at = Some(due);
+            return self
+                .outputs
+                .push(UpstreamOutput::SetTimer(due, UpstreamTimer::LeaseCheck(exchange_id, due)));
         }
-        let leases = link.leases.clone();
-        let over = |l: &Attempt| matches!(l.stage, Stage::Standing(g) if leases.expired(now, g));
-        let of = |l: &Attempt| l.office == office && over(l);
-        let mut owed: Vec<Sid> = self.legs.iter().filter(|(_, l)| of(l)).map(|(&sid, _)| sid).collect();
-        owed.sort_unstable();
-        self.counts.lease_expired += owed.len() as u64;
-        if let Some(link) = self.links.get_mut(&office).filter(|_| !owed.is_empty()) {
-            let member = link.place.member.clone();
-            self.out.push(UpstreamOutput::LeasesExpired(member, owed.len()));
+        let leases = upstream.leases.clone();
+        let expired = |a: &Attempt| matches!(a.stage, Stage::Established(g) if leases.expired(now, g));
+        let expired_here = |a: &Attempt| a.exchange_id == exchange_id && expired(a);
+        let mut sids: Vec<Sid> =
+            self.attempts.iter().filter(|(_, a)| expired_here(a)).map(|(&sid, _)| sid).collect();
+        sids.sort_unstable();
+        self.counts.lease_expired += sids.len() as u64;
+        if let Some(upstream) = self.upstreams.get_mut(&exchange_id).filter(|_| !sids.is_empty()) {
+            let member = upstream.member_address.member.clone();
+            self.outputs.push(UpstreamOutput::LeasesExpired(member, sids.len()));
         }
-        owed.into_iter().for_each(|sid| self.release_at(now, office, sid));
-        self.cut_standing(office, over);
-        self.watch_leases(office);
+        sids.into_iter().for_each(|sid| self.release_at(now, exchange_id, sid));
+        self.cut_established(exchange_id, expired);
+        self.schedule_lease_check(exchange_id);
     }
 }
--- a/src/protocol/upstream/list.rs
+++ b/src/protocol/upstream/list.rs
@@ -1,112 +1,121 @@
-//! What the list of exchanges changes about the connections to them.
+//! Updates of the exchange list.
 
 use super::*;
 
 impl UpstreamConnections {
-    /// Entries of the list; `complete`: exchanges missing from them are gone.
+    /// Applies entries of the exchange list. If they are `complete`, exchanges missing from them are removed.
     pub fn update_list(
         &mut self,
         now: Micros,
         entries: &[ListEntry],
-        places: &[MemberAddress],
+        addresses: &[MemberAddress],
         complete: bool,
     ) {
-        let others = |e: &&ListEntry| Some(e.exchange) != self.own;
-        let others: Vec<_> = entries.iter().zip(places).filter(|(e, _)| others(e)).collect();
-        for (e, place) in others {
-            self.entry(now, e, place);
+        let is_other = |e: &&ListEntry| Some(e.exchange) != self.own_exchange;
+        let others: Vec<_> = entries.iter().zip(addresses).filter(|(e, _)| is_other(e)).collect();
+        for (e, member_address) in others {
+            self.apply_entry(now, e, member_address);
         }
         if complete {
-            let missing: Vec<ExchangeId> =
-                self.links.keys().copied().filter(|o| !entries.iter().any(|e| e.exchange_id == *o)).collect();
-            missing.into_iter().for_each(|o| self.gone(now, o));
+            let missing: Vec<ExchangeId> = self
+                .upstreams
+                .keys()
+                .copied()
+                .filter(|id| !entries.iter().any(|e| e.exchange_id == *id))
+                .collect();
+            missing.into_iter().for_each(|id| self.remove_exchange(now, id));
         }
     }
 
-    pub(super) fn entry(&mut self, now: Micros, e: &ListEntry, place: &MemberAddress) {
+    pub(super) fn apply_entry(&mut self, now: Micros, e: &ListEntry, member_address: &MemberAddress) {
         if e.state == ListState::Gone {
-            return self.gone(now, e.exchange_id);
+            return self.remove_exchange(now, e.exchange_id);
         }
-        let fresh = || Upstream {
-            place: place.clone(),
+        let new_upstream = || Upstream {
+            member_address: member_address.clone(),
             state: e.state,
-            started: e.last_start,
+            last_start: e.last_start,
             connection: ConnectionState::Down,
-            retry: RETRY.0,
-            retry_due: None,
-            suspected: false,
-            settled: false,
-            came_up: None,
-            heard: None,
-            tested: None,
-            mean_interarrival: SILENT.2 as f64,
-            last_set_up_time: UNTESTED.2,
+            retry_delay: FIRST_RETRY_DELAY,
+            retry_at: None,
+            crash_suspected: false,
+            contacted: false,
+            connected_at: None,
+            last_received: None,
+            probed_at: None,
+            mean_interarrival: MAX_PROBE_AFTER as f64,
+            last_set_up_time: MAX_FIRST_REPLY_TIMEOUT,
             consecutive_timeouts: 0,
-            half: None,
-            owed: Vec::new(),
+            partial_since: None,
+            pending_releases: Vec::new(),
             leases: Leases::new(now),
-            lease_due: None,
+            lease_check_at: None,
         };
-        let link = self.links.entry(e.exchange_id).or_insert_with(fresh);
-        let restarted = e.last_start.is_some() && e.last_start != link.started;
-        link.state = e.state;
-        link.started = e.last_start;
+        let upstream = self.upstreams.entry(e.exchange_id).or_insert_with(new_upstream);
+        let restarted = e.last_start.is_some() && e.last_start != upstream.last_start;
+        upstream.state = e.state;
+        upstream.last_start = e.last_start;
         if e.state == ListState::Draining {
             self.withdraw_unsent(e.exchange_id);
         }
         if restarted {
-            // What stood at the old process went down with it.
+            // The established calls of the old process ended with it.
             let start = e.last_start.unwrap_or(now);
-            self.cut_standing(e.exchange_id, |leg| leg.began < start);
+            self.cut_established(e.exchange_id, |a| a.started_at < start);
         }
         if self
-            .links
+            .upstreams
             .get(&e.exchange_id)
-            .is_some_and(|l| l.connection == ConnectionState::Down && l.retry_due.is_none())
+            .is_some_and(|u| u.connection == ConnectionState::Down && u.retry_at.is_none())
         {
             self.connect(now, e.exchange_id);
         }
     }
 
-    /// An office takes nothing new: a set-up that waits for a connection, or behind others on one that is slow,
-    /// could leave after the grace.
-    pub fn withdraw_unsent(&mut self, office: ExchangeId) {
-        self.fail_waiting(office);
-        let sent = |l: &Attempt| match l.stage {
-            Stage::Sent(conn) if l.office == office => Some((l.call, l.attempt, conn)),
+    /// Withdraws the set-ups to an exchange that takes no new calls: one that waits for a connection, or in the send
+    /// queue of a slow one, could otherwise be sent after the drain grace.
+    pub fn withdraw_unsent(&mut self, exchange_id: ExchangeId) {
+        self.fail_waiting(exchange_id);
+        let sent = |a: &Attempt| match a.stage {
+            Stage::Sent(conn) if a.exchange_id == exchange_id => Some((a.call, a.attempt, conn)),
             _ => None,
         };
-        let mut sent: Vec<_> = self.legs.values().filter_map(sent).collect();
+        let mut sent: Vec<_> = self.attempts.values().filter_map(sent).collect();
         sent.sort_unstable();
-        let unsend = |(call, attempt, conn)| UpstreamOutput::WithdrawSetUp { conn, call, attempt };
-        self.out.extend(sent.into_iter().map(unsend));
+        let withdraw = |(call, attempt, conn)| UpstreamOutput::WithdrawSetUp { conn, call, attempt };
+        self.outputs.extend(sent.into_iter().map(withdraw));
     }
 
-    /// A set-up has not left, and never will.
+    /// A set-up was withdrawn before it was sent.
     pub fn set_up_withdrawn(&mut self, call: CallId, attempt: AttemptNumber) {
-        if self.leg_of(call).is_some_and(|l| l.attempt == attempt && matches!(l.stage, Stage::Sent(_))) {
-            self.end_leg(call, (Ending::Unreachable, Cause::None), LoadReport::default());
+        if self.attempt_of(call).is_some_and(|a| a.attempt == attempt && matches!(a.stage, Stage::Sent(_))) {
+            self.end_attempt(call, (Ending::Unreachable, Cause::None), LoadReport::default());
         }
     }
 
-    pub(super) fn gone(&mut self, now: Micros, office: ExchangeId) {
-        let Some(link) = self.links.get_mut(&office) else { return };
-        if link.state != ListState::Gone {
-            link.state = ListState::Gone;
-            self.withdraw_unsent(office);
-            self.out.push(UpstreamOutput::SetTimer(now + GONE_GRACE, UpstreamTimer::Gone(office)));
+    /// Starts the removal of an exchange: its calls get a grace period to end.
+    pub(super) fn remove_exchange(&mut self, now: Micros, exchange_id: ExchangeId) {
+        let Some(upstream) = self.upstreams.get_mut(&exchange_id) else { return };
+        if upstream.state != ListState::Gone {
+            upstream.state = ListState::Gone;
+            self.withdraw_unsent(exchange_id);
+            self.outputs.push(UpstreamOutput::SetTimer(
+                now + REMOVAL_GRACE,
+                UpstreamTimer::RemovalGrace(exchange_id),
+            ));
         }
     }
 
-    /// The one place where a link is given back.
-    pub(super) fn drop_link(&mut self, now: Micros, office: ExchangeId) {
-        self.fail_waiting(office);
-        self.end_sent(now, office, Ending::Reset);
-        self.cut_standing(office, |_| true);
-        let Some(link) = self.links.remove(&office) else { return };
-        if let ConnectionState::Connecting(conn) | ConnectionState::Up(conn) = link.connection {
-            self.conns.remove(&conn);
-            self.out.push(UpstreamOutput::Disconnect(conn, DisconnectReason::MemberRemoved));
+    /// Ends all calls of an exchange, closes its connection and forgets it. The only place where an exchange is
+    /// forgotten.
+    pub(super) fn drop_upstream(&mut self, now: Micros, exchange_id: ExchangeId) {
+        self.fail_waiting(exchange_id);
+        self.fail_sent(now, exchange_id, Ending::Reset);
+        self.cut_established(exchange_id, |_| true);
+        let Some(upstream) = self.upstreams.remove(&exchange_id) else { return };
+        if let ConnectionState::Connecting(conn) | ConnectionState::Up(conn) = upstream.connection {
+            self.exchange_by_conn.remove(&conn);
+            self.outputs.push(UpstreamOutput::Disconnect(conn, DisconnectReason::MemberRemoved));
         }
     }
 }
--- a/src/protocol/upstream/mod.rs
+++ b/src/protocol/upstream/mod.rs
@@ -1,15 +1,16 @@
-//! The connections toward the exchanges and the set-ups on them, as states without input or output.
+//! State machine of the connections to the exchanges and of the set-ups sent on them. It performs no I/O.
 //!
-//! One connection is kept to each exchange on the list: its group's state comes on it unasked. A connection
-//! owns the set-ups that wait for an answer on it; a call that stands is owned by none.
+//! One connection is kept open to each exchange on the list, on which the exchange reports the state of its trunk
+//! group unasked. A set-up in progress ends with the connection that it was sent on; an established call does not
+//! depend on any connection.
 
 mod calls;
 mod connections;
 pub mod lease;
 mod leases;
 mod list;
+mod liveness;
 mod messages;
-mod silence;
 
 use super::json_lines::{cause, Kind, Message, PreviousRun, Sid};
 use super::membership::MemberAddress;
@@ -23,189 +24,201 @@
 use lease::{Generation, Leases};
 use std::collections::{BTreeMap, HashMap};
 
-/// First and longest wait before a connection that did not come up, or told nothing, is tried again (µs).
-const RETRY: (Micros, Micros) = (20_000, 1_000_000);
-/// The longest such wait while calls stand there, so that their exchange is heard of before their lease is over (µs).
-const RETRY_WITH_CALLS: Micros = 150_000;
-/// A message that has begun on a connection is whole by then, or the connection is of no further use (µs): on the
-/// way of a message of 16 KiB nothing takes that long.
-const HALF: Micros = 300_000;
-/// How often each connection is looked at for silence (µs).
-const LOOK: Micros = 20_000;
-/// With calls at an exchange, its connection is tested after so many of the usual gaps between its messages, within
-/// these bounds (µs).
-const SILENT: (f64, Micros, Micros) = (10.0, 50_000, 300_000);
-/// It is of no further use if nothing comes for so long after that, at the least: within these bounds, as long as
-/// it was silent before or so many times as long as the last set-up took (µs).
-const UNTESTED: (Micros, Micros, Micros) = (4, 80_000, 500_000);
-/// The same at the most, doubled each time one connection after the other falls silent, so that the exchange itself
-/// may be what hangs (µs).
-const HANGS: Micros = 2_400_000;
-/// Weight of one gap between messages in the usual one.
-const GAP_SMOOTH: f64 = 0.1;
-/// A look that comes this much too late shows that this program stood still, and says nothing of the exchange (µs).
-const STOOD_STILL: Micros = 30_000;
-/// For so long after a connection is lost, the set-ups that were out on it are released on the next one (µs). An
-/// answer may have been on its way, and what it took is taken still. Well under the quiet period, after which the
-/// same name may be set up again.
-const RELEASE_RESET: Micros = 400_000;
-/// What an exchange has to tell on a new connection has come by then (µs).
-const SETTLING: Micros = 100_000;
-/// A lease that this program's own standing still has let run out is looked at again this long after (µs).
-const LEASE_GRACE: Micros = 300_000;
-/// A removed exchange has this long to end its calls in words (µs).
-const GONE_GRACE: Micros = 1_000_000;
-/// A release that no connection could carry is kept for this long (µs).
-const OWED_FOR: Micros = 30_000_000;
-/// A probe without an answer has failed after this (µs).
-const PROBE_WAIT: Micros = 300_000;
+/// First delay before the next connection attempt when one failed or was lost early (µs).
+const FIRST_RETRY_DELAY: Micros = 20_000;
+/// Longest such delay (µs).
+const MAX_RETRY_DELAY: Micros = 1_000_000;
+/// Longest such delay while calls are established at the exchange, so that their leases can be renewed in time (µs).
+const MAX_RETRY_DELAY_WITH_CALLS: Micros = 150_000;
+/// A connection on which a message stays incomplete for this long is closed (µs). The transfer of a message of 16 KiB
+/// never takes that long.
+const PARTIAL_MESSAGE_TIMEOUT: Micros = 300_000;
+/// Interval of the liveness checks of a connection (µs).
+const LIVENESS_CHECK_INTERVAL: Micros = 20_000;
+/// While an exchange has calls, its connection is probed when it has been quiet for this many mean interarrival times
+/// of its messages, within the two bounds below.
+const PROBE_AFTER_GAPS: f64 = 10.0;
+/// Lower bound of the quiet time before a probe (µs).
+const MIN_PROBE_AFTER: Micros = 50_000;
+/// Upper bound of the quiet time before a probe (µs).
+const MAX_PROBE_AFTER: Micros = 300_000;
+/// A connection is closed if nothing is received after a probe for as long as the quiet time before it or for this
+/// many times the last set-up time, whichever is longer, within the bounds below.
+const REPLY_TIMEOUT_SETUP_TIMES: Micros = 4;
+/// Lower bound of the wait after a probe (µs).
+const MIN_REPLY_TIMEOUT: Micros = 80_000;
+/// Upper bound of the wait after a probe on the first connection that times out (µs).
+const MAX_FIRST_REPLY_TIMEOUT: Micros = 500_000;
+/// Upper bound of the wait after a probe when it has been doubled for each consecutive connection that timed out, in
+/// case it is the exchange itself that hangs (µs).
+const MAX_REPLY_TIMEOUT: Micros = 2_400_000;
+/// Weight of one interarrival time in their moving average.
+const INTERARRIVAL_WEIGHT: f64 = 0.1;
+/// A check that runs this much later than scheduled shows that this program stalled, and is no evidence against the
+/// exchange (µs).
+const STALL_THRESHOLD: Micros = 30_000;
+/// Set-ups in progress on a lost connection are released on the next one if it is established within this time (µs):
+/// an answer may have been in transit, and its circuits would stay occupied. Well below the quiet period, after which
+/// the same sid may be set up again.
+const RESET_RELEASE_RETENTION: Micros = 400_000;
+/// An exchange has sent the releases that it could not send before within this time after a connection is
+/// established; a connection lost earlier counts as lost early (µs).
+const MIN_STABLE_TIME: Micros = 100_000;
+/// A lease that expired while this program stalled is checked again after this time (µs).
+const STALLED_LEASE_GRACE: Micros = 300_000;
+/// Time that a removed exchange has to release its calls (µs).
+const REMOVAL_GRACE: Micros = 1_000_000;
+/// How long a release is kept while its exchange is not connected (µs).
+const RELEASE_RETENTION: Micros = 30_000_000;
+/// Time after which an unanswered probe has failed (µs).
+const PROBE_TIMEOUT: Micros = 300_000;
 
-/// How a connection came to its end.
+/// Why a connection closed or could not be established.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CloseReason {
-    /// It was refused: nobody listens there.
+    /// Connection refused: nobody listens at the address.
     Refused,
-    /// It never came up for another reason, or not in time.
+    /// It could not be established for another reason, or not in time.
     ConnectFailed,
-    /// The far side ended it in order.
+    /// The peer closed it in an orderly way.
     ClosedByPeer,
-    /// It broke.
+    /// It failed with an error.
     Broken,
-    /// This side ended it.
+    /// This side closed it.
     ClosedLocally,
 }
 
-/// What a deadline of the links is for.
+/// Identifies a timer of the upstream connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpstreamTimer {
-    /// A connection ought to be up by now.
-    Connect(ConnId),
-    /// Try to connect again.
-    Retry(ExchangeId),
-    /// A set-up has waited long enough for a connection.
-    Waiting(CallId, AttemptNumber),
-    /// A removed exchange has had its time.
-    Gone(ExchangeId),
-    /// A probe has had its time.
-    Probe(Sid),
-    /// What began on this connection at that time ought to be whole.
-    Half(ConnId, Micros),
-    /// Look whether a connection is silent; when that was meant to be.
-    Look(ConnId, Micros),
-    /// The lease of a call that stands may be over; when that was meant to be.
-    Lease(ExchangeId, Micros),
+    /// The time to establish a connection.
+    ConnectTimeout(ConnId),
+    /// The delay before the next connection attempt.
+    Reconnect(ExchangeId),
+    /// The time for which a set-up waits for a connection.
+    SetUpWaiting(CallId, AttemptNumber),
+    /// The grace period of a removed exchange.
+    RemovalGrace(ExchangeId),
+    /// The time to answer a probe.
+    ProbeTimeout(Sid),
+    /// The time to complete the message that began on this connection at the given time.
+    PartialMessage(ConnId, Micros),
+    /// The liveness check of a connection, with its scheduled time.
+    LivenessCheck(ConnId, Micros),
+    /// The lease check of an exchange, with its scheduled time.
+    LeaseCheck(ExchangeId, Micros),
 }
 
-/// Why this side ends a connection, for the log.
+/// Why this side closes a connection; written to the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DisconnectReason {
-    /// It did not come up in time.
-    #[error("it did not come up in time")]
+    /// It was not established in time.
+    #[error("connection timed out")]
     ConnectTimeout,
-    /// What came on it could not be read, or stopped within a message.
-    #[error("what comes can't be read")]
+    /// Its data could not be parsed, or a message stayed incomplete.
+    #[error("unreadable or incomplete message")]
     Unreadable,
-    /// Nothing came on it, not even the answer to a test.
-    #[error("nothing comes")]
+    /// Nothing was received on it, not even the answer to a probe.
+    #[error("no answer to a probe")]
     Unresponsive,
     /// Its exchange was removed from the list.
-    #[error("its exchange was removed from the list")]
+    #[error("the exchange was removed from the list")]
     MemberRemoved,
 }
 
-/// What is to be done, or was learnt.
+/// An action or an event for the event loop.
 #[derive(Debug, PartialEq)]
 pub enum UpstreamOutput {
-    /// Open a connection.
+    /// Open a connection to the given member.
     Connect(ConnId, MemberAddress),
-    /// Send a message; `set_up` names the call whose set-up this is.
+    /// Send a message.
     Send {
-        /// On which connection.
+        /// The connection to send it on.
         conn: ConnId,
         /// The message.
         message: Message,
-        /// The call that it sets up.
+        /// The call, if the message is its set-up.
         set_up: Option<CallId>,
     },
-    /// Give up a set-up, unless its line has not left yet: then it must not leave at all.
+    /// Cancel a set-up: discard it if it has not been sent yet, otherwise send `message`.
     CancelSetUp {
-        /// On which connection.
+        /// The connection of the set-up.
         conn: ConnId,
         /// The call.
         call: CallId,
-        /// What to send if the set-up has left.
+        /// The message that cancels a set-up that was sent.
         message: Message,
     },
-    /// Take a set-up back if it has not begun to leave, and say so ([`UpstreamConnections::set_up_withdrawn`]).
+    /// Discard a set-up if no byte of it has been sent, and confirm with [`UpstreamConnections::set_up_withdrawn`].
     WithdrawSetUp {
-        /// On which connection.
+        /// The connection of the set-up.
         conn: ConnId,
         /// The call.
         call: CallId,
         /// The attempt.
         attempt: AttemptNumber,
     },
-    /// End a connection.
+    /// Close a connection at once.
     Disconnect(ConnId, DisconnectReason),
-    /// Come back then.
+    /// Set a timer for the given time.
     SetTimer(Micros, UpstreamTimer),
     /// A set-up was answered.
     Answered(CallId, AttemptNumber, Option<SessionDescription>),
-    /// An attempt ended, or a call that stood is over.
+    /// An attempt or an established call ended.
     Ended(CallId, AttemptNumber, (Ending, Cause), LoadReport),
-    /// Figures of an exchange.
+    /// A load report of an exchange.
     GroupReport(ExchangeId, LoadReport),
     /// A probe failed.
     ProbeFailed(ExchangeId),
-    /// A call of this program's earlier life is over.
+    /// An exchange released a call of the previous run.
     PreviousRunReleased(Sid, u16),
-    /// The connection to this member of the list was given up, and why: for the log.
+    /// The connection to this member was closed for this reason; only for the log.
     ConnectionDropped(String, DisconnectReason),
-    /// So many calls at this member were cut since nothing showed any more that they stand: for the log.
+    /// This many calls at this member were cut because their leases expired; only for the log.
     LeasesExpired(String, usize),
 }
 
-/// Counts of what was odd.
+/// Counters of connection attempts and faults.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct UpstreamCounts {
-    /// Connections asked for.
+    /// Connection attempts.
     pub connects: u64,
     /// Connections that were refused.
     pub refused: u64,
     /// Connections that broke.
     pub broken: u64,
-    /// Connections given up since what came on them could not be read, or stopped within a message.
+    /// Connections closed because of unreadable or incomplete messages.
     pub malformed: u64,
-    /// Connections given up since nothing came on them, not even the answer to a test.
+    /// Connections closed because a probe stayed unanswered.
     pub unresponsive: u64,
-    /// Answers to set-ups that had been given up; each was released.
+    /// Answers to cancelled set-ups; each was released.
     pub late_answers: u64,
-    /// Messages about calls that are not known here.
+    /// Messages about unknown calls.
     pub unknown_call: u64,
-    /// Calls taken as cut since their exchange was found dead.
+    /// Established calls cut because their exchange failed, was removed or restarted.
     pub cut_after_failure: u64,
-    /// Those of them whose lease was over.
+    /// Those of them whose lease expired.
     pub lease_expired: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Stage {
-    /// For a connection.
+    /// Waits for a connection.
     Waiting,
-    /// Its set-up went out on this connection.
+    /// The set-up was sent on this connection.
     Sent(ConnId),
-    /// It stands, and this process at the exchange has it.
-    Standing(Generation),
+    /// The call is established in this generation of the exchange's process.
+    Established(Generation),
 }
 
 #[derive(Debug)]
 struct Attempt {
     call: CallId,
     attempt: AttemptNumber,
-    office: ExchangeId,
+    exchange_id: ExchangeId,
     stage: Stage,
-    began: Micros,
-    /// The set-up, while it waits.
+    started_at: Micros,
+    /// The set-up message, while it waits for a connection.
     message: Option<Message>,
 }
 
@@ -218,98 +231,99 @@
 
 #[derive(Debug)]
 struct Upstream {
-    place: MemberAddress,
+    member_address: MemberAddress,
     state: ListState,
-    started: Option<Micros>,
+    last_start: Option<Micros>,
     connection: ConnectionState,
-    retry: Micros,
-    retry_due: Option<Micros>,
-    /// The last connection broke, and what became of the exchange is not known yet.
-    suspected: bool,
-    /// It was connected and spoke, or could not be connected, at least once.
-    settled: bool,
-    /// When the present connection came up.
-    came_up: Option<Micros>,
-    /// When something was last heard on the present connection.
-    heard: Option<Micros>,
-    /// When the present connection was tested, with nothing heard since.
-    tested: Option<Micros>,
-    /// The usual gap between messages, smoothed (µs), and how long the last set-up took that was answered.
+    retry_delay: Micros,
+    retry_at: Option<Micros>,
+    /// The last connection was lost and the exchange has not been reached since: its process may have crashed.
+    crash_suspected: bool,
+    /// A message was received from it, or a connection closed or failed, at least once.
+    contacted: bool,
+    /// When the current connection was established.
+    connected_at: Option<Micros>,
+    /// When a message was last received on the current connection.
+    last_received: Option<Micros>,
+    /// When the current connection was probed, if nothing was received since.
+    probed_at: Option<Micros>,
+    /// Moving average of the time between messages (µs).
     mean_interarrival: f64,
+    /// Time from the last answered set-up to its answer.
     last_set_up_time: Micros,
-    /// Connections given up for silence, one after the other.
+    /// Consecutive connections closed because a probe stayed unanswered.
     consecutive_timeouts: u32,
-    /// Since when a message has been half there.
-    half: Option<Micros>,
-    /// Releases that no connection could carry, and until when they are kept.
-    owed: Vec<(Micros, Sid)>,
-    /// For how long the calls that stand there are taken to stand.
+    /// Since when a message has been incomplete.
+    partial_since: Option<Micros>,
+    /// Releases to send on the next connection, each with the time until which it is kept.
+    pending_releases: Vec<(Micros, Sid)>,
+    /// The leases of the calls established there.
     leases: Leases,
-    /// The lease is looked at by then at the latest.
-    lease_due: Option<Micros>,
+    /// When the next lease check is scheduled.
+    lease_check_at: Option<Micros>,
 }
 
-/// All links.
+/// The connections to all exchanges, and the attempts and established calls at them.
 #[derive(Debug)]
 pub struct UpstreamConnections {
-    links: BTreeMap<ExchangeId, Upstream>,
-    conns: HashMap<ConnId, ExchangeId>,
-    legs: HashMap<Sid, Attempt>,
-    sids: HashMap<CallId, Sid>,
+    upstreams: BTreeMap<ExchangeId, Upstream>,
+    exchange_by_conn: HashMap<ConnId, ExchangeId>,
+    attempts: HashMap<Sid, Attempt>,
+    sid_by_call: HashMap<CallId, Sid>,
     probes: HashMap<Sid, ExchangeId>,
     connect_timeout: Micros,
-    /// The exchange that this controller runs in: nothing is ever sent there.
-    own: Option<ExchangeNumber>,
+    /// The exchange that this controller runs in; it gets no connection.
+    own_exchange: Option<ExchangeNumber>,
     previous_run: PreviousRun,
-    next_conn: u64,
-    next_probe: u64,
-    out: Vec<UpstreamOutput>,
+    next_conn_id: u64,
+    next_probe_sid: u64,
+    outputs: Vec<UpstreamOutput>,
     counts: UpstreamCounts,
 }
 
 impl UpstreamConnections {
-    /// No links yet. A connection that is not up after `connect_timeout` was not made.
-    pub fn new(now: Micros, connect_timeout: Micros, own: Option<ExchangeNumber>) -> Self {
+    /// Creates a set without connections. A connection that is not established within `connect_timeout` has failed.
+    pub fn new(now: Micros, connect_timeout: Micros, own_exchange: Option<ExchangeNumber>) -> Self {
         UpstreamConnections {
-            links: BTreeMap::new(),
-            conns: HashMap::new(),
-            legs: HashMap::new(),
-            sids: HashMap::new(),
+            upstreams: BTreeMap::new(),
+            exchange_by_conn: HashMap::new(),
+            attempts: HashMap::new(),
+            sid_by_call: HashMap::new(),
             probes: HashMap::new(),
             connect_timeout,
-            own,
+            own_exchange,
             previous_run: PreviousRun::new(now),
-            next_conn: 0,
-            next_probe: 0,
-            out: Vec::new(),
+            next_conn_id: 0,
+            next_probe_sid: 0,
+            outputs: Vec::new(),
             counts: UpstreamCounts::default(),
         }
     }
 
-    /// What is to be done, in order.
+    /// Takes the pending outputs, in the order in which they must be carried out.
     pub fn take_outputs(&mut self) -> Vec<UpstreamOutput> {
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outputs)
     }
 
-    /// Counts since the start.
+    /// Counters since the start.
     pub fn counts(&self) -> UpstreamCounts {
         self.counts
     }
 
-    /// Whether each exchange in service has been heard of, or proved out of reach.
+    /// Whether every exchange in service has been contacted or found unreachable at least once.
     pub fn all_contacted(&self) -> bool {
-        self.links.values().all(|l| l.settled || l.state != ListState::Ready)
+        self.upstreams.values().all(|u| u.contacted || u.state != ListState::Ready)
     }
 
-    /// Whether this office is reached by these links.
-    pub fn contains(&self, office: ExchangeId) -> bool {
-        self.links.contains_key(&office)
+    /// Whether an exchange is among these connections.
+    pub fn contains(&self, exchange_id: ExchangeId) -> bool {
+        self.upstreams.contains_key(&exchange_id)
     }
 
-    /// The links, for the console: office, place, state, whether connected.
+    /// Every exchange with its address, state and whether it is connected, as shown to operators.
     pub fn views(&self) -> impl Iterator<Item = (ExchangeId, &MemberAddress, ListState, bool)> + '_ {
-        self.links
+        self.upstreams
             .iter()
-            .map(|(&o, l)| (o, &l.place, l.state, matches!(l.connection, ConnectionState::Up(_))))
+            .map(|(&id, u)| (id, &u.member_address, u.state, matches!(u.connection, ConnectionState::Up(_))))
     }
 }
