--- a/src/protocol/client/connections.rs
+++ b/src/protocol/client/connections.rs
@@ -1,188 +1,209 @@
-//! Connections from their coming up to their end.
+//! Opening and closing of client connections, and their timers.
 
 use super::*;
 
 impl ClientConnections {
-    /// A connection came up. Guards the descriptors: where there are too many, the least needed one makes room,
-    /// and if all are needed the new one does.
+    /// A client has connected. At the connection limit the least needed connection is closed, or the new one if all
+    /// are needed, so that file descriptors do not run out.
     pub fn opened(&mut self, now: Micros, conn: ConnId) {
-        let over = self.conns.len() >= self.most;
-        let spare = over.then(|| self.least_needed(now)).flatten();
-        let fresh = Conn {
-            open: 0,
-            standing: 0,
-            born: now,
-            used: now,
-            proven: false,
-            turned_away: 0,
-            half: None,
-            used_for_calls: false,
-            ending: false,
+        let at_limit = self.connections.len() >= self.max_connections;
+        let replaceable = at_limit.then(|| self.least_needed(now)).flatten();
+        let connection = ClientConnection {
+            open_set_ups: 0,
+            established: 0,
+            opened_at: now,
+            last_activity: now,
+            ever_established: false,
+            refused: 0,
+            partial_since: None,
+            received_set_up: false,
+            closing: false,
             reading_stopped: false,
         };
-        self.conns.insert(conn, fresh);
-        self.out.push(ClientOutput::SetTimer(now + IDLE_NEW, ClientTimer::Idle(conn)));
-        if over {
+        self.connections.insert(conn, connection);
+        self.outputs.push(ClientOutput::SetTimer(now + IDLE_TIMEOUT_UNUSED, ClientTimer::Idle(conn)));
+        if at_limit {
             self.counts.over_limit += 1;
-            self.end(now, spare.unwrap_or(conn), CloseReason::ConnectionLimit);
+            self.begin_close(now, replaceable.unwrap_or(conn), CloseReason::ConnectionLimit);
         }
     }
 
-    /// One with no open set-up: rather one that never had a call stand, then one on which none stands now, then
-    /// one whose first set-up can't be on its way, and of these the one that has been idle longest.
+    /// The connection to close at the limit: one without open set-ups, preferably one on which no call was ever
+    /// established, then one without established calls, then one whose first set-up can't be in transit any more, and
+    /// of these the one that has been idle longest.
     pub(super) fn least_needed(&self, now: Micros) -> Option<ConnId> {
-        let spare = self.conns.iter().filter(|(_, c)| c.open == 0 && !c.ending);
-        spare.min_by_key(|(_, c)| (c.proven, c.standing > 0, now - c.born < YOUNG, c.used)).map(|(&id, _)| id)
+        let candidates = self.connections.iter().filter(|(_, c)| c.open_set_ups == 0 && !c.closing);
+        candidates
+            .min_by_key(|(_, c)| {
+                (
+                    c.ever_established,
+                    c.established > 0,
+                    now - c.opened_at < FIRST_SET_UP_WAIT,
+                    c.last_activity,
+                )
+            })
+            .map(|(&id, _)| id)
     }
 
-    /// A connection is gone: its unanswered set-ups are given up. No call that stands goes with it, and a release
-    /// that may have crossed its end goes out on another.
+    /// A connection has closed. Returns the calls that were still unanswered on it, which are abandoned. Established
+    /// calls are kept, and releases that may have been lost with the connection are sent on another one.
     pub fn closed(&mut self, now: Micros, conn: ConnId) -> Vec<CallId> {
-        self.conns.remove(&conn);
-        let crossed = |r: &Release| r.sent.last() == Some(&conn);
-        let again: Vec<Sid> = self.releases.iter().filter(|(_, r)| crossed(r)).map(|(&s, _)| s).collect();
-        again.into_iter().for_each(|sid| self.send_release(now, sid, None));
-        let lost = self.open_on(conn);
+        self.connections.remove(&conn);
+        let maybe_lost = |r: &Release| r.sent.last() == Some(&conn);
+        let resend: Vec<Sid> = self.releases.iter().filter(|(_, r)| maybe_lost(r)).map(|(&s, _)| s).collect();
+        resend.into_iter().for_each(|sid| self.send_release(now, sid, None));
+        let lost = self.open_calls_on(conn);
         for &call in &lost {
-            self.give_up(now, call);
+            self.call_cleared(now, call);
         }
-        self.end_drained(now);
+        self.close_drained(now);
         lost
     }
 
-    /// Connections that there are, those that end included.
+    /// Number of connections, including those that are being closed.
     pub fn connections(&self) -> usize {
-        self.conns.len()
+        self.connections.len()
     }
 
-    /// Whether a release of a call that stood has not been heard, nor given up.
+    /// Whether a release is neither confirmed nor past its retry period.
     pub fn has_pending_releases(&self) -> bool {
         !self.releases.is_empty()
     }
 
-    /// From now on a connection is ended once nothing is left on it: no open set-up, no call that stands, and no
-    /// release that has not been heard.
+    /// From now on, closes each connection once it has no open set-up, no established call and no unconfirmed release.
     pub fn drain(&mut self, now: Micros) {
         self.draining = true;
-        self.end_drained(now);
+        self.close_drained(now);
     }
 
-    /// Ends every connection.
+    /// Closes every connection.
     pub fn close_all(&mut self, now: Micros) {
-        let all: Vec<ConnId> = self.conns.keys().copied().collect();
-        all.into_iter().for_each(|conn| self.end(now, conn, CloseReason::Shutdown));
+        let all: Vec<ConnId> = self.connections.keys().copied().collect();
+        all.into_iter().for_each(|conn| self.begin_close(now, conn, CloseReason::Shutdown));
     }
 
-    pub(super) fn end_drained(&mut self, now: Micros) {
+    /// While draining, closes the connections on which nothing is left.
+    pub(super) fn close_drained(&mut self, now: Micros) {
         if !self.draining {
             return;
         }
-        let owing: Vec<ConnId> = self.releases.values().filter_map(|r| r.sent.last().copied()).collect();
-        // One that is new may have its first set-up on the way.
-        let settled = |c: &Conn| c.used_for_calls || now - c.born >= IDLE_NEW;
-        let empty = |c: &Conn| c.open == 0 && c.standing == 0 && c.half.is_none();
-        let drained = |id: &ConnId, c: &Conn| !c.ending && settled(c) && empty(c) && !owing.contains(id);
-        let over: Vec<ConnId> =
-            self.conns.iter().filter(|(id, c)| drained(id, c)).map(|(&id, _)| id).collect();
-        over.into_iter().for_each(|conn| self.end(now, conn, CloseReason::Drained));
+        let unconfirmed: Vec<ConnId> =
+            self.releases.values().filter_map(|r| r.sent.last().copied()).collect();
+        // The first set-up of a new connection may be in transit.
+        let settled = |c: &ClientConnection| c.received_set_up || now - c.opened_at >= IDLE_TIMEOUT_UNUSED;
+        let empty =
+            |c: &ClientConnection| c.open_set_ups == 0 && c.established == 0 && c.partial_since.is_none();
+        let is_drained = |id: &ConnId, c: &ClientConnection| {
+            !c.closing && settled(c) && empty(c) && !unconfirmed.contains(id)
+        };
+        let drained: Vec<ConnId> =
+            self.connections.iter().filter(|(id, c)| is_drained(id, c)).map(|(&id, _)| id).collect();
+        drained.into_iter().for_each(|conn| self.begin_close(now, conn, CloseReason::Drained));
     }
 
-    /// What came on a connection can't be read, so that nothing after it can be either.
+    /// Closes a connection on which unreadable data arrived.
     pub fn protocol_error(&mut self, now: Micros, conn: ConnId) {
         self.counts.malformed += 1;
-        // Nothing that follows on it can be trusted.
-        match self.conns.get_mut(&conn) {
-            Some(c) if !c.ending => {
+        // Nothing that follows on the connection can be trusted.
+        match self.connections.get_mut(&conn) {
+            Some(c) if !c.closing => {
                 c.reading_stopped = true;
-                self.end(now, conn, CloseReason::Unreadable);
+                self.begin_close(now, conn, CloseReason::Unreadable);
             }
             _ => self.reading_stopped(conn),
         }
     }
 
-    /// A message has begun on a connection, or what had begun is whole.
-    pub fn partial_message(&mut self, now: Micros, conn: ConnId, half: bool) {
-        let Some(c) = self.conns.get_mut(&conn) else { return };
-        c.half = half.then_some(now);
-        if half {
-            self.out.push(ClientOutput::SetTimer(now + HALF, ClientTimer::PartialMessage(conn, now)));
+    /// A connection holds the beginning of a message, or the message is now complete.
+    pub fn partial_message(&mut self, now: Micros, conn: ConnId, partial: bool) {
+        let Some(c) = self.connections.get_mut(&conn) else { return };
+        c.partial_since = partial.then_some(now);
+        if partial {
+            self.outputs.push(ClientOutput::SetTimer(
+                now + PARTIAL_MESSAGE_TIMEOUT,
+                ClientTimer::PartialMessage(conn, now),
+            ));
         }
     }
 
-    /// Nothing more is read from a connection that ends: all that was read from it has been taken in.
+    /// Reading from a connection that is being closed has stopped, and everything read from it has been handled.
     pub fn reading_stopped(&mut self, conn: ConnId) {
-        let Some(c) = self.conns.get_mut(&conn) else { return };
+        let Some(c) = self.connections.get_mut(&conn) else { return };
         if !std::mem::replace(&mut c.reading_stopped, true) {
-            self.end_if_answered(conn);
+            self.close_if_answered(conn);
         }
     }
 
-    /// Ends a connection: fails what is open on it, has reading stopped, and closes it once all that was read by then
-    /// is answered. Guards a set-up that crosses the end: either it has not been read, or it is answered.
-    pub(super) fn end(&mut self, now: Micros, conn: ConnId, reason: CloseReason) {
-        let Some(c) = self.conns.get_mut(&conn).filter(|c| !c.ending) else { return };
-        c.ending = true;
-        self.out.push(ClientOutput::Closing(conn, reason));
-        self.out.push(ClientOutput::SetTimer(now + ENDING, ClientTimer::Close(conn)));
-        let first_may_come = !c.used_for_calls && now - c.born < YOUNG;
-        if !c.reading_stopped && first_may_come {
-            // It came up, so that its caller sends: what it sends is answered rather than left unread.
-            self.out.push(ClientOutput::SetTimer(c.born + YOUNG, ClientTimer::StopReading(conn)));
+    /// Begins to close a connection: fails its open set-ups, requests that reading stops, and closes it once everything
+    /// read by then is answered. A set-up that arrives during the close is thus either not read at all or answered.
+    pub(super) fn begin_close(&mut self, now: Micros, conn: ConnId, reason: CloseReason) {
+        let Some(c) = self.connections.get_mut(&conn).filter(|c| !c.closing) else { return };
+        c.closing = true;
+        self.outputs.push(ClientOutput::Closing(conn, reason));
+        self.outputs.push(ClientOutput::SetTimer(now + CLOSE_TIMEOUT, ClientTimer::Close(conn)));
+        let awaiting_first_set_up = !c.received_set_up && now - c.opened_at < FIRST_SET_UP_WAIT;
+        if !c.reading_stopped && awaiting_first_set_up {
+            // A client that has just connected is about to send a set-up, which is answered rather than left unread.
+            self.outputs.push(ClientOutput::SetTimer(
+                c.opened_at + FIRST_SET_UP_WAIT,
+                ClientTimer::StopReading(conn),
+            ));
         } else if !c.reading_stopped {
-            self.out.push(ClientOutput::StopReading(conn));
+            self.outputs.push(ClientOutput::StopReading(conn));
         }
-        let open = self.open_on(conn);
-        self.out.extend(open.into_iter().map(ClientOutput::Fail));
-        self.end_if_answered(conn);
+        let open = self.open_calls_on(conn);
+        self.outputs.extend(open.into_iter().map(ClientOutput::Fail));
+        self.close_if_answered(conn);
     }
 
-    /// The set-ups that wait for their answer on a connection.
-    pub(super) fn open_on(&self, conn: ConnId) -> Vec<CallId> {
-        let on = |h: &ClientCall| h.conn == conn && !h.answered;
-        let mut open: Vec<CallId> = self.calls.iter().filter(|(_, h)| on(h)).map(|(&c, _)| c).collect();
+    /// The unanswered calls of a connection, in the order of their ids.
+    pub(super) fn open_calls_on(&self, conn: ConnId) -> Vec<CallId> {
+        let is_open = |call: &ClientCall| call.conn == conn && !call.answered;
+        let mut open: Vec<CallId> =
+            self.calls.iter().filter(|(_, call)| is_open(call)).map(|(&id, _)| id).collect();
         open.sort_unstable();
         open
     }
 
-    /// A deadline has come.
-    pub fn timer_expired(&mut self, now: Micros, due: ClientTimer) {
-        self.deadline(now, due);
-        self.end_drained(now);
+    /// A timer expired. A timer whose subject has changed since is ignored.
+    pub fn timer_expired(&mut self, now: Micros, timer: ClientTimer) {
+        self.handle_timer(now, timer);
+        self.close_drained(now);
     }
 
-    pub(super) fn deadline(&mut self, now: Micros, due: ClientTimer) {
-        match due {
+    pub(super) fn handle_timer(&mut self, now: Micros, timer: ClientTimer) {
+        match timer {
             ClientTimer::Idle(conn) => {
-                let Some(c) = self.conns.get(&conn).filter(|c| !c.ending) else { return };
-                let limit = if c.proven { IDLE } else { IDLE_NEW };
-                let needed = c.open > 0 || c.standing > 0;
-                if !needed && now - c.used >= limit {
+                let Some(c) = self.connections.get(&conn).filter(|c| !c.closing) else { return };
+                let limit = if c.ever_established { IDLE_TIMEOUT } else { IDLE_TIMEOUT_UNUSED };
+                let needed = c.open_set_ups > 0 || c.established > 0;
+                if !needed && now - c.last_activity >= limit {
                     self.counts.idle += 1;
-                    return self.end(now, conn, CloseReason::Idle);
+                    return self.begin_close(now, conn, CloseReason::Idle);
                 }
-                let at = if needed { now } else { c.used };
-                self.out.push(ClientOutput::SetTimer(at + limit, due));
+                let at = if needed { now } else { c.last_activity };
+                self.outputs.push(ClientOutput::SetTimer(at + limit, timer));
             }
             ClientTimer::PartialMessage(conn, since) => {
-                if self.conns.get(&conn).is_some_and(|c| c.half == Some(since)) {
+                if self.connections.get(&conn).is_some_and(|c| c.partial_since == Some(since)) {
                     self.protocol_error(now, conn);
                 }
             }
             ClientTimer::Close(conn) => {
-                if self.conns.contains_key(&conn) {
-                    self.out.push(ClientOutput::Abort(conn));
+                if self.connections.contains_key(&conn) {
+                    self.outputs.push(ClientOutput::Abort(conn));
                 }
             }
             ClientTimer::StopReading(conn) => {
-                if self.conns.get(&conn).is_some_and(|c| !c.reading_stopped) {
-                    self.out.push(ClientOutput::StopReading(conn));
+                if self.connections.get(&conn).is_some_and(|c| !c.reading_stopped) {
+                    self.outputs.push(ClientOutput::StopReading(conn));
                 }
             }
             ClientTimer::ResendRelease(sid) => match self.releases.get(&sid) {
                 Some(r) if now >= r.until => drop(self.releases.remove(&sid)),
                 Some(_) => {
                     self.send_release(now, sid, None);
-                    self.out.push(ClientOutput::SetTimer(now + UNHEARD, due));
+                    self.outputs.push(ClientOutput::SetTimer(now + RELEASE_CONFIRM_TIMEOUT, timer));
                 }
                 None => {}
             },
--- a/src/protocol/client/messages.rs
+++ b/src/protocol/client/messages.rs
@@ -1,30 +1,30 @@
-//! What clients send.
+//! Messages from clients.
 
 use super::*;
 
 impl ClientConnections {
-    /// A message from a caller.
+    /// Handles a message from a client.
     pub fn message(&mut self, now: Micros, conn: ConnId, message: Message) -> ClientRequest {
-        let Some(c) = self.conns.get_mut(&conn) else { return ClientRequest::None };
-        c.used = now;
-        c.used_for_calls |= message.kind == Kind::Open;
-        let (ending, stopped) = (c.ending, c.reading_stopped);
-        let ask = match (message.kind, message.sid) {
-            (Kind::Open, Some(sid)) if ending => {
-                // It crossed the end of its connection, and has been read.
-                if !stopped && !self.by_sid.contains_key(&sid) {
+        let Some(c) = self.connections.get_mut(&conn) else { return ClientRequest::None };
+        c.last_activity = now;
+        c.received_set_up |= message.kind == Kind::Open;
+        let (closing, reading_stopped) = (c.closing, c.reading_stopped);
+        let request = match (message.kind, message.sid) {
+            (Kind::Open, Some(sid)) if closing => {
+                // The set-up was sent before the client learned that its connection is being closed.
+                if !reading_stopped && !self.call_by_sid.contains_key(&sid) {
                     self.counts.set_up_while_closing += 1;
-                    self.tell(conn, crowded(sid));
+                    self.send(conn, congestion_refusal(sid));
                 }
                 ClientRequest::None
             }
             (Kind::Open, Some(sid)) => {
                 self.previous_run.record(now, sid);
-                self.open(now, conn, sid, message)
+                self.handle_set_up(now, conn, sid, message)
             }
-            (Kind::Close, Some(sid)) => match self.by_sid.get(&sid).copied() {
-                Some(call) if self.may_release(conn, call) => {
-                    self.give_up(now, call);
+            (Kind::Close, Some(sid)) => match self.call_by_sid.get(&sid).copied() {
+                Some(call) if self.may_clear(conn, call) => {
+                    self.call_cleared(now, call);
                     ClientRequest::Clear(call)
                 }
                 None if self.previous_run.may_contain(now, sid) => ClientRequest::ReleasePreviousRun(sid),
@@ -43,51 +43,63 @@
                 ClientRequest::None
             }
         };
-        self.end_drained(now);
-        ask
+        self.close_drained(now);
+        request
     }
 
-    /// A call that stands may be released on any connection; a set-up is given up on its own. Guards callers
-    /// against one that makes up names.
-    pub(super) fn may_release(&self, conn: ConnId, call: CallId) -> bool {
-        self.calls.get(&call).is_some_and(|h| h.answered || h.conn == conn)
+    /// An established call may be released on any connection, a set-up only be cancelled on its own, so that a client
+    /// that makes up sids can't cancel the set-ups of others.
+    pub(super) fn may_clear(&self, conn: ConnId, call: CallId) -> bool {
+        self.calls.get(&call).is_some_and(|call| call.answered || call.conn == conn)
     }
 
-    pub(super) fn open(&mut self, now: Micros, conn: ConnId, sid: Sid, message: Message) -> ClientRequest {
-        if self.by_sid.contains_key(&sid) {
-            // Guards against a second answer to one call: nothing is said about its name.
+    /// Checks a set-up and returns the call to offer, unless it is answered at once.
+    pub(super) fn handle_set_up(
+        &mut self,
+        now: Micros,
+        conn: ConnId,
+        sid: Sid,
+        message: Message,
+    ) -> ClientRequest {
+        if self.call_by_sid.contains_key(&sid) {
+            // No message is sent for the sid: it would be a second answer to the call that has it.
             self.counts.duplicate_sid += 1;
-            self.end(now, conn, CloseReason::DuplicateSid);
+            self.begin_close(now, conn, CloseReason::DuplicateSid);
             return ClientRequest::None;
         }
-        if self.conns.get(&conn).is_some_and(|c| !c.proven && c.open >= OPEN_NEW) {
+        if self
+            .connections
+            .get(&conn)
+            .is_some_and(|c| !c.ever_established && c.open_set_ups >= MAX_OPEN_UNUSED)
+        {
             self.counts.too_many_open += 1;
-            self.turn_away(now, conn, crowded(sid));
+            self.refuse_set_up(now, conn, congestion_refusal(sid));
             return ClientRequest::None;
         }
-        let not_before = self.given_up.not_before(now, sid);
-        match self.offer(&message, not_before) {
+        let earliest_attempt = self.abandoned.earliest_attempt(now, sid);
+        match self.parse_offer(&message, earliest_attempt) {
             Some(offer) => ClientRequest::Offer(sid, message.attrs.get("key").cloned(), Box::new(offer)),
             None => {
-                // A class or a figure that nothing can be made of: failed, not refused, since trying the
-                // same again will not help.
+                // An unknown class or an invalid value: failed rather than refused, since a retry of the same
+                // set-up would not help.
                 self.counts.invalid_set_up += 1;
-                self.turn_away(now, conn, Message::close(sid, cause::NOT_IMPLEMENTED));
+                self.refuse_set_up(now, conn, Message::close(sid, cause::NOT_IMPLEMENTED));
                 ClientRequest::None
             }
         }
     }
 
-    pub(super) fn offer(&self, message: &Message, not_before: Micros) -> Option<OfferedCall> {
+    /// Parses the call of a set-up; `None` if its class or one of its values is invalid.
+    pub(super) fn parse_offer(&self, message: &Message, earliest_attempt: Micros) -> Option<OfferedCall> {
         let class = message.field("class")?;
         let class = self.classes.iter().position(|c| *c == class)?;
-        let patience = message.millis("left").filter(|&p| p <= PATIENCE)?;
+        let remaining_time = message.millis("left").filter(|&p| p <= MAX_REMAINING_TIME)?;
         let extras = message.field("extras").unwrap_or_default();
         let figures = parse_all_pairs(&extras)?;
         let flag = |name: &str| figures.get(name).is_some_and(|&v| v != 0.0);
         let exchange = |v: f64| ((0.0..=65_535.0).contains(&v) && v.fract() == 0.0).then_some(v as u16);
         let width = figures.get("width").copied().unwrap_or(1.0);
-        if !(1.0..=WIDTH).contains(&width) || width.fract() != 0.0 {
+        if !(1.0..=MAX_CIRCUITS).contains(&width) || width.fract() != 0.0 {
             return None;
         }
         let via = match figures.get("via") {
@@ -96,7 +108,7 @@
             Some(&v) => Some(exchange(v)?),
         };
         let key = message.field("key").filter(|k| !k.is_empty());
-        let ask = NewCall {
+        let new_call = NewCall {
             call: CallId(0),
             destination: ExchangeNumber(figures.get("dest").copied().and_then(exchange)?),
             transit: flag("transit"),
@@ -104,32 +116,33 @@
             cut_before: flag("again"),
             number: key.map(|k| number(&k)).filter(|&n| n != 0),
             circuits: width as u32,
-            remaining_time: patience,
+            remaining_time,
             class,
             via: via.map(ExchangeNumber),
-            earliest_attempt: not_before,
+            earliest_attempt,
         };
-        Some(OfferedCall { frontend: self.front, new_call: ask, description: message.text.clone() })
+        Some(OfferedCall { frontend: self.frontend, new_call, description: message.text.clone() })
     }
 
-    /// The core has taken the call that this connection asked for.
+    /// The call of a set-up was offered to the ledger, under this id.
     pub fn call_offered(&mut self, conn: ConnId, sid: Sid, key: Option<Value>, call: CallId) {
-        self.by_sid.insert(sid, call);
+        self.call_by_sid.insert(sid, call);
         self.calls.insert(call, ClientCall { sid, key, conn, answered: false });
-        if let Some(c) = self.conns.get_mut(&conn) {
-            c.open += 1;
+        if let Some(c) = self.connections.get_mut(&conn) {
+            c.open_set_ups += 1;
         }
     }
 }
 
-/// A called number as the module knows it: sixteen hexadecimal digits as they are, others by a hash (FNV-1a).
+/// The called number as passed to the decision module: sixteen hexadecimal digits as their value, others as a hash
+/// (FNV-1a).
 fn number(key: &str) -> u64 {
     Sid::parse(key).map(|s| s.0).unwrap_or_else(|| {
         key.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3))
     })
 }
 
-/// A refusal for want of room, with when to come back.
-fn crowded(sid: Sid) -> Message {
-    Message::close(sid, cause::CONGESTION).with("wait", CROWDED_PAUSE_MS)
+/// A refusal because of congestion, with a retry delay.
+fn congestion_refusal(sid: Sid) -> Message {
+    Message::close(sid, cause::CONGESTION).with("wait", CONGESTION_RETRY_AFTER_MS)
 }
--- a/src/protocol/client/mod.rs
+++ b/src/protocol/client/mod.rs
@@ -1,12 +1,13 @@
-//! The platform's front: what callers send on their connections, and what they are answered, without input
-//! or output.
+//! State machine of the connections from the platform's clients, which set up calls and receive their answers and
+//! releases. It performs no I/O.
 //!
-//! A connection is either in service or ending. One that ends takes nothing more in; its open set-ups are failed,
-//! and once they are answered it is closed. It ends for a fault of its own, or for saying nothing for too long.
+//! A connection is either in service or being closed. While it is being closed no new set-up is accepted on it, its
+//! open set-ups are failed, and it is closed once they are answered. A connection is closed because of protocol
+//! errors, when it has been idle for too long, at the connection limit, or when the program stops.
 
+mod abandoned;
 mod answers;
 mod connections;
-mod given_up;
 mod messages;
 mod releases;
 
@@ -15,230 +16,234 @@
 use crate::fault_injection::{fault_injected, InjectedFault};
 use crate::routing::interface::{CallId, ExchangeNumber, Micros, NewCall};
 use crate::routing::ledger::{Answer, FrontendId, OfferedCall};
-use given_up::GivenUp;
+use abandoned::AbandonedCalls;
 use serde_json::Value;
 use std::collections::{BTreeMap, HashMap};
 
-/// A release that was not heard is sent again for this long (µs).
-const OWED_FOR: Micros = 8_000_000;
-/// A release that was not heard by then goes out on another connection (µs): callers answer each at once.
-const UNHEARD: Micros = 300_000;
-/// A connection without an open set-up is ended after so long without a message, if no call has ever stood on
-/// it (µs).
-const IDLE_NEW: Micros = 1_000_000;
-/// The same where one has, unless one still stands (µs). ClientConnections end such connections after 4 s.
-const IDLE: Micros = 5_000_000;
-/// A message that has begun is whole by then (µs).
-const HALF: Micros = 1_000_000;
-/// A connection that ends has this long to take in what waits for it (µs).
-const ENDING: Micros = 500_000;
-/// A connection this young may have its first set-up on the way (µs).
-const YOUNG: Micros = 100_000;
-/// Set-ups open on a connection on which no call has ever stood; more are refused.
-const OPEN_NEW: usize = 100;
-/// How long a caller keeps away whose set-up is refused for want of room, or crossed the end of its connection (ms).
-const CROWDED_PAUSE_MS: &str = "1000";
-/// Set-ups turned away on a connection on which no call has ever stood, after which it is ended: it may be that it
-/// sends the same again at once, for ever.
-const TURNED_AWAY: u32 = 8;
-/// The longest that a caller may say it waits (µs).
-const PATIENCE: Micros = 600_000_000;
-/// The most circuits that a call may take: what one group of 2 Mbit/s has.
-const WIDTH: f64 = 30.0;
-
-/// What a caller's message asks for.
+/// An unconfirmed release is resent for this long (µs).
+const RELEASE_RETRY_PERIOD: Micros = 8_000_000;
+/// A release not confirmed within this time is resent on another connection (µs). Clients confirm a release at once.
+const RELEASE_CONFIRM_TIMEOUT: Micros = 300_000;
+/// A connection on which no call was ever established is closed after this time without an open set-up and without a
+/// message (µs).
+const IDLE_TIMEOUT_UNUSED: Micros = 1_000_000;
+/// The same for a connection on which calls were established, unless one still is (µs). Clients close such connections
+/// after 4 s.
+const IDLE_TIMEOUT: Micros = 5_000_000;
+/// A connection on which a message stays incomplete for this long is closed (µs).
+const PARTIAL_MESSAGE_TIMEOUT: Micros = 1_000_000;
+/// A connection that is being closed has this long to take the pending output (µs).
+const CLOSE_TIMEOUT: Micros = 500_000;
+/// The first set-up of a connection may be in transit for this long after it was opened (µs).
+const FIRST_SET_UP_WAIT: Micros = 100_000;
+/// Largest number of open set-ups on a connection on which no call was ever established; more are refused.
+const MAX_OPEN_UNUSED: usize = 100;
+/// Retry delay in the refusal of a set-up because of [`MAX_OPEN_UNUSED`], or because it arrived while its connection was
+/// being closed (ms).
+const CONGESTION_RETRY_AFTER_MS: &str = "1000";
+/// A connection on which no call was ever established is closed after this many refused or failed set-ups: its client
+/// might resend the same ones at once, forever.
+const MAX_REFUSED_UNUSED: u32 = 8;
+/// Longest remaining time that a client may state in a set-up (µs).
+const MAX_REMAINING_TIME: Micros = 600_000_000;
+/// Largest number of circuits of a call: those of one 2 Mbit/s trunk group.
+const MAX_CIRCUITS: f64 = 30.0;
+
+/// A request in a client's message that the event loop must carry out.
 #[derive(Debug, PartialEq)]
 pub enum ClientRequest {
-    /// Offer this call to the core, and then [`ClientConnections::call_offered`].
+    /// Offer this call to the ledger, then report its id with [`ClientConnections::call_offered`].
     Offer(Sid, Option<Value>, Box<OfferedCall>),
-    /// The caller gave this call up, or released it.
+    /// The caller cancelled its set-up or released its call.
     Clear(CallId),
-    /// The caller released a call of this program's earlier life.
+    /// The caller released a call of the previous run.
     ReleasePreviousRun(Sid),
-    /// Whether this program is ready for calls.
+    /// Answer whether this program is ready for calls.
     Probe(Option<Sid>),
-    /// Nothing more than the outputs say.
+    /// None; any effects are in the outputs.
     None,
 }
 
-/// Why this side ends a caller's connection, for the log.
+/// Why this side closes a client's connection; written to the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// What came on it could not be read, or stopped within a message.
+    /// Its data could not be parsed, or a message stayed incomplete.
     Unreadable,
-    /// A set-up named a call that is open or stands.
+    /// A set-up used the sid of a call that is open or established.
     DuplicateSid,
-    /// Nothing came for too long.
+    /// No message was received for too long.
     Idle,
-    /// Too many set-ups in a row were turned away.
+    /// Too many of its set-ups were refused or failed and none was established.
     TooManyRefused,
-    /// Too many connections are open.
+    /// The connection limit was reached.
     ConnectionLimit,
-    /// The program stops, and nothing is left on it.
+    /// The program is draining, and nothing is left on the connection.
     Drained,
-    /// The program ends.
+    /// The program is shutting down.
     Shutdown,
 }
 
-/// What is to be done.
+/// An action for the event loop.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClientOutput {
     /// Send a message on this connection.
     Send(ConnId, Message),
-    /// Fail this call, whose caller is not to be served any further.
+    /// Fail this call, because its connection is being closed.
     Fail(CallId),
-    /// This connection takes nothing more in, for this reason.
+    /// This connection is being closed, for this reason; only for the log.
     Closing(ConnId, CloseReason),
-    /// Read no further on this connection than to the end of the present message, and say so
-    /// ([`ClientConnections::reading_stopped`]).
+    /// Stop reading from this connection at the end of the current message, and confirm with
+    /// [`ClientConnections::reading_stopped`].
     StopReading(ConnId),
-    /// Close this connection once what waits on it has gone out.
+    /// Close this connection once its pending output has been sent.
     Close(ConnId),
-    /// Close it at once.
+    /// Close this connection at once.
     Abort(ConnId),
-    /// Come back then.
+    /// Set a timer for the given time.
     SetTimer(Micros, ClientTimer),
 }
 
-/// What a deadline of the front is for.
+/// Identifies a timer of the client connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientTimer {
-    /// Look whether a connection has been idle for too long.
+    /// The idle timeout of a connection.
     Idle(ConnId),
-    /// What began at that time ought to be whole.
+    /// The time to complete the message that began at the given time.
     PartialMessage(ConnId, Micros),
-    /// A connection that ends has had its time.
+    /// The time to close a connection.
     Close(ConnId),
-    /// The first set-up of a connection that ends has come by now, or never will.
+    /// The time to receive the first set-up of a connection that is being closed.
     StopReading(ConnId),
-    /// A release ought to have been heard.
+    /// The time to confirm a release.
     ResendRelease(Sid),
 }
 
-/// Counts of what came in.
+/// Counters of messages, connections and faults.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ClientCounts {
-    /// Set-ups whose class or figures were not usable; each was failed.
+    /// Set-ups with an unknown class or invalid values; each was failed.
     pub invalid_set_up: u64,
-    /// Set-ups that named a call which is open or stands; each ended its connection.
+    /// Set-ups with the sid of a call that is open or established; each closed its connection.
     pub duplicate_sid: u64,
-    /// Set-ups refused since they crossed the end of their connection.
+    /// Set-ups refused because they arrived while their connection was being closed.
     pub set_up_while_closing: u64,
-    /// Set-ups refused since too many were open on a connection that no call has stood on.
+    /// Set-ups refused because too many were open on a connection on which no call was ever established.
     pub too_many_open: u64,
-    /// Releases of calls that are not known here, or not the sender's.
+    /// Releases of calls that are unknown or belong to another client.
     pub unknown_call: u64,
-    /// Messages that callers have no reason to send.
+    /// Messages of types that clients should not send.
     pub unexpected: u64,
-    /// Answers that found their connection gone.
+    /// Answers whose connection had closed.
     pub undeliverable: u64,
-    /// Connections ended for what could not be read, or stopped within a message.
+    /// Connections closed because of unreadable or incomplete messages.
     pub malformed: u64,
-    /// Connections ended since nothing came, or nothing but what was turned away.
+    /// Connections closed because they were idle, or because none of their set-ups was accepted.
     pub idle: u64,
-    /// Connections ended since too many were open.
+    /// Connections closed because of the connection limit.
     pub over_limit: u64,
-    /// Releases sent once more on another connection.
+    /// Releases resent on another connection.
     pub release_resent: u64,
 }
 
 #[derive(Debug)]
 struct ClientCall {
     sid: Sid,
-    /// The called number as it came.
+    /// The called number as received.
     key: Option<Value>,
     conn: ConnId,
     answered: bool,
 }
 
 #[derive(Debug)]
-struct Conn {
-    /// Set-ups that wait for their answer here.
-    open: usize,
-    /// Calls that were set up here and stand.
-    standing: usize,
-    /// When it came up, and when the last message came.
-    born: Micros,
-    used: Micros,
-    /// A call has stood on it.
-    proven: bool,
-    /// Set-ups turned away here.
-    turned_away: u32,
-    /// Since when a message has been half there.
-    half: Option<Micros>,
-    /// A set-up came on it.
-    used_for_calls: bool,
-    /// It takes nothing more in, and is closed once no set-up is open on it and all that was read is answered.
-    ending: bool,
-    /// Nothing more is read from it.
+struct ClientConnection {
+    /// Set-ups on this connection without a final answer.
+    open_set_ups: usize,
+    /// Established calls that were set up on this connection.
+    established: usize,
+    opened_at: Micros,
+    /// When the last message was received.
+    last_activity: Micros,
+    /// Whether a call was ever established on this connection.
+    ever_established: bool,
+    /// Set-ups refused or failed on this connection.
+    refused: u32,
+    /// Since when a message has been incomplete.
+    partial_since: Option<Micros>,
+    /// Whether a set-up was received on this connection.
+    received_set_up: bool,
+    /// Whether the connection is being closed: no new set-ups are accepted, and it closes once all that were read are
+    /// answered.
+    closing: bool,
+    /// Whether reading from it has stopped.
     reading_stopped: bool,
 }
 
-/// The release of a call that stood, until its caller has heard it.
+/// The release of an established call, until its caller confirms it.
 #[derive(Debug)]
 struct Release {
     message: Message,
     until: Micros,
-    /// The connections it went out on, the last one last.
+    /// The connections on which it was sent, the latest last.
     sent: Vec<ConnId>,
 }
 
-/// The front and what it holds.
+/// The connections from clients, with their calls and pending releases.
 #[derive(Debug)]
 pub struct ClientConnections {
-    front: FrontendId,
+    frontend: FrontendId,
     classes: Vec<String>,
-    /// Connections that may be open at once.
-    most: usize,
-    conns: BTreeMap<ConnId, Conn>,
-    by_sid: HashMap<Sid, CallId>,
+    /// Largest number of connections open at once.
+    max_connections: usize,
+    connections: BTreeMap<ConnId, ClientConnection>,
+    call_by_sid: HashMap<Sid, CallId>,
     calls: HashMap<CallId, ClientCall>,
     releases: BTreeMap<Sid, Release>,
     previous_run: PreviousRun,
-    /// Requests given up of late.
-    given_up: GivenUp,
-    /// Connections with nothing left on them are ended.
+    /// Set-ups abandoned recently.
+    abandoned: AbandonedCalls,
+    /// Whether connections are closed once nothing is left on them.
     draining: bool,
-    out: Vec<ClientOutput>,
+    outputs: Vec<ClientOutput>,
     counts: ClientCounts,
 }
 
 impl ClientConnections {
-    /// A front that knows the names of the classes, in their order, and how many connections it may hold.
-    pub fn new(now: Micros, front: FrontendId, classes: Vec<String>, most: usize) -> Self {
+    /// Creates a front end without connections, given the names of the classes in the order of their numbers.
+    pub fn new(now: Micros, frontend: FrontendId, classes: Vec<String>, max_connections: usize) -> Self {
         ClientConnections {
-            front,
+            frontend,
             classes,
-            most,
-            conns: BTreeMap::new(),
-            by_sid: HashMap::new(),
+            max_connections,
+            connections: BTreeMap::new(),
+            call_by_sid: HashMap::new(),
             calls: HashMap::new(),
             releases: BTreeMap::new(),
             previous_run: PreviousRun::new(now),
-            given_up: GivenUp::default(),
+            abandoned: AbandonedCalls::default(),
             draining: false,
-            out: Vec::new(),
+            outputs: Vec::new(),
             counts: ClientCounts::default(),
         }
     }
 
-    /// The same, where an attempt that ended uncertainly is followed by no other of its request for so long (µs).
+    /// Sets the quiet period: the time before a set-up whose attempt ended with an unknown result may be attempted
+    /// again (µs).
     pub fn with_quiet_period(self, quiet: Micros) -> Self {
-        ClientConnections { given_up: GivenUp::new(quiet), ..self }
+        ClientConnections { abandoned: AbandonedCalls::new(quiet), ..self }
     }
 
-    /// What is to be done, in order.
+    /// Takes the pending outputs, in the order in which they must be carried out.
     pub fn take_outputs(&mut self) -> Vec<ClientOutput> {
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outputs)
     }
 
-    /// Counts since the start.
+    /// Counters since the start.
     pub fn counts(&self) -> ClientCounts {
         self.counts
     }
 
-    /// The name of a call and the number called, as they came.
+    /// The sid of a call and the called number, as received.
     pub fn sid_and_number(&self, call: CallId) -> Option<(Sid, Option<Value>)> {
-        self.calls.get(&call).map(|h| (h.sid, h.key.clone()))
+        self.calls.get(&call).map(|call| (call.sid, call.key.clone()))
     }
 }
--- a/src/protocol/client/releases.rs
+++ b/src/protocol/client/releases.rs
@@ -1,62 +1,72 @@
-//! Releases of calls that stood, until they are heard, and the one place where a call is given back.
+//! Releases of established calls, which are resent until confirmed, and the removal of calls.
 
 use super::*;
 
 impl ClientConnections {
-    /// The release of a call that stood: on the connection of its set-up, else on another, until it is heard.
+    /// Releases an established call towards its caller: on the connection of its set-up if possible, and on other
+    /// connections until the caller confirms it.
     pub fn release(&mut self, now: Micros, call: CallId, cut: bool) {
-        let Some(held) = self.remove(call) else { return };
+        let Some(client_call) = self.remove_call(call) else { return };
         if fault_injected(InjectedFault::ReleaseLost) {
             return;
         }
         let code = if cut { cause::TEMPORARY_FAILURE } else { cause::NORMAL };
-        self.owe(now, held.sid, code, Some(held.conn));
+        self.add_release(now, client_call.sid, code, Some(client_call.conn));
     }
 
-    /// The release of a call that stood in an earlier life of this program.
+    /// Releases a call of the previous run towards its caller.
     pub fn release_previous_run(&mut self, now: Micros, sid: Sid, code: u16) {
-        if !self.by_sid.contains_key(&sid) && self.previous_run.may_contain(now, sid) {
-            self.owe(now, sid, code, None);
+        if !self.call_by_sid.contains_key(&sid) && self.previous_run.may_contain(now, sid) {
+            self.add_release(now, sid, code, None);
         }
     }
 
-    pub(super) fn owe(&mut self, now: Micros, sid: Sid, code: u16, own: Option<ConnId>) {
-        let release = Release { message: Message::close(sid, code), until: now + OWED_FOR, sent: Vec::new() };
+    /// Sends a release and schedules its retransmission.
+    pub(super) fn add_release(&mut self, now: Micros, sid: Sid, code: u16, own: Option<ConnId>) {
+        let release = Release {
+            message: Message::close(sid, code),
+            until: now + RELEASE_RETRY_PERIOD,
+            sent: Vec::new(),
+        };
         self.releases.insert(sid, release);
         self.send_release(now, sid, own);
-        self.out.push(ClientOutput::SetTimer(now + UNHEARD, ClientTimer::ResendRelease(sid)));
+        self.outputs
+            .push(ClientOutput::SetTimer(now + RELEASE_CONFIRM_TIMEOUT, ClientTimer::ResendRelease(sid)));
     }
 
-    /// Sends a release on its own connection, else on one that it has not gone out on yet: one that calls have
-    /// stood on, since any other may be of somebody who does not know the call.
+    /// Sends a release on the connection `own` if possible, otherwise on one on which it has not been sent yet;
+    /// preferably one on which calls were established, since another may belong to a client that does not know the
+    /// call.
     pub(super) fn send_release(&mut self, now: Micros, sid: Sid, own: Option<ConnId>) {
         let Some(release) = self.releases.get_mut(&sid).filter(|r| now < r.until) else { return };
-        let serves = |id: &ConnId, c: &Conn| !c.ending && !release.sent.contains(id);
-        let others = self.conns.iter().filter(|(id, c)| serves(id, c));
-        let own = own.filter(|c| self.conns.get(c).is_some_and(|c| !c.ending));
-        let best = others.max_by_key(|(&id, c)| (Some(id) == own, c.proven, c.used)).map(|(&id, _)| id);
+        let usable = |id: &ConnId, c: &ClientConnection| !c.closing && !release.sent.contains(id);
+        let candidates = self.connections.iter().filter(|(id, c)| usable(id, c));
+        let own = own.filter(|c| self.connections.get(c).is_some_and(|c| !c.closing));
+        let best = candidates
+            .max_by_key(|(&id, c)| (Some(id) == own, c.ever_established, c.last_activity))
+            .map(|(&id, _)| id);
         if let Some(conn) = best {
             self.counts.release_resent += u64::from(!release.sent.is_empty());
             release.sent.push(conn);
-            self.out.push(ClientOutput::Send(conn, release.message.clone()));
+            self.outputs.push(ClientOutput::Send(conn, release.message.clone()));
         }
     }
 
-    /// Its caller gave a call up, or released it.
-    pub(super) fn give_up(&mut self, now: Micros, call: CallId) {
-        if let Some(held) = self.remove(call).filter(|h| !h.answered) {
-            self.given_up.note(now, held.sid);
+    /// The caller cancelled its set-up or released its call.
+    pub(super) fn call_cleared(&mut self, now: Micros, call: CallId) {
+        if let Some(client_call) = self.remove_call(call).filter(|call| !call.answered) {
+            self.abandoned.record(now, client_call.sid);
         }
     }
 
-    /// The one place where a call is given back.
-    pub(super) fn remove(&mut self, call: CallId) -> Option<ClientCall> {
-        let held = self.calls.remove(&call)?;
-        self.by_sid.remove(&held.sid);
-        if let Some(c) = self.conns.get_mut(&held.conn) {
-            let count = if held.answered { &mut c.standing } else { &mut c.open };
+    /// Removes a call and updates the counts of its connection. The only place that does so.
+    pub(super) fn remove_call(&mut self, call: CallId) -> Option<ClientCall> {
+        let client_call = self.calls.remove(&call)?;
+        self.call_by_sid.remove(&client_call.sid);
+        if let Some(c) = self.connections.get_mut(&client_call.conn) {
+            let count = if client_call.answered { &mut c.established } else { &mut c.open_set_ups };
             *count = count.saturating_sub(1);
         }
-        Some(held)
+        Some(client_call)
     }
 }
