--- a/src/protocol/json_lines.rs
+++ b/src/protocol/json_lines.rs
@@ -1,4 +1,4 @@
-//! The platform's messages: one JSON object a line.
+//! The platform's messages: one JSON object per line.
 
 use crate::routing::interface::{LoadReport, Micros};
 use crate::routing::ledger::SessionDescription;
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, HashSet};
 use std::fmt;
 
-/// The longest message, without its line feed.
+/// Largest size of a message, without its line feed (bytes).
 pub const MAX_MESSAGE_BYTES: usize = 16 * 1024;
 
 /// The type of a message.
@@ -16,32 +16,32 @@
 pub enum Kind {
     /// A set-up.
     Open,
-    /// Progress; means nothing.
+    /// Progress; ignored.
     Trying,
-    /// An answer: the call stands.
+    /// The answer: the call is established.
     Ready,
-    /// A refusal, a set-up given up, or the release of a call that stands.
+    /// The refusal or failure of a set-up, the cancellation of a set-up, or the release of an established call.
     Close,
-    /// A release was heard.
+    /// Confirms a release.
     Closed,
-    /// A test.
+    /// A probe.
     Probe,
-    /// The result of a test.
+    /// The answer to a probe.
     Probed,
-    /// The state of a group.
+    /// The state of a trunk group.
     Status,
 }
 
-/// The name of a call: sixteen hexadecimal digits.
+/// The identifier of a call on the wire: sixteen hexadecimal digits.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Sid(pub u64);
 
 impl Sid {
-    /// Reads sixteen hexadecimal digits; capitals are no part of the form, since the name goes back as it was.
+    /// Parses sixteen hexadecimal digits. Capitals are rejected, since the sid is sent back in lower case.
     pub fn parse(text: &str) -> Option<Sid> {
-        let lower = |b: u8| b.is_ascii_digit() || (b'a'..=b'f').contains(&b);
-        let good = text.len() == 16 && text.bytes().all(lower);
-        good.then(|| u64::from_str_radix(text, 16).ok().map(Sid)).flatten()
+        let is_lower_hex = |b: u8| b.is_ascii_digit() || (b'a'..=b'f').contains(&b);
+        let valid = text.len() == 16 && text.bytes().all(is_lower_hex);
+        valid.then(|| u64::from_str_radix(text, 16).ok().map(Sid)).flatten()
     }
 }
 
@@ -59,7 +59,7 @@
 
 /// Release causes, by their ITU-T Q.850 numbers.
 pub mod cause {
-    /// Normal clearing; before the answer: the set-up is given up.
+    /// Normal clearing; before the answer, a cancelled set-up.
     pub const NORMAL: u16 = 16;
     /// User busy.
     pub const USER_BUSY: u16 = 17;
@@ -77,18 +77,18 @@
     pub const TIMER_EXPIRY: u16 = 102;
 }
 
-/// Why a line is no message.
+/// Why a line could not be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LineError {
-    /// It is longer than a message may be.
-    #[error("longer than {MAX_MESSAGE_BYTES} bytes")]
+    /// It is longer than [`MAX_MESSAGE_BYTES`].
+    #[error("line is longer than {MAX_MESSAGE_BYTES} bytes")]
     TooLong,
-    /// It is not the JSON of a message.
+    /// It is not a message in JSON.
     #[error("not a message: {0}")]
     Malformed(String),
-    /// Its call is not named by sixteen hexadecimal digits.
-    #[error("bad sid")]
-    BadSid,
+    /// Its sid is missing, or is not sixteen lower-case hexadecimal digits.
+    #[error("missing or invalid sid")]
+    InvalidSid,
 }
 
 /// A message.
@@ -96,13 +96,13 @@
 pub struct Message {
     /// Its type.
     pub kind: Kind,
-    /// The call, or the test, that it is about; a group's state may be about none.
+    /// The call or probe that it refers to; optional in messages about trunk groups and probes.
     pub sid: Option<Sid>,
     /// Its fields.
     pub attrs: BTreeMap<String, Value>,
-    /// The cause.
+    /// The release cause, or the result of a probe.
     pub code: Option<u16>,
-    /// The description.
+    /// The session description.
     pub text: Option<SessionDescription>,
 }
 
@@ -132,12 +132,12 @@
 }
 
 impl Message {
-    /// A message without fields.
+    /// Creates a message without fields.
     pub fn new(kind: Kind, sid: Option<Sid>) -> Message {
         Message { kind, sid, attrs: BTreeMap::new(), code: None, text: None }
     }
 
-    /// A release, refusal or giving up.
+    /// Creates a release, a refusal or a cancellation.
     pub fn close(sid: Sid, code: u16) -> Message {
         Message { code: Some(code), ..Message::new(Kind::Close, Some(sid)) }
     }
@@ -148,36 +148,36 @@
         self
     }
 
-    /// Reads a line, without its line feed.
+    /// Parses a line without its line feed.
     pub fn parse(line: &[u8]) -> Result<Message, LineError> {
         let raw: Incoming = serde_json::from_slice(line).map_err(|e| LineError::Malformed(e.to_string()))?;
         let sid = match raw.sid.as_deref() {
-            None if raw.kind_needs_sid() => return Err(LineError::BadSid),
+            None if raw.kind_needs_sid() => return Err(LineError::InvalidSid),
             None | Some("") if !raw.kind_needs_sid() => None,
-            Some(text) => Some(Sid::parse(text).ok_or(LineError::BadSid)?),
+            Some(text) => Some(Sid::parse(text).ok_or(LineError::InvalidSid)?),
             None => None,
         };
         let attrs = raw.attrs.unwrap_or_default();
-        let plain = |v: &Value| v.is_string() || v.is_number();
-        if let Some((name, _)) = attrs.iter().find(|(_, v)| !plain(v)) {
+        let is_scalar = |v: &Value| v.is_string() || v.is_number();
+        if let Some((name, _)) = attrs.iter().find(|(_, v)| !is_scalar(v)) {
             return Err(LineError::Malformed(format!("field {name} is neither a string nor a number")));
         }
         let text = raw.text.map(|t| SessionDescription(t.into()));
         Ok(Message { kind: raw.msg, sid, attrs, code: raw.code, text })
     }
 
-    /// The line, with its line feed.
+    /// Serializes the message to a line with its line feed.
     pub fn to_line(&self) -> Vec<u8> {
         let text = self.text.as_ref().map(|t| &*t.0);
         let sid = self.sid.map(|s| s.to_string());
         let out = Outgoing { msg: self.kind, sid, attrs: &self.attrs, code: self.code, text };
-        // Strings and numbers under string keys always have a JSON form.
+        // Serialization of strings and numbers under string keys can't fail.
         let mut line = serde_json::to_vec(&out).unwrap_or_default();
         line.push(b'\n');
         line
     }
 
-    /// A field as text, be it a string or a number.
+    /// A field as text, whether it is a string or a number.
     pub fn field(&self, name: &str) -> Option<String> {
         match self.attrs.get(name)? {
             Value::String(s) => Some(s.clone()),
@@ -186,7 +186,7 @@
         }
     }
 
-    /// A field in milliseconds.
+    /// A field in milliseconds, converted to microseconds.
     pub fn millis(&self, name: &str) -> Option<Micros> {
         let ms: f64 = self.field(name)?.trim().parse().ok()?;
         (ms.is_finite() && ms >= 0.0).then_some((ms.min(1e9) * 1000.0) as Micros)
@@ -204,7 +204,7 @@
     }
 }
 
-/// Splits `a:1;b:2` into its pairs.
+/// Parses `a:1;b:2` into its pairs; invalid ones are skipped.
 pub fn parse_pairs(text: &str) -> impl Iterator<Item = (&str, f64)> {
     let pair = |p: &'_ str| -> Option<(usize, f64)> {
         let at = p.find(':')?;
@@ -213,113 +213,113 @@
     text.split(';').filter_map(move |p| pair(p).map(|(at, v)| (p[..at].trim(), v)))
 }
 
-/// Reads `a:1;b:2` where every pair must be one of a name and a figure.
+/// Parses `a:1;b:2`; `None` if any pair is invalid or a name occurs twice.
 pub fn parse_all_pairs(text: &str) -> Option<BTreeMap<&str, f64>> {
     let parts = text.split(';').map(str::trim).filter(|p| !p.is_empty());
-    let whole = parts.clone().count();
-    let read: BTreeMap<&str, f64> = parts.flat_map(parse_pairs).collect();
-    (read.len() == whole).then_some(read)
+    let expected = parts.clone().count();
+    let parsed: BTreeMap<&str, f64> = parts.flat_map(parse_pairs).collect();
+    (parsed.len() == expected).then_some(parsed)
 }
 
-/// Reads a load report. Figures below 0 were not told; names that are unknown are passed over.
+/// Parses a load report. Negative values mean that a value is unknown; unknown names are skipped.
 pub fn parse_load_report(text: &str) -> LoadReport {
-    let mut r = LoadReport::default();
+    let mut report = LoadReport::default();
     for (name, value) in parse_pairs(text).filter(|p| p.1 >= 0.0) {
         match name {
-            "x0" | "spare" => r.free = Some(value),
-            "x1" | "total" => r.size = Some(value),
-            "inflight" | "active" => r.active = Some(value),
-            "queue" | "waiting" => r.waiting = Some(value),
-            "util" | "cpu" => r.busy = Some(value),
-            "latency_ms" | "avg_ms" => r.wait = Some((value.min(1e9) * 1000.0) as Micros),
-            "qps" | "allowed" => r.allowed_rate = Some(value),
-            "eps" | "cut_by" => r.reduction = Some(value),
+            "x0" | "spare" => report.free = Some(value),
+            "x1" | "total" => report.size = Some(value),
+            "inflight" | "active" => report.active = Some(value),
+            "queue" | "waiting" => report.waiting = Some(value),
+            "util" | "cpu" => report.busy = Some(value),
+            "latency_ms" | "avg_ms" => report.wait = Some((value.min(1e9) * 1000.0) as Micros),
+            "qps" | "allowed" => report.allowed_rate = Some(value),
+            "eps" | "cut_by" => report.reduction = Some(value),
             _ => {}
         }
     }
-    r
+    report
 }
 
-/// Tells names of this program's life from those of the life before it: calls that stood through a restart are
-/// released by messages about names that this life has never met. After a while no such call is left.
+/// Recognizes sids of calls that were established in the previous run of this program: the releases of such calls carry
+/// sids that this run has not seen. After a while no such call is left.
 #[derive(Debug)]
 pub struct PreviousRun {
     until: Micros,
-    met: HashSet<Sid>,
+    sids: HashSet<Sid>,
 }
 
-/// Calls of an earlier life are looked out for this long (µs).
-const EARLIER: Micros = 90_000_000;
-/// Names kept meanwhile; with more than that, none counts as earlier.
-const MET: usize = 200_000;
+/// How long after the start calls of the previous run are expected (µs).
+const PREVIOUS_RUN_PERIOD: Micros = 90_000_000;
+/// Largest number of sids recorded in this time; beyond it, no sid counts as one of the previous run.
+const MAX_SIDS: usize = 200_000;
 
 impl PreviousRun {
-    /// A life that begins now.
+    /// Starts the period at the start of the program.
     pub fn new(now: Micros) -> Self {
-        PreviousRun { until: now + EARLIER, met: HashSet::new() }
+        PreviousRun { until: now + PREVIOUS_RUN_PERIOD, sids: HashSet::new() }
     }
 
-    /// Notes a name of this life.
+    /// Records a sid of this run.
     pub fn record(&mut self, now: Micros, sid: Sid) {
-        if now >= self.until || self.met.len() >= MET {
-            (self.until, self.met) = (now, HashSet::new());
+        if now >= self.until || self.sids.len() >= MAX_SIDS {
+            (self.until, self.sids) = (now, HashSet::new());
         } else {
-            self.met.insert(sid);
+            self.sids.insert(sid);
         }
     }
 
-    /// Whether a name may be one of the earlier life.
+    /// Whether a sid may be one of the previous run.
     pub fn may_contain(&self, now: Micros, sid: Sid) -> bool {
-        now < self.until && !self.met.contains(&sid)
+        now < self.until && !self.sids.contains(&sid)
     }
 }
 
-/// Cuts a stream of bytes into lines. Guards against a line without an end: what is longer than a message is
-/// told once, and nothing after it is kept or read.
+/// Splits a stream of bytes into lines. Memory is bounded: a line that is too long is reported once, and everything
+/// after it is discarded.
 #[derive(Debug, Default)]
 pub struct LineSplitter {
-    rest: Vec<u8>,
-    /// A line was too long; where the next one begins can't be known.
-    spent: bool,
+    buffer: Vec<u8>,
+    /// A line was too long, so that the stream can't be split any further.
+    failed: bool,
 }
 
 impl LineSplitter {
-    /// Adds bytes and gives each line that they complete; empty lines are passed over.
-    pub fn push(&mut self, mut bytes: &[u8], mut each: impl FnMut(Result<&[u8], LineError>)) {
-        while !self.spent && !bytes.is_empty() {
+    /// Adds bytes and passes each line that they complete to `on_line`; empty lines are skipped.
+    pub fn push(&mut self, mut bytes: &[u8], mut on_line: impl FnMut(Result<&[u8], LineError>)) {
+        while !self.failed && !bytes.is_empty() {
             let end = bytes.iter().position(|&b| b == b'\n');
             let (head, tail) = bytes.split_at(end.unwrap_or(bytes.len()));
-            // One byte more may be a carriage return.
-            if self.rest.len() + head.len() > MAX_MESSAGE_BYTES + 1 {
-                self.rest = Vec::new();
-                self.spent = true;
-                return each(Err(LineError::TooLong));
+            // One additional byte, in case the line ends with a carriage return.
+            if self.buffer.len() + head.len() > MAX_MESSAGE_BYTES + 1 {
+                self.buffer = Vec::new();
+                self.failed = true;
+                return on_line(Err(LineError::TooLong));
             }
             if end.is_none() {
-                return self.rest.extend_from_slice(head);
+                return self.buffer.extend_from_slice(head);
             }
             bytes = &tail[1..];
-            let whole = if self.rest.is_empty() {
+            let whole = if self.buffer.is_empty() {
                 head
             } else {
-                self.rest.extend_from_slice(head);
-                &self.rest
+                self.buffer.extend_from_slice(head);
+                &self.buffer
             };
             let line = whole.strip_suffix(b"\r").unwrap_or(whole);
             match line.len() {
                 0 => {}
                 n if n > MAX_MESSAGE_BYTES => {
-                    self.spent = true;
-                    each(Err(LineError::TooLong));
+                    self.failed = true;
+                    on_line(Err(LineError::TooLong));
                 }
-                _ => each(Ok(line)),
+                _ => on_line(Ok(line)),
             }
-            self.rest.clear();
+            self.buffer.clear();
         }
     }
 
-    /// Whether a line has begun and not ended.
+    /// Whether the buffer holds the beginning of a line.
     pub fn has_partial_line(&self) -> bool {
-        !self.rest.is_empty()
+        !self.buffer.is_empty()
     }
 }
--- a/src/protocol/membership.rs
+++ b/src/protocol/membership.rs
@@ -1,5 +1,4 @@
-//! The coordinator's list of exchanges: the JSON of its events, and the names that the core uses for the
-//! exchanges in it.
+//! The coordinator's list of exchanges: parses its events and assigns an [`ExchangeId`] to each member.
 
 use crate::fault_injection::{fault_injected, InjectedFault};
 use crate::routing::interface::{ExchangeId, ExchangeNumber, ListEntry, ListState, ListUpdate};
@@ -7,14 +6,14 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Why an event of the coordinator could not be used.
+/// Why an event of the coordinator could not be parsed.
 #[derive(Debug, thiserror::Error)]
 pub enum ListError {
-    /// It is not the JSON of an event.
+    /// It is not an event in JSON.
     #[error("not a list event: {0}")]
     Json(#[from] serde_json::Error),
-    /// The address of a member is none.
-    #[error("member {0}: bad address {1:?}")]
+    /// The address of a member is invalid.
+    #[error("member {0}: invalid address {1:?}")]
     Address(String, String),
 }
 
@@ -56,53 +55,55 @@
     Removed,
 }
 
-/// What a member of the list is called and where it is reached.
+/// The name and address of a member of the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberAddress {
-    /// The coordinator's name of it.
+    /// Its name at the coordinator.
     pub member: String,
     /// Its address.
     pub address: SocketAddr,
 }
 
-/// News of the list, with the addresses of the members that it names.
+/// An update of the list, with the addresses of its members.
 #[derive(Debug)]
 pub struct ParsedUpdate {
-    /// The event's number, if it bears one.
+    /// The number of the event, if it has one.
     pub index: Option<u64>,
-    /// For the core.
+    /// The update for the ledger.
     pub list_update: ListUpdate,
-    /// Where the members are, in the order of the entries.
+    /// The addresses of the members, in the order of the entries.
     pub addresses: Vec<MemberAddress>,
 }
 
-/// Gives each member a name of the core's kind. An exchange that is new may have the address of one that has
-/// gone, so that the address can't be the name.
+/// Assigns an id to each member. The id is not derived from the address, since a new machine may have the address of one
+/// that was removed.
 #[derive(Debug, Default)]
 pub struct MemberIds {
-    names: BTreeMap<String, ExchangeId>,
-    next: u32,
+    id_by_member: BTreeMap<String, ExchangeId>,
+    last_id: u32,
     zones: Vec<String>,
-    begun: bool,
+    received_list: bool,
 }
 
 impl MemberIds {
-    /// A member_ids that knows the names of the zones, in their order.
+    /// Creates an empty set, given the names of the zones in the order of their numbers.
     pub fn new(zones: Vec<String>) -> Self {
         MemberIds { zones, ..MemberIds::default() }
     }
 
-    fn exchange_id(&mut self, member: &str) -> ExchangeId {
-        if let Some(&exchange_id) = self.names.get(member) {
+    /// The id of a member, assigned when it is first seen.
+    fn assign_id(&mut self, member: &str) -> ExchangeId {
+        if let Some(&exchange_id) = self.id_by_member.get(member) {
             return exchange_id;
         }
-        self.next += 1;
-        let exchange_id = ExchangeId { addr: self.next.to_be_bytes(), port: 0 };
-        self.names.insert(member.to_owned(), exchange_id);
+        self.last_id += 1;
+        let exchange_id = ExchangeId { addr: self.last_id.to_be_bytes(), port: 0 };
+        self.id_by_member.insert(member.to_owned(), exchange_id);
         exchange_id
     }
 
-    /// Reads the JSON of an event. `cached`: it is from before the start, maybe old.
+    /// Parses an event in JSON. A `cached` one was stored before the start and may be outdated. The first event counts as
+    /// a complete list.
     pub fn parse_event(&mut self, json: &str, cached: bool) -> Result<ParsedUpdate, ListError> {
         let event: Event = serde_json::from_str(json)?;
         let mut entries = Vec::with_capacity(event.endpoints.members.len());
@@ -118,20 +119,20 @@
                 Phase::Removed => ListState::Gone,
             };
             let last_start = (m.up_since_ms > 0.0).then_some((m.up_since_ms * 1000.0) as i64);
-            // Guards memory: machines are replaced for as long as the program runs, each under a new name. One that
-            // is removed gives its name back, and is update only if it was known.
+            // Ids of removed members are freed, since every replacement machine has a new name and memory would grow
+            // without limit. The removal of an unknown member is skipped.
             let exchange_id = match state {
-                ListState::Gone => self.names.remove(&m.id),
-                _ => Some(self.exchange_id(&m.id)),
+                ListState::Gone => self.id_by_member.remove(&m.id),
+                _ => Some(self.assign_id(&m.id)),
             };
             let (exchange, Some(exchange_id)) = (ExchangeNumber(m.cell), exchange_id) else { continue };
             entries.push(ListEntry { exchange, zone, state, exchange_id, last_start });
             addresses.push(MemberAddress { member: m.id, address });
         }
-        let complete = event.endpoints.complete || !self.begun;
-        self.begun = true;
+        let complete = event.endpoints.complete || !self.received_list;
+        self.received_list = true;
         if complete {
-            self.names
+            self.id_by_member
                 .retain(|_, exchange_id| entries.iter().any(|e: &ListEntry| e.exchange_id == *exchange_id));
         }
         let list_update = match (complete, cached) {
@@ -154,7 +155,7 @@
     }
 
     #[test]
-    fn names_of_replaced_machines_are_given_back_and_a_removal_is_told_once() {
+    fn ids_of_replaced_machines_are_freed_and_a_removal_is_reported_once() {
         let mut member_ids = MemberIds::new(Vec::new());
         let mut seen = std::collections::BTreeSet::new();
         member_ids.parse_event(&event(true, &[("s-0", "up")]), true).unwrap();
@@ -164,12 +165,12 @@
             let update = member_ids.parse_event(&text, false).unwrap();
             let ListUpdate::Changes(entries) = update.list_update else { panic!("not a change") };
             assert_eq!((entries.len(), entries[1].exchange_id), (3, entries[2].exchange_id));
-            assert!(seen.insert(entries[0].exchange_id), "a new machine at an old address is another one");
+            assert!(seen.insert(entries[0].exchange_id), "a new machine at an old address gets a new id");
             let again = member_ids.parse_event(&event(false, &[(&old, "removed")]), false).unwrap();
             assert!(again.addresses.is_empty());
-            assert_eq!(member_ids.names.len(), 1);
+            assert_eq!(member_ids.id_by_member.len(), 1);
         }
         member_ids.parse_event(&event(true, &[("s-a", "up"), ("s-b", "up")]), false).unwrap();
-        assert_eq!(member_ids.names.len(), 2, "what a whole list leaves out is gone too");
+        assert_eq!(member_ids.id_by_member.len(), 2, "members missing from a complete list are removed");
     }
 }
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,5 +1,5 @@
-//! Wire formats and the states of connections, without input or output: bytes or messages go in, bytes or
-//! messages come out.
+//! Wire formats and the state machines of connections. Nothing here performs I/O: bytes and messages are passed in,
+//! bytes, messages and requested actions are returned.
 
 pub mod client;
 pub mod json_lines;
@@ -11,6 +11,6 @@
 pub mod text_settings;
 pub mod upstream;
 
-/// Names one connection of this program, for as long as the program runs.
+/// Identifies a connection, uniquely within its side and this run of the program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnId(pub u64);
--- a/src/protocol/otlp.rs
+++ b/src/protocol/otlp.rs
@@ -1,4 +1,4 @@
-//! OTLP: requests for metrics and spans, and what a collector's response means, without input or output.
+//! OTLP export: encodes requests for metrics and spans, and interprets a collector's responses. It performs no I/O.
 
 use crate::routing::interface::Micros;
 use opentelemetry_proto::tonic::collector::metrics::v1::{
@@ -18,7 +18,7 @@
 };
 use prost::Message;
 
-/// Which of the two requests.
+/// The signal that a request exports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
     /// Metrics.
@@ -28,7 +28,7 @@
 }
 
 impl Signal {
-    /// The path under the collector's address.
+    /// The path of its requests at the collector.
     pub fn path(self) -> &'static str {
         match self {
             Signal::Metrics => "/v1/metrics",
@@ -37,35 +37,35 @@
     }
 }
 
-/// The figures at one moment.
+/// The values of all metrics at one time, and the calls answered since the last snapshot.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MetricsSnapshot {
-    /// When, in Unix time.
+    /// The time, as Unix time.
     pub at: Micros,
-    /// What only grows.
+    /// Monotonic counters.
     pub counters: Vec<(String, u64)>,
-    /// What goes up and down.
+    /// Gauges.
     pub gauges: Vec<(String, u64)>,
-    /// Calls that were answered since the last one.
+    /// Calls answered since the last snapshot.
     pub calls: Vec<CallSpan>,
 }
 
 /// One call, from its acceptance to its final answer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallSpan {
-    /// Its number.
+    /// The id of the call.
     pub call: u32,
-    /// When it was taken.
+    /// When it was accepted.
     pub start: Micros,
     /// When it was answered.
     pub end: Micros,
-    /// Where it goes.
+    /// The number of its destination.
     pub destination: u16,
-    /// How it was answered.
+    /// Its final answer.
     pub answer: &'static str,
 }
 
-/// Makes requests in the name of one program's life.
+/// Encodes the requests of one run of the program.
 #[derive(Clone, Debug)]
 pub struct Encoder {
     name: String,
@@ -74,7 +74,8 @@
 }
 
 impl Encoder {
-    /// For a program of this name that began then; the seed keeps the spans of its lives apart.
+    /// Creates an encoder for an instance with this name and start time. The seed makes the span ids of its runs
+    /// distinct.
     pub fn new(name: String, start: Micros, seed: u64) -> Self {
         Encoder { name, start, seed }
     }
@@ -92,27 +93,29 @@
         Some(InstrumentationScope { name: "walnuthatch".to_owned(), ..InstrumentationScope::default() })
     }
 
-    /// The body of a request for metrics.
-    pub fn metrics(&self, s: &MetricsSnapshot) -> Vec<u8> {
+    /// Encodes the body of a metrics request.
+    pub fn metrics(&self, snapshot: &MetricsSnapshot) -> Vec<u8> {
         let point = |value: u64| NumberDataPoint {
             start_time_unix_nano: nanos(self.start),
-            time_unix_nano: nanos(s.at),
+            time_unix_nano: nanos(snapshot.at),
             value: Some(number_data_point::Value::AsInt(value.try_into().unwrap_or(i64::MAX))),
             ..NumberDataPoint::default()
         };
-        let named = |name: &str, data| Metric {
+        let metric = |name: &str, data| Metric {
             name: format!("walnuthatch.{name}"),
             unit: "1".to_owned(),
             data: Some(data),
             ..Metric::default()
         };
-        let sums = s.counters.iter().map(|(name, v)| {
+        let sums = snapshot.counters.iter().map(|(name, v)| {
             let aggregation_temporality = AggregationTemporality::Cumulative as i32;
             let data_points = vec![point(*v)];
-            named(name, Data::Sum(Sum { data_points, aggregation_temporality, is_monotonic: true }))
+            metric(name, Data::Sum(Sum { data_points, aggregation_temporality, is_monotonic: true }))
         });
-        let gauges =
-            s.gauges.iter().map(|(name, v)| named(name, Data::Gauge(Gauge { data_points: vec![point(*v)] })));
+        let gauges = snapshot
+            .gauges
+            .iter()
+            .map(|(name, v)| metric(name, Data::Gauge(Gauge { data_points: vec![point(*v)] })));
         let metrics = sums.chain(gauges).collect();
         let scope = ScopeMetrics { scope: Self::scope(), metrics, ..ScopeMetrics::default() };
         let all =
@@ -120,7 +123,7 @@
         ExportMetricsServiceRequest { resource_metrics: vec![all] }.encode_to_vec()
     }
 
-    /// The body of a request for spans.
+    /// Encodes the body of a trace request.
     pub fn spans(&self, calls: &[CallSpan]) -> Vec<u8> {
         let span = |c: &CallSpan| {
             let id = self.seed.rotate_left(32) ^ u64::from(c.call);
@@ -152,33 +155,33 @@
     u64::try_from(at).unwrap_or(0).saturating_mul(1000)
 }
 
-fn value(key: &str, value: Value) -> KeyValue {
+fn attribute(key: &str, value: Value) -> KeyValue {
     KeyValue { key: key.to_owned(), value: Some(AnyValue { value: Some(value) }), ..KeyValue::default() }
 }
 
 fn text(key: &str, v: &str) -> KeyValue {
-    value(key, Value::StringValue(v.to_owned()))
+    attribute(key, Value::StringValue(v.to_owned()))
 }
 
 fn number(key: &str, v: i64) -> KeyValue {
-    value(key, Value::IntValue(v))
+    attribute(key, Value::IntValue(v))
 }
 
-/// What a collector's response means for the batch that it answers.
+/// The result of an export according to the collector's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExportResult {
-    /// Taken; so many items were rejected, and must not be sent again.
+    /// Accepted, except for the rejected items, which must not be resent.
     Accepted {
-        /// Items that were rejected.
+        /// Number of rejected items.
         rejected: u64,
     },
-    /// Send it again, no sooner than this if that was said (µs).
+    /// To be resent, not before this delay if the response named one (µs).
     Retry(Option<Micros>),
-    /// It will never be taken.
+    /// Permanently rejected.
     Failed,
 }
 
-/// Reads a response: its status, its Retry-After, its body.
+/// Interprets a response by its status, its Retry-After header and its body.
 pub fn interpret_response(
     signal: Signal,
     status: u16,
@@ -200,7 +203,7 @@
             ExportResult::Accepted { rejected: rejected.try_into().unwrap_or(0) }
         }
         429 | 502 | 503 | 504 => {
-            // The form with a date is passed over: the usual wait serves then.
+            // A date instead of seconds is ignored; the caller's default delay applies.
             let seconds = retry_after.and_then(|t| t.trim().parse::<u32>().ok());
             ExportResult::Retry(seconds.map(|s| Micros::from(s.min(3600)) * 1_000_000))
         }
@@ -214,7 +217,7 @@
     use opentelemetry_proto::tonic::collector::metrics::v1::ExportMetricsPartialSuccess;
 
     #[test]
-    fn metrics_read_back_as_they_were_told() {
+    fn metrics_decode_to_the_values_that_were_encoded() {
         let s = MetricsSnapshot {
             at: 2_000_000,
             counters: vec![("calls.offered".to_owned(), 7)],
@@ -222,8 +225,8 @@
             calls: Vec::new(),
         };
         let body = Encoder::new("n3".to_owned(), 1_000_000, 9).metrics(&s);
-        let read = ExportMetricsServiceRequest::decode(&body[..]).unwrap();
-        let metrics = &read.resource_metrics[0].scope_metrics[0].metrics;
+        let decoded = ExportMetricsServiceRequest::decode(&body[..]).unwrap();
+        let metrics = &decoded.resource_metrics[0].scope_metrics[0].metrics;
         assert_eq!(metrics[0].name, "walnuthatch.calls.offered");
         let Some(Data::Sum(sum)) = &metrics[0].data else { panic!("{metrics:?}") };
         assert!(sum.is_monotonic && sum.data_points[0].start_time_unix_nano == 1_000_000_000);
@@ -232,24 +235,24 @@
     }
 
     #[test]
-    fn spans_have_ids_of_the_right_length_and_differ() {
+    fn spans_have_distinct_ids_of_the_right_length() {
         let call = |call| CallSpan { call, start: 1, end: 2, destination: 4, answer: "failed" };
         let body = Encoder::new("n3".to_owned(), 0, 9).spans(&[call(0), call(1)]);
-        let read = ExportTraceServiceRequest::decode(&body[..]).unwrap();
-        let spans = &read.resource_spans[0].scope_spans[0].spans;
+        let decoded = ExportTraceServiceRequest::decode(&body[..]).unwrap();
+        let spans = &decoded.resource_spans[0].scope_spans[0].spans;
         assert_eq!((spans[0].trace_id.len(), spans[0].span_id.len()), (16, 8));
         assert_ne!(spans[0].span_id, spans[1].span_id);
     }
 
     #[test]
-    fn responses_say_what_becomes_of_the_batch() {
+    fn responses_map_to_export_results() {
         let partial = ExportMetricsPartialSuccess { rejected_data_points: 2, ..Default::default() };
         let body = ExportMetricsServiceResponse { partial_success: Some(partial) }.encode_to_vec();
-        let m = Signal::Metrics;
-        assert_eq!(interpret_response(m, 200, None, &body), ExportResult::Accepted { rejected: 2 });
-        assert_eq!(interpret_response(m, 200, None, b""), ExportResult::Accepted { rejected: 0 });
-        assert_eq!(interpret_response(m, 429, Some("3"), b""), ExportResult::Retry(Some(3_000_000)));
-        assert_eq!(interpret_response(m, 503, Some("Tue, 01 Dec"), b""), ExportResult::Retry(None));
-        assert_eq!(interpret_response(m, 400, Some("3"), b""), ExportResult::Failed);
+        let signal = Signal::Metrics;
+        assert_eq!(interpret_response(signal, 200, None, &body), ExportResult::Accepted { rejected: 2 });
+        assert_eq!(interpret_response(signal, 200, None, b""), ExportResult::Accepted { rejected: 0 });
+        assert_eq!(interpret_response(signal, 429, Some("3"), b""), ExportResult::Retry(Some(3_000_000)));
+        assert_eq!(interpret_response(signal, 503, Some("Tue, 01 Dec"), b""), ExportResult::Retry(None));
+        assert_eq!(interpret_response(signal, 400, Some("3"), b""), ExportResult::Failed);
     }
 }
--- a/src/protocol/text_settings.rs
+++ b/src/protocol/text_settings.rs
@@ -1,17 +1,17 @@
-//! Turns the settings' nested JSON into the path=value lines that [`super::simulator::parse_settings`] reads, so
-//! that there is one reader of settings.
+//! Flattens settings in JSON to the `path=value` lines that [`super::simulator::parse_settings`] parses, so that there
+//! is one parser of settings.
 
 use serde_json::Value;
 use std::fmt::Write;
 
-/// The lines of a settings object.
+/// Flattens a settings object to lines.
 pub fn flatten(settings: &Value) -> String {
     let mut out = String::new();
-    walk("", settings, &mut out);
+    flatten_value("", settings, &mut out);
     out
 }
 
-fn plain(v: &Value) -> String {
+fn value_text(v: &Value) -> String {
     match v {
         Value::String(s) => s.replace([' ', ',', '\n'], "_"),
         Value::Null => String::new(),
@@ -19,20 +19,20 @@
     }
 }
 
-fn walk(path: &str, v: &Value, out: &mut String) {
-    let under = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
+fn flatten_value(path: &str, v: &Value, out: &mut String) {
+    let child_path = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
     // Writing to a string can't fail.
     let mut line = |key: &str, text: &str| {
         let _ = writeln!(out, "{key}={text}");
     };
     match v {
-        Value::Object(fields) => fields.iter().for_each(|(k, v)| walk(&under(k), v, out)),
+        Value::Object(fields) => fields.iter().for_each(|(k, v)| flatten_value(&child_path(k), v, out)),
         Value::Array(items) if items.iter().any(|i| i.is_object() || i.is_array()) => {
-            line(&under("count"), &items.len().to_string());
-            items.iter().enumerate().for_each(|(i, v)| walk(&under(&i.to_string()), v, out));
+            line(&child_path("count"), &items.len().to_string());
+            items.iter().enumerate().for_each(|(i, v)| flatten_value(&child_path(&i.to_string()), v, out));
         }
-        Value::Array(items) => line(path, &items.iter().map(plain).collect::<Vec<_>>().join(",")),
-        other => line(path, &plain(other)),
+        Value::Array(items) => line(path, &items.iter().map(value_text).collect::<Vec<_>>().join(",")),
+        other => line(path, &value_text(other)),
     }
 }
 
@@ -41,7 +41,7 @@
     use super::*;
 
     #[test]
-    fn nested_settings_read_as_the_simulators_lines() {
+    fn nested_settings_parse_like_the_simulators_lines() {
         let json = serde_json::json!({
             "classes": [{"name": "status report", "aim": 1200.0, "giveUp": 9000}],
             "extra": {"shape": "meshed", "ownExchange": 0, "classHold": [10400.0]},
