--- a/src/protocol/upstream/mod.rs
+++ b/src/protocol/upstream/mod.rs
@@ -185,7 +185,7 @@
     pub connects: u64,
     /// Connections that were refused.
     pub refused: u64,
-    /// Connections that broke.
+    /// Connections that failed with an error.
     pub broken: u64,
     /// Connections closed because of unreadable or incomplete messages.
     pub malformed: u64,
