--- a/src/bin/walnuthatch-simhost.rs
+++ b/src/bin/walnuthatch-simhost.rs
@@ -7,7 +7,7 @@
 use std::io::{self, Read, Write};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::process::ExitCode;
-use walnuthatch::protocol::simulator::{self as wire, Lists, Reader, Record, Reply, WireError};
+use walnuthatch::protocol::simulator::{self as wire, DefinedLists, Reader, Record, Reply, WireError};
 use walnuthatch::routing::control::Controller;
 use walnuthatch::routing::interface::{Action, Event, Micros, ReportField, Settings};
 
@@ -40,25 +40,25 @@
 
 fn serve(input: &mut impl Read, output: &mut impl Write) -> Result<(), HostError> {
     let mut instances = Instances::new();
-    let mut lists = Lists::default();
+    let mut lists = DefinedLists::default();
     let mut body = Vec::new();
     loop {
-        let mut header = Vec::with_capacity(wire::HEADER);
-        input.by_ref().take(wire::HEADER as u64).read_to_end(&mut header)?;
+        let mut header = Vec::with_capacity(wire::HEADER_BYTES);
+        input.by_ref().take(wire::HEADER_BYTES as u64).read_to_end(&mut header)?;
         if header.is_empty() {
             return Ok(());
         }
-        let Ok(header) = <[u8; wire::HEADER]>::try_from(header.as_slice()) else {
-            return Err(HostError::Truncated(wire::HEADER as u32, header.len()));
+        let Ok(header) = <[u8; wire::HEADER_BYTES]>::try_from(header.as_slice()) else {
+            return Err(HostError::Truncated(wire::HEADER_BYTES as u32, header.len()));
         };
-        let header = wire::header(&header)?;
+        let header = wire::parse_header(&header)?;
         body.clear();
         input.by_ref().take(u64::from(header.length)).read_to_end(&mut body)?;
         if body.len() != header.length as usize {
             return Err(HostError::Truncated(header.length, body.len()));
         }
         let reply = handle_batch(header.now, &body, &mut instances, &mut lists)?;
-        output.write_all(&reply.frame(header.batch))?;
+        output.write_all(&reply.into_frame(header.batch))?;
         output.flush()?;
     }
 }
@@ -67,7 +67,7 @@
     now: Micros,
     body: &[u8],
     instances: &mut Instances,
-    lists: &mut Lists,
+    lists: &mut DefinedLists,
 ) -> Result<Reply, WireError> {
     let mut reply = Reply::default();
     let mut actions = Vec::new();
@@ -80,19 +80,19 @@
         let Some(record) = reader.next(lists, report_fields) else { return Ok(reply) };
         match (record?, current) {
             (Record::Instance(i), _) => current = Some(i),
-            (Record::Killed, Some(i)) => {
+            (Record::Kill, Some(i)) => {
                 instances.remove(&i);
             }
-            (Record::Start { seed, settings }, Some(i)) => match wire::settings(&settings) {
+            (Record::Start { seed, settings }, Some(i)) => match wire::parse_settings(&settings) {
                 Ok(s) => start_instance(i, s, seed, instances, &mut reply),
-                Err(e) => reply.failure(i, &e.to_string()),
+                Err(e) => reply.report_failure(i, &e.to_string()),
             },
             (Record::Event(event), Some(i)) => {
                 if let Some(instance) = instances.get_mut(&i) {
                     handle_event(i, &mut instance.controller, now, event, &mut actions, &mut reply);
                 }
             }
-            (Record::Killed | Record::Start { .. } | Record::Event(_), None) => {}
+            (Record::Kill | Record::Start { .. } | Record::Event(_), None) => {}
         }
     }
 }
@@ -103,7 +103,7 @@
         Ok(controller) => {
             instances.insert(number, Instance { controller, report_fields });
         }
-        Err(panic) => reply.failure(number, &panic_message(panic.as_ref())),
+        Err(panic) => reply.report_failure(number, &panic_message(panic.as_ref())),
     }
 }
 
@@ -117,8 +117,8 @@
 ) {
     actions.clear();
     match catch_unwind(AssertUnwindSafe(|| controller.handle(now, event, actions))) {
-        Ok(()) => actions.iter().for_each(|a| reply.action(number, a)),
-        Err(panic) => reply.failure(number, &panic_message(panic.as_ref())),
+        Ok(()) => actions.iter().for_each(|a| reply.add_action(number, a)),
+        Err(panic) => reply.report_failure(number, &panic_message(panic.as_ref())),
     }
 }
 
--- a/src/program/appliance.rs
+++ b/src/program/appliance.rs
@@ -200,8 +200,8 @@
         latency_objectives: &[Micros],
     ) {
         match output {
-            LedgerOutput::SetUp { call, office, .. } => {
-                let first_hop = ledger.administrative_state().exchange_of(*office);
+            LedgerOutput::SetUp { call, exchange_id, .. } => {
+                let first_hop = ledger.administrative_state().exchange_of(*exchange_id);
                 let Some((first_hop, offer)) = first_hop.zip(ledger.offered_call(*call)) else { return };
                 self.traffic.record_setup(now, Exchange(offer.new_call.destination.0), Exchange(first_hop.0));
                 if let Some(e) = self.exchange_metrics.entry(first_hop.0) {
--- a/src/program/config.rs
+++ b/src/program/config.rs
@@ -209,10 +209,7 @@
 ) -> Result<(), ConfigError> {
     if let Some(list) = &appliance.exchange_list {
         if config.coordinator.is_some() || !config.initial_list_updates.is_empty() {
-            return Err(invalid(
-                "appliance.exchange",
-                "found [[exchange]] tables, expected none: the exchanges come from coordinator or known.updates",
-            ));
+            return Err(invalid( "appliance.exchange", "found [[exchange]] tables, expected none: the exchanges come from coordinator or known.updates", ));
         }
         config.initial_list_updates = vec![list.clone()];
     }
@@ -515,7 +512,8 @@
         optional_address(json, "listen")?.ok_or_else(|| ConfigError::Missing("listen".to_owned()))?;
     let settings_json = json.get("settings").ok_or_else(|| ConfigError::Missing("settings".to_owned()))?;
     let flat = text_settings::flatten(settings_json);
-    let settings = simulator::settings(&flat).map_err(|e| invalid(&format!("settings.{}", e.key), &e))?;
+    let settings =
+        simulator::parse_settings(&flat).map_err(|e| invalid(&format!("settings.{}", e.key), &e))?;
     if settings.classes.is_empty() {
         return Err(ConfigError::Missing("settings.classes".to_owned()));
     }
@@ -611,11 +609,7 @@
     use super::*;
 
     fn base() -> Config {
-        parse(&serde_json::json!({
-            "listen": "127.0.0.1:0",
-            "settings": {"classes": [{"name": "a", "giveUp": 9000}], "extra": {"ownExchange": 3}}
-        }))
-        .unwrap()
+        parse(&serde_json::json!({ "listen": "127.0.0.1:0", "settings": {"classes": [{"name": "a", "giveUp": 9000}], "extra": {"ownExchange": 3}} })) .unwrap()
     }
 
     const GATEWAY: &str = "enabled = true\nlisten = \"127.0.0.1:2727\"\nclass = \"a\"\n[[gateway]]\n\
--- a/src/program/event_loop.rs
+++ b/src/program/event_loop.rs
@@ -11,11 +11,11 @@
 use super::gossip::Gossip;
 use super::log::{self, CALLS_TARGET, CONNECTIONS_TARGET};
 use super::telemetry::ExportCounters;
-use crate::protocol::client::{Ask, ClientConnections, ClientOutput, ClientTimer};
+use crate::protocol::client::{ClientConnections, ClientOutput, ClientRequest, ClientTimer};
 use crate::protocol::json_lines::{Kind, Message, Sid};
-use crate::protocol::membership::{Place, Roster};
+use crate::protocol::membership::{MemberAddress, MemberIds};
 use crate::protocol::mgcp::agent::{Agent, AgentOutput, AgentTimer};
-use crate::protocol::otlp::{CallSpan, Snapshot};
+use crate::protocol::otlp::{CallSpan, MetricsSnapshot};
 use crate::protocol::upstream::{UpstreamConnections, UpstreamOutput, UpstreamTimer};
 use crate::protocol::ConnId;
 use crate::routing::interface::{CallId, ListEntry, ListUpdate, LoadReport, Micros, PeerNumber};
@@ -87,7 +87,7 @@
     /// Send a gossip datagram to another instance.
     SendGossip(SocketAddr, Vec<u8>),
     /// Pass a snapshot of the metrics to the exporter.
-    Export(Snapshot),
+    Export(MetricsSnapshot),
     /// Print the answer to a console command.
     Print(String),
     /// Write the persistent state to the state folder.
@@ -109,7 +109,7 @@
     agent: Option<Agent>,
     appliance: Option<Appliance>,
     gossip: Option<Gossip>,
-    roster: Roster,
+    member_ids: MemberIds,
     timers: TimerQueue<TimerKey>,
     outboxes: HashMap<(Side, ConnId), Outbox>,
     commands: Vec<TransportCommand>,
@@ -156,7 +156,7 @@
             agent: config.mgcp.as_ref().map(|m| Agent::new(GATEWAY_FRONTEND, m.agent.clone(), config.seed)),
             appliance,
             gossip: config.gossip.as_ref().map(|g| Gossip::new(now, g, config.seed)),
-            roster: Roster::new(config.failure_domains.clone()),
+            member_ids: MemberIds::new(config.failure_domains.clone()),
             timers: TimerQueue::default(),
             outboxes: HashMap::new(),
             commands: Vec::new(),
@@ -258,11 +258,7 @@
         };
         self.counts.reloads += 1;
         for key in self.config.keys_needing_restart(&new) {
-            tracing::info!(
-                target: LOG_TARGET,
-                key,
-                "configuration: {key}: the change takes effect at the next start"
-            );
+            tracing::info!( target: LOG_TARGET, key, "configuration: {key}: the change takes effect at the next start" );
         }
         if self.config.coordinator != new.coordinator {
             self.commands.push(TransportCommand::FollowCoordinator(new.coordinator));
@@ -282,8 +278,8 @@
         while let Some(timer) = self.timers.pop_expired(now) {
             match timer {
                 TimerKey::Ledger(timer) => self.ledger.timer_expired(now, timer),
-                TimerKey::Upstream(timer) => self.upstream.due(now, timer),
-                TimerKey::Client(timer) => self.callers.due(now, timer),
+                TimerKey::Upstream(timer) => self.upstream.timer_expired(now, timer),
+                TimerKey::Client(timer) => self.callers.timer_expired(now, timer),
                 TimerKey::Agent(timer) => {
                     if let Some(agent) = &mut self.agent {
                         agent.timer_expired(now, timer);
@@ -358,8 +354,8 @@
                 tracing::debug!(target: CONNECTIONS_TARGET, ?side, conn = conn.0, "unreadable input: {reason}");
                 self.counts.malformed += 1;
                 match side {
-                    Side::Callers => self.callers.spoilt(now, conn),
-                    Side::Exchanges => self.upstream.spoilt(now, conn),
+                    Side::Callers => self.callers.protocol_error(now, conn),
+                    Side::Exchanges => self.upstream.protocol_error(now, conn),
                 }
             }
             (side, ConnEvent::ReadingStopped) => {
@@ -367,8 +363,8 @@
                     self.callers.reading_stopped(conn);
                 }
             }
-            (Side::Exchanges, ConnEvent::PartialLine(half)) => self.upstream.half(now, conn, half),
-            (Side::Callers, ConnEvent::PartialLine(half)) => self.callers.half(now, conn, half),
+            (Side::Exchanges, ConnEvent::PartialLine(half)) => self.upstream.partial_message(now, conn, half),
+            (Side::Callers, ConnEvent::PartialLine(half)) => self.callers.partial_message(now, conn, half),
             (side, ConnEvent::Closed(closing)) => {
                 tracing::debug!(target: CONNECTIONS_TARGET, ?side, conn = conn.0, "closed: {closing:?}");
                 // The only place that removes an outbox.
@@ -394,37 +390,32 @@
 
     fn handle_caller_message(&mut self, now: Micros, conn: ConnId, message: Message) {
         match self.callers.message(now, conn, message) {
-            Ask::Offer(sid, key, offer) => {
+            ClientRequest::Offer(sid, key, offer) => {
                 let (class, left) = (offer.new_call.class, offer.new_call.remaining_time);
                 tracing::debug!(target: CALLS_TARGET, %sid, conn = conn.0, class, left, "call accepted");
                 let call = self.ledger.offer(now, *offer);
-                self.callers.taken(conn, sid, key, call);
-            }
-            Ask::Left(call) => {
-                tracing::debug!(
-                    target: CALLS_TARGET,
-                    call = call.0,
-                    conn = conn.0,
-                    "call abandoned or released by its caller"
-                );
+                self.callers.call_offered(conn, sid, key, call);
+            }
+            ClientRequest::Clear(call) => {
+                tracing::debug!( target: CALLS_TARGET, call = call.0, conn = conn.0, "call abandoned or released by its caller" );
                 self.ledger.caller_left(now, call);
             }
-            Ask::LeftEarlier(sid) => self.upstream.release_earlier(sid),
-            Ask::Test(sid) => {
-                let ready = self.upstream.settled() || now - self.started_at >= STARTUP_GRACE;
+            ClientRequest::ReleasePreviousRun(sid) => self.upstream.release_previous_run(sid),
+            ClientRequest::Probe(sid) => {
+                let ready = self.upstream.all_contacted() || now - self.started_at >= STARTUP_GRACE;
                 let draining =
                     self.draining || self.appliance.as_ref().is_some_and(Appliance::fails_health_checks);
                 let code = u16::from(ready && self.stopping.is_none() && !draining);
                 let message = Message { code: Some(code), ..Message::new(Kind::Probed, sid) };
                 self.send(Side::Callers, conn, None, &message);
             }
-            Ask::Nothing => {}
+            ClientRequest::None => {}
         }
     }
 
     fn handle_list_event(&mut self, now: Micros, json: &str, cached: bool) {
         self.counts.list_events += 1;
-        let update = match self.roster.read(json, cached) {
+        let update = match self.member_ids.parse_event(json, cached) {
             Ok(update) => update,
             Err(e) => {
                 self.counts.bad_list_events += 1;
@@ -435,25 +426,25 @@
                 return tracing::warn!(target: LOG_TARGET, "coordinator: {e}");
             }
         };
-        let (entries, complete) = match &update.news {
+        let (entries, complete) = match &update.list_update {
             ListUpdate::Failed => return,
             ListUpdate::Changes(e) => (e.clone(), false),
             ListUpdate::Complete(e) | ListUpdate::Cached(e) => (e.clone(), true),
         };
         // The coordinator does not know the gateways: its complete list must not remove them.
         let with_gateways = || entries.iter().cloned().chain(self.gateway_entries()).collect();
-        let list_update = match update.news {
+        let list_update = match update.list_update {
             ListUpdate::Complete(_) => ListUpdate::Complete(with_gateways()),
             ListUpdate::Cached(_) => ListUpdate::Cached(with_gateways()),
             other => other,
         };
-        for (entry, place) in entries.iter().zip(&update.places) {
+        for (entry, place) in entries.iter().zip(&update.addresses) {
             let (member, state) = (&place.member, entry.state);
             tracing::debug!(target: "walnuthatch::list", index = update.index, %member, "{state:?}");
         }
         // The ledger first: its drain check must know the new states before anything else is done.
         self.ledger.list_update(now, list_update);
-        self.upstream.list(now, &entries, &update.places, complete);
+        self.upstream.update_list(now, &entries, &update.addresses, complete);
     }
 
     fn gateway_entries(&self) -> Vec<ListEntry> {
@@ -503,19 +494,19 @@
     fn handle_ledger_output(&mut self, now: Micros, output: Output) {
         self.observe(now, &output);
         match output {
-            Output::SetUp { call, attempt, office, timeout } => match &mut self.agent {
-                Some(agent) if agent.serves(office) => {
+            Output::SetUp { call, attempt, exchange_id, timeout } => match &mut self.agent {
+                Some(agent) if agent.serves(exchange_id) => {
                     let description = self.ledger.offered_call(call).and_then(|o| o.description.as_ref());
-                    agent.set_up(now, (call, attempt), office, description);
+                    agent.set_up(now, (call, attempt), exchange_id, description);
                 }
                 _ => {
                     if let Some(message) = self.set_up_message(call, timeout) {
-                        self.upstream.set_up(now, (call, attempt), office, message);
+                        self.upstream.set_up(now, (call, attempt), exchange_id, message);
                     }
                 }
             },
-            Output::Clear { call, attempt, office } => match &mut self.agent {
-                Some(agent) if agent.serves(office) => agent.clear(now, call, attempt),
+            Output::Clear { call, attempt, exchange_id } => match &mut self.agent {
+                Some(agent) if agent.serves(exchange_id) => agent.clear(now, call, attempt),
                 _ => self.upstream.clear(now, call, attempt),
             },
             Output::Answer { frontend, call, answer, offered_at, destination, .. } => {
@@ -542,7 +533,7 @@
 
     fn handle_upstream_output(&mut self, now: Micros, output: UpstreamOutput) {
         match output {
-            UpstreamOutput::Connect(conn, Place { address, member }) => {
+            UpstreamOutput::Connect(conn, MemberAddress { address, member }) => {
                 tracing::debug!(target: CONNECTIONS_TARGET, conn = conn.0, %member, %address, "connecting");
                 let outbox = Outbox::default();
                 self.outboxes.insert((Side::Exchanges, conn), outbox.clone());
@@ -551,25 +542,25 @@
             UpstreamOutput::Send { conn, message, set_up } => {
                 self.send(Side::Exchanges, conn, set_up, &message);
             }
-            UpstreamOutput::TakeBack { conn, call, message } => {
+            UpstreamOutput::CancelSetUp { conn, call, message } => {
                 let outbox = self.outboxes.get(&(Side::Exchanges, conn));
                 if !outbox.is_some_and(|o| o.remove_unsent(call)) {
                     self.send(Side::Exchanges, conn, None, &message);
                 }
             }
-            UpstreamOutput::Unsend { conn, call, attempt } => {
+            UpstreamOutput::WithdrawSetUp { conn, call, attempt } => {
                 let outbox = self.outboxes.get(&(Side::Exchanges, conn));
                 if outbox.is_some_and(|o| o.remove_unsent(call)) {
-                    self.upstream.unsent(call, attempt);
+                    self.upstream.set_up_withdrawn(call, attempt);
                 }
             }
-            UpstreamOutput::HangUp(conn, reason) => {
+            UpstreamOutput::Disconnect(conn, reason) => {
                 tracing::debug!(target: CONNECTIONS_TARGET, conn = conn.0, "connection to the exchange closed: {reason}");
                 if let Some(outbox) = self.outboxes.get(&(Side::Exchanges, conn)) {
                     outbox.abort();
                 }
             }
-            UpstreamOutput::Wake(at, timer) => self.timers.add(at, TimerKey::Upstream(timer)),
+            UpstreamOutput::SetTimer(at, timer) => self.timers.add(at, TimerKey::Upstream(timer)),
             UpstreamOutput::Answered(call, attempt, description) => {
                 if !self.ledger.attempt_answered(now, call, attempt, description) {
                     self.upstream.clear(now, call, attempt);
@@ -578,35 +569,34 @@
             UpstreamOutput::Ended(call, attempt, ending, load) => {
                 self.ledger.attempt_ended(now, call, attempt, ending, load);
             }
-            UpstreamOutput::Group(exchange_id, load) => self.ledger.group_report(now, exchange_id, load),
+            UpstreamOutput::GroupReport(exchange_id, load) => {
+                self.ledger.group_report(now, exchange_id, load)
+            }
             UpstreamOutput::ProbeFailed(exchange_id) => self.ledger.probe_failed(now, exchange_id),
-            UpstreamOutput::GaveUp(member, reason) => {
+            UpstreamOutput::ConnectionDropped(member, reason) => {
                 tracing::info!(target: LOG_TARGET, %member, "exchange {member}: connection closed: {reason}");
             }
-            UpstreamOutput::LeaseOver(member, calls) => {
-                tracing::info!(
-                    target: LOG_TARGET,
-                    %member,
-                    calls,
-                    "exchange {member}: lease expired, {calls} calls cut"
-                );
+            UpstreamOutput::LeasesExpired(member, calls) => {
+                tracing::info!( target: LOG_TARGET, %member, calls, "exchange {member}: lease expired, {calls} calls cut" );
+            }
+            UpstreamOutput::PreviousRunReleased(sid, code) => {
+                self.callers.release_previous_run(now, sid, code)
             }
-            UpstreamOutput::Earlier(sid, code) => self.callers.release_earlier(now, sid, code),
         }
     }
 
     fn handle_caller_output(&mut self, now: Micros, output: ClientOutput) {
         let outbox = |conn| self.outboxes.get(&(Side::Callers, conn));
         match output {
-            ClientOutput::Tell(conn, message) => self.send(Side::Callers, conn, None, &message),
+            ClientOutput::Send(conn, message) => self.send(Side::Callers, conn, None, &message),
             ClientOutput::Fail(call) => self.ledger.fail_call(now, call, AnswerReason::ConnectionEnding),
-            ClientOutput::Ending(conn, reason) => {
+            ClientOutput::Closing(conn, reason) => {
                 tracing::debug!(target: CONNECTIONS_TARGET, conn = conn.0, "closing the caller's connection: {reason:?}");
             }
             ClientOutput::StopReading(conn) => drop(outbox(conn).map(Outbox::stop_reading)),
-            ClientOutput::End(conn) => drop(outbox(conn).map(Outbox::close)),
-            ClientOutput::Cut(conn) => drop(outbox(conn).map(Outbox::abort)),
-            ClientOutput::Wake(at, timer) => self.timers.add(at, TimerKey::Client(timer)),
+            ClientOutput::Close(conn) => drop(outbox(conn).map(Outbox::close)),
+            ClientOutput::Abort(conn) => drop(outbox(conn).map(Outbox::abort)),
+            ClientOutput::SetTimer(at, timer) => self.timers.add(at, TimerKey::Client(timer)),
         }
     }
 
@@ -644,7 +634,7 @@
     fn set_up_message(&mut self, call: CallId, timeout: Micros) -> Option<Message> {
         let offer = self.ledger.offered_call(call)?;
         let class = self.config.classes.get(offer.new_call.class)?.clone();
-        let (sid, key) = match self.callers.particulars(call) {
+        let (sid, key) = match self.callers.sid_and_number(call) {
             Some(particulars) => particulars,
             None => {
                 // A call from another front end has no name in this protocol yet.
@@ -667,7 +657,7 @@
     fn send(&mut self, side: Side, conn: ConnId, set_up: Option<CallId>, message: &Message) {
         let Some(outbox) = self.outboxes.get(&(side, conn)) else { return };
         self.counts.messages_out += 1;
-        if !outbox.push(set_up, message.line()) {
+        if !outbox.push(set_up, message.to_line()) {
             // Protects this task and its memory from a peer that does not read.
             self.counts.overflows += 1;
             outbox.abort();
--- a/src/program/event_loop/exports.rs
+++ b/src/program/event_loop/exports.rs
@@ -2,7 +2,7 @@
 
 use super::{EventLoop, TimerKey, TransportCommand, MAX_BUFFERED_SPANS};
 use crate::program::telemetry::ExportCounters;
-use crate::protocol::otlp::{CallSpan, Snapshot};
+use crate::protocol::otlp::{CallSpan, MetricsSnapshot};
 use crate::routing::interface::{CallId, ExchangeNumber, Micros};
 use crate::routing::ledger::Answer;
 use std::rc::Rc;
@@ -33,7 +33,7 @@
             Answer::Refused { .. } => "refused",
             Answer::Failed => "failed",
         };
-        self.spans.push(CallSpan { call: call.0, from, to, destination: destination.0, answer });
+        self.spans.push(CallSpan { call: call.0, start: from, end: to, destination: destination.0, answer });
     }
 
     /// Passes the current metrics and the buffered spans to the exporter, and sets the timer for the next export.
@@ -42,7 +42,7 @@
         self.timers.add(now + interval, TimerKey::Export);
         let gauges = self.gauges().map(|(name, value)| (name.to_owned(), value)).to_vec();
         let calls = std::mem::take(&mut self.spans);
-        self.commands.push(TransportCommand::Export(Snapshot {
+        self.commands.push(TransportCommand::Export(MetricsSnapshot {
             at: now,
             counters: self.counters(),
             gauges,
--- a/src/program/event_loop/stop.rs
+++ b/src/program/event_loop/stop.rs
@@ -38,7 +38,7 @@
 
     /// Whether a shutdown in this phase has no calls left to wait for, only connections.
     pub(super) fn calls_finished(&self, phase: Phase) -> bool {
-        let established_done = self.ledger.established_calls() == 0 && !self.callers.owes_releases();
+        let established_done = self.ledger.established_calls() == 0 && !self.callers.has_pending_releases();
         phase >= Phase::Draining
             && self.ledger.open_calls() == 0
             && (established_done || phase >= Phase::Closing)
@@ -78,7 +78,7 @@
             self.ledger.fail_open_calls(now);
         }
         if phase >= Phase::Closing {
-            self.callers.end_all(now);
+            self.callers.close_all(now);
         }
     }
 
@@ -94,7 +94,7 @@
         };
         stop.listener = ListenerState::Closing;
         self.commands.push(TransportCommand::StopListening);
-        self.callers.end_all(now);
+        self.callers.close_all(now);
         true
     }
 }
--- a/src/program/gossip.rs
+++ b/src/program/gossip.rs
@@ -75,8 +75,8 @@
     /// exchange: a set-up that times out over a tandem may have been lost beyond it.
     pub fn observe(&mut self, now: Micros, output: &LedgerOutput, ledger: &Ledger) {
         match output {
-            LedgerOutput::SetUp { call, office, .. } => {
-                let first_hop = ledger.administrative_state().exchange_of(*office);
+            LedgerOutput::SetUp { call, exchange_id, .. } => {
+                let first_hop = ledger.administrative_state().exchange_of(*exchange_id);
                 let destination = ledger.offered_call(*call).map(|o| o.new_call.destination);
                 if let Some(first_hop) = first_hop.filter(|e| Some(*e) == destination) {
                     self.direct_setups.insert(*call, exchange(first_hop));
@@ -134,7 +134,7 @@
         }
         if now - self.last_tick >= SECOND {
             self.last_tick = now;
-            let exchanges: Vec<_> = ledger.administrative_state().offices().collect();
+            let exchanges: Vec<_> = ledger.administrative_state().exchanges().collect();
             let linked = exchanges.iter().filter(|(_, g)| g.is_some_and(|g| g.1 >= 1.0));
             self.node.set_links(&linked.map(|(e, _)| exchange(e.exchange)).collect());
             let known: BTreeSet<ExchangeNumber> = exchanges.iter().map(|(e, _)| e.exchange).collect();
--- a/src/program/telemetry.rs
+++ b/src/program/telemetry.rs
@@ -1,7 +1,7 @@
 //! The telemetry exporter: a task that sends snapshots from a bounded queue to the OTLP collector. The event loop
 //! never waits for it.
 
-use crate::protocol::otlp::{verdict, CallSpan, Encoder, Signal, Snapshot, Verdict};
+use crate::protocol::otlp::{interpret_response, CallSpan, Encoder, ExportResult, MetricsSnapshot, Signal};
 use crate::routing::interface::Micros;
 use crate::transport::http;
 use async_channel::Receiver;
@@ -53,12 +53,12 @@
 pub async fn export(
     collector: SocketAddr,
     encoder: Encoder,
-    queue: Receiver<Snapshot>,
+    queue: Receiver<MetricsSnapshot>,
     counters: Rc<ExportCounters>,
 ) {
     let mut spans: Vec<CallSpan> = Vec::new();
     let mut retry_delay = RETRY_DELAY.0;
-    let mut newest: Option<Snapshot> = None;
+    let mut newest: Option<MetricsSnapshot> = None;
     loop {
         if newest.is_none() && spans.is_empty() {
             match queue.recv().await {
@@ -77,16 +77,16 @@
             }
         };
         let verdict = match http::post(collector, signal.path(), &body).await {
-            Ok(r) => verdict(signal, r.status, r.retry_after.as_deref(), &r.body),
-            Err(_) => Verdict::Again(None),
+            Ok(r) => interpret_response(signal, r.status, r.retry_after.as_deref(), &r.body),
+            Err(_) => ExportResult::Retry(None),
         };
         match verdict {
-            Verdict::Taken { rejected } => {
+            ExportResult::Accepted { rejected } => {
                 add(&counters.accepted, 1);
                 add(&counters.rejected, rejected);
             }
-            Verdict::Never => add(&counters.dropped, 1),
-            Verdict::Again(after) => {
+            ExportResult::Failed => add(&counters.dropped, 1),
+            ExportResult::Retry(after) => {
                 add(&counters.retried, 1);
                 Timer::after(Duration::from_micros(after.unwrap_or(retry_delay).max(0) as u64)).await;
                 retry_delay = (retry_delay * 2).min(RETRY_DELAY.1);
@@ -102,8 +102,8 @@
 }
 
 fn buffer(
-    mut snapshot: Snapshot,
-    newest: &mut Option<Snapshot>,
+    mut snapshot: MetricsSnapshot,
+    newest: &mut Option<MetricsSnapshot>,
     spans: &mut Vec<CallSpan>,
     counters: &ExportCounters,
 ) {
--- a/src/program/views.rs
+++ b/src/program/views.rs
@@ -62,7 +62,7 @@
         match (self.stopping, self.draining) {
             (true, _) => "stopping",
             (false, true) => "draining",
-            (false, false) if self.upstream.settled() => "serving",
+            (false, false) if self.upstream.all_contacted() => "serving",
             (false, false) => "starting",
         }
     }
@@ -70,7 +70,7 @@
     /// The status of the program; the appliance fills in alarms, drains and its other fields.
     pub fn status(&self) -> Status {
         let count = |state: Option<ListState>| {
-            let exchanges = self.ledger.administrative_state().offices();
+            let exchanges = self.ledger.administrative_state().exchanges();
             exchanges.filter(|o| state.is_none_or(|s| o.0.state == s)).count()
         };
         Status {
@@ -226,7 +226,7 @@
         let own = self.snapshot.config.settings.own_exchange;
         let mut all: BTreeMap<ExchangeNumber, Neighbour> = BTreeMap::new();
         for (e, group) in
-            self.snapshot.ledger.administrative_state().offices().filter(|o| Some(o.0.exchange) != own)
+            self.snapshot.ledger.administrative_state().exchanges().filter(|o| Some(o.0.exchange) != own)
         {
             let ready = e.state == ListState::Ready;
             let n = Neighbour { exchange: target::Exchange(e.exchange.0), ready, group };
--- a/src/protocol/mgcp/agent.rs
+++ b/src/protocol/mgcp/agent.rs
@@ -7,7 +7,7 @@
 //! reports off-hook, or with the response to CRCX if the gateway answers by itself. DLCX clears a call, and an
 //! endpoint is free again only when its DLCX has been answered.
 
-use super::super::upstream::lease::LEASE;
+use super::super::upstream::lease::LEASE_DURATION;
 use super::codes;
 use super::message::{self, parse_events, Command, EndpointName, Message, Params, Response, Verb};
 use super::transactions::{new_command, CommandTransactions, ResponseHistory, TimeoutAction};
@@ -880,7 +880,7 @@
             return;
         }
         let silence = now - self.last_heard[self.endpoints[index].gateway];
-        if silence + LEASE_CHECK_INTERVAL > LEASE {
+        if silence + LEASE_CHECK_INTERVAL > LEASE_DURATION {
             self.counts.lease_expired += 1;
             self.report_call_ended(index);
             return self.mark_unresponsive(now, index);
--- a/src/transport/coordinator.rs
+++ b/src/transport/coordinator.rs
@@ -2,7 +2,7 @@
 
 use super::Inbound;
 use crate::fault_injection::{fault_injected, InjectedFault};
-use crate::protocol::server_events::{Dechunker, EventReader, StreamError};
+use crate::protocol::server_events::{ChunkedDecoder, EventReader, StreamError};
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
@@ -203,7 +203,7 @@
         open_with_parallel_requests(address, *last_event_id, MAX_PARALLEL_REQUESTS).await?;
     inbox.send(Inbound::CoordinatorStream(Ok(()))).await.map_err(|_| StreamEnd::ShuttingDown)?;
     let mut buffer = vec![0; READ_BUFFER_BYTES];
-    let (mut chunks, mut reader) = (Dechunker::default(), EventReader::default());
+    let (mut chunks, mut reader) = (ChunkedDecoder::default(), EventReader::default());
     let mut bytes = body;
     loop {
         let mut events = Vec::new();
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -14,7 +14,7 @@
 
 use crate::protocol::json_lines::{LineError, Message};
 use crate::protocol::server_events::ServerEvent;
-use crate::protocol::upstream::Closing;
+use crate::protocol::upstream::CloseReason;
 use crate::protocol::ConnId;
 use outbox::Outbox;
 use std::net::SocketAddr;
@@ -45,7 +45,7 @@
     /// A line is incomplete (`true`), or the incomplete line has been completed (`false`).
     PartialLine(bool),
     /// The connection has ended.
-    Closed(Closing),
+    Closed(CloseReason),
 }
 
 /// An event of the control socket or of the state folder.
--- a/src/transport/streams.rs
+++ b/src/transport/streams.rs
@@ -4,7 +4,7 @@
 use super::{ConnEvent, Inbound, Side};
 use crate::fault_injection::{fault_injected, InjectedFault};
 use crate::protocol::json_lines::{LineSplitter, Message};
-use crate::protocol::upstream::Closing;
+use crate::protocol::upstream::CloseReason;
 use crate::protocol::ConnId;
 use async_channel::{Receiver, SendError, Sender};
 use async_executor::LocalExecutor;
@@ -126,9 +126,9 @@
             }
             return;
         }
-        Some(Err(e)) if e.kind() == io::ErrorKind::ConnectionRefused => Closing::Refused,
-        Some(Err(_)) => Closing::NotMade,
-        None => Closing::Ours,
+        Some(Err(e)) if e.kind() == io::ErrorKind::ConnectionRefused => CloseReason::Refused,
+        Some(Err(_)) => CloseReason::ConnectFailed,
+        None => CloseReason::ClosedLocally,
     };
     // Sending fails only when the event loop has ended, and the event is not needed then.
     drop(inbox.send(to_inbound(ConnEvent::Closed(closing))).await);
@@ -151,12 +151,12 @@
     let closing = future::or(write(&stream, &outbox), async {
         future::or(read(&stream, side, conn, &inbox, &outbox, &invalid_line), async {
             outbox.wait_for_abort().await;
-            Closing::Ours
+            CloseReason::ClosedLocally
         })
         .await
     })
     .await;
-    if side == Side::Callers && closing == Closing::Ours {
+    if side == Side::Callers && closing == CloseReason::ClosedLocally {
         future::or(outbox.wait_for_abort(), close_gracefully(&stream, invalid_line.get())).await;
     }
     if fault_injected(InjectedFault::LeakedConnection) {
@@ -186,13 +186,13 @@
     }
 }
 
-async fn write(mut stream: &Async<TcpStream>, outbox: &Outbox) -> Closing {
+async fn write(mut stream: &Async<TcpStream>, outbox: &Outbox) -> CloseReason {
     while let Some(bytes) = outbox.next_batch(CHUNK_BYTES).await {
         if stream.write_all(&bytes).await.is_err() {
-            return Closing::Broken;
+            return CloseReason::Broken;
         }
     }
-    Closing::Ours
+    CloseReason::ClosedLocally
 }
 
 async fn read(
@@ -202,7 +202,7 @@
     inbox: &Sender<Inbound>,
     outbox: &Outbox,
     invalid_line: &Cell<bool>,
-) -> Closing {
+) -> CloseReason {
     let mut buffer = vec![0; CHUNK_BYTES];
     let (mut lines, mut partial) = (LineSplitter::default(), false);
     loop {
@@ -215,11 +215,11 @@
             None
         };
         let length = match future::or(stopped, async { Some(stream.read(&mut buffer).await) }).await {
-            Some(Ok(0)) => return Closing::Ended,
+            Some(Ok(0)) => return CloseReason::ClosedByPeer,
             Some(Ok(length)) => length,
-            Some(Err(_)) => return Closing::Broken,
+            Some(Err(_)) => return CloseReason::Broken,
             None if inbox.send(Inbound::Conn(side, conn, ConnEvent::ReadingStopped)).await.is_err() => {
-                return Closing::Ours;
+                return CloseReason::ClosedLocally;
             }
             None => return future::pending().await,
         };
@@ -231,14 +231,14 @@
         });
         // An incomplete line is reported when it begins, so that its timeout runs from then on, however slowly the rest
         // arrives.
-        let was_partial = std::mem::replace(&mut partial, lines.half());
+        let was_partial = std::mem::replace(&mut partial, lines.has_partial_line());
         if partial != was_partial || (partial && !events.is_empty()) {
             events.push(ConnEvent::PartialLine(partial));
         }
         invalid_line.set(error.is_some());
         for event in events.into_iter().chain(error.map(ConnEvent::InvalidLine)) {
             if inbox.send(Inbound::Conn(side, conn, event)).await.is_err() {
-                return Closing::Ours;
+                return CloseReason::ClosedLocally;
             }
         }
         if invalid_line.get() {
