--- a/examples/gossip_tables.rs
+++ b/examples/gossip_tables.rs
@@ -94,8 +94,10 @@
 }
 
 fn membership(sizes: &[usize], seeds: u64) {
-    println!( "| members | death known to all, median s | worst s | false deaths in 60 s at 0% | 5% | 20% loss | bytes/s mean | \
-         worst second | datagrams/s mean | worst | split heals, median s | worst s |" );
+    println!(
+        "| members | death known to all, median s | worst s | false deaths in 60 s at 0% | 5% | 20% loss | bytes/s mean | \
+         worst second | datagrams/s mean | worst | split heals, median s | worst s |"
+    );
     println!("|---|---|---|---|---|---|---|---|---|---|---|---|");
     for &n in sizes {
         // Runs with different seeds are independent of each other.
--- a/src/program/config.rs
+++ b/src/program/config.rs
@@ -209,7 +209,10 @@
 ) -> Result<(), ConfigError> {
     if let Some(list) = &appliance.exchange_list {
         if config.coordinator.is_some() || !config.initial_list_updates.is_empty() {
-            return Err(invalid( "appliance.exchange", "found [[exchange]] tables, expected none: the exchanges come from coordinator or known.updates", ));
+            return Err(invalid(
+                "appliance.exchange",
+                "found [[exchange]] tables, expected none: the exchanges come from coordinator or known.updates",
+            ));
         }
         config.initial_list_updates = vec![list.clone()];
     }
@@ -609,7 +612,11 @@
     use super::*;
 
     fn base() -> Config {
-        parse(&serde_json::json!({ "listen": "127.0.0.1:0", "settings": {"classes": [{"name": "a", "giveUp": 9000}], "extra": {"ownExchange": 3}} })) .unwrap()
+        parse(&serde_json::json!({
+            "listen": "127.0.0.1:0",
+            "settings": {"classes": [{"name": "a", "giveUp": 9000}], "extra": {"ownExchange": 3}}
+        }))
+        .unwrap()
     }
 
     const GATEWAY: &str = "enabled = true\nlisten = \"127.0.0.1:2727\"\nclass = \"a\"\n[[gateway]]\n\
--- a/src/program/event_loop.rs
+++ b/src/program/event_loop.rs
@@ -258,7 +258,11 @@
         };
         self.counts.reloads += 1;
         for key in self.config.keys_needing_restart(&new) {
-            tracing::info!( target: LOG_TARGET, key, "configuration: {key}: the change takes effect at the next start" );
+            tracing::info!(
+                target: LOG_TARGET,
+                key,
+                "configuration: {key}: the change takes effect at the next start"
+            );
         }
         if self.config.coordinator != new.coordinator {
             self.commands.push(TransportCommand::FollowCoordinator(new.coordinator));
@@ -397,7 +401,12 @@
                 self.callers.call_offered(conn, sid, key, call);
             }
             ClientRequest::Clear(call) => {
-                tracing::debug!( target: CALLS_TARGET, call = call.0, conn = conn.0, "call abandoned or released by its caller" );
+                tracing::debug!(
+                    target: CALLS_TARGET,
+                    call = call.0,
+                    conn = conn.0,
+                    "call abandoned or released by its caller"
+                );
                 self.ledger.caller_left(now, call);
             }
             ClientRequest::ReleasePreviousRun(sid) => self.upstream.release_previous_run(sid),
@@ -577,7 +586,12 @@
                 tracing::info!(target: LOG_TARGET, %member, "exchange {member}: connection closed: {reason}");
             }
             UpstreamOutput::LeasesExpired(member, calls) => {
-                tracing::info!( target: LOG_TARGET, %member, calls, "exchange {member}: lease expired, {calls} calls cut" );
+                tracing::info!(
+                    target: LOG_TARGET,
+                    %member,
+                    calls,
+                    "exchange {member}: lease expired, {calls} calls cut"
+                );
             }
             UpstreamOutput::PreviousRunReleased(sid, code) => {
                 self.callers.release_previous_run(now, sid, code)
--- a/tests/models.rs
+++ b/tests/models.rs
@@ -466,7 +466,19 @@
         CloseReason::ClosedLocally,
     ]);
     let state = prop::sample::select(vec![ListState::Ready, ListState::Draining, ListState::Gone]);
-    let step = prop_oneof![ 4 => Just(SetUp), 2 => (0_usize..50).prop_map(Clear), 3 => Just(Connected), 1 => reason.prop_map(Closed), 3 => (0_usize..50).prop_map(Answered), 2 => (0_usize..50, prop::sample::select(vec![16, 34, 41, 102])).prop_map(|(i, c)| Released(i, c)), 1 => Just(ProtocolError), 1 => any::<bool>().prop_map(PartialMessage), 1 => state.prop_map(List), 1 => Just(Vanish), 2 => (0..700 * MS).prop_map(Advance), ];
+    let step = prop_oneof![
+        4 => Just(SetUp),
+        2 => (0_usize..50).prop_map(Clear),
+        3 => Just(Connected),
+        1 => reason.prop_map(Closed),
+        3 => (0_usize..50).prop_map(Answered),
+        2 => (0_usize..50, prop::sample::select(vec![16, 34, 41, 102])).prop_map(|(i, c)| Released(i, c)),
+        1 => Just(ProtocolError),
+        1 => any::<bool>().prop_map(PartialMessage),
+        1 => state.prop_map(List),
+        1 => Just(Vanish),
+        2 => (0..700 * MS).prop_map(Advance),
+    ];
     check_property(prop::collection::vec(step, 1..80), |steps| {
         let mut m = UpstreamModel::new();
         steps.into_iter().for_each(|s| m.step(s));
@@ -766,7 +778,18 @@
 fn clients_get_one_answer_and_every_release_and_faults_affect_only_their_sender() {
     use ClientStep::*;
     let extras = prop::sample::select(vec!["dest:2", "dest:2", "dest:2", "dest:2", "dest:nan", "x", ""]);
-    let step = prop_oneof![ 3 => Just(Connect), 1 => (0_usize..9).prop_map(Disconnect), 6 => (0_usize..9, 0_u64..40, extras).prop_map(|(c, s, e)| SetUp(c, s, e)), 2 => (0_usize..9, 0_u64..40).prop_map(|(c, s)| Clear(c, s)), 4 => (0_usize..50, any::<bool>()).prop_map(|(i, s)| Answered(i, s)), 3 => (0_usize..50).prop_map(Released), 3 => (0_usize..50).prop_map(ConfirmRelease), 1 => (0_usize..9).prop_map(ProtocolError), 1 => (0_usize..9, any::<bool>()).prop_map(|(i, h)| PartialMessage(i, h)), 2 => (0..1_500 * MS).prop_map(Advance), ];
+    let step = prop_oneof![
+        3 => Just(Connect),
+        1 => (0_usize..9).prop_map(Disconnect),
+        6 => (0_usize..9, 0_u64..40, extras).prop_map(|(c, s, e)| SetUp(c, s, e)),
+        2 => (0_usize..9, 0_u64..40).prop_map(|(c, s)| Clear(c, s)),
+        4 => (0_usize..50, any::<bool>()).prop_map(|(i, s)| Answered(i, s)),
+        3 => (0_usize..50).prop_map(Released),
+        3 => (0_usize..50).prop_map(ConfirmRelease),
+        1 => (0_usize..9).prop_map(ProtocolError),
+        1 => (0_usize..9, any::<bool>()).prop_map(|(i, h)| PartialMessage(i, h)),
+        2 => (0..1_500 * MS).prop_map(Advance),
+    ];
     check_property(prop::collection::vec(step, 1..120), |steps| {
         let mut m = ClientModel::new(6);
         steps.into_iter().for_each(|s| m.step(s));
@@ -1114,7 +1137,14 @@
         (Ending::Completed, Cause::None),
     ]);
     let state = prop::sample::select(vec![ListState::Ready, ListState::Draining, ListState::Gone]);
-    let step = prop_oneof![ 6 => (0_u16..5, 50 * MS..5_000 * MS).prop_map(|(to, p)| Step::Offer(to, p)), 1 => (0_usize..50).prop_map(Step::CallerLeft), 3 => (0_usize..50).prop_map(Step::Answered), 4 => (0_usize..50, endings).prop_map(|(i, (e, c))| Step::Ended(i, e, c)), 1 => (1_u16..5, state).prop_map(|(n, s)| Step::List(n, s)), 4 => (0..800 * MS).prop_map(Step::Advance), ];
+    let step = prop_oneof![
+        6 => (0_u16..5, 50 * MS..5_000 * MS).prop_map(|(to, p)| Step::Offer(to, p)),
+        1 => (0_usize..50).prop_map(Step::CallerLeft),
+        3 => (0_usize..50).prop_map(Step::Answered),
+        4 => (0_usize..50, endings).prop_map(|(i, (e, c))| Step::Ended(i, e, c)),
+        1 => (1_u16..5, state).prop_map(|(n, s)| Step::List(n, s)),
+        4 => (0..800 * MS).prop_map(Step::Advance),
+    ];
     check_property(prop::collection::vec(step, 1..120), |steps| {
         let mut model = ledger_model();
         steps.into_iter().for_each(|s| model.step(s));
