--- a/tests/appliance.rs
+++ b/tests/appliance.rs
@@ -76,7 +76,7 @@
 
     fn operator(&self) -> Connection {
         let c = Connection::open(&self.socket(), "awa").unwrap();
-        c.set_read_timeout(Some(common::WAIT)).unwrap();
+        c.set_read_timeout(Some(common::TEST_TIMEOUT)).unwrap();
         c
     }
 }
--- a/tests/common/lines.rs
+++ b/tests/common/lines.rs
@@ -1,7 +1,7 @@
 //! JSON-lines connections, exchanges and a coordinator that a test drives by hand.
 #![allow(dead_code)]
 
-use super::{config, file, until, Program, WAIT};
+use super::{config, file, until, Program, TEST_TIMEOUT};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -22,7 +22,7 @@
 impl Line {
     pub fn on(stream: TcpStream) -> Line {
         stream.set_nodelay(true).unwrap();
-        stream.set_read_timeout(Some(WAIT)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         Line { reader: BufReader::new(stream.try_clone().unwrap()), stream, here: Arc::new(()) }
     }
     pub fn to(address: SocketAddr) -> Line {
@@ -53,7 +53,7 @@
         let mut byte = [0];
         let got = self.reader.read(&mut byte);
         assert!(got.is_err(), "{got:?} {byte:?} where nothing was due");
-        self.stream.set_read_timeout(Some(WAIT)).unwrap();
+        self.stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     }
     /// Waits for the connection's end, with nothing more said before it.
     pub fn ended(&mut self) -> bool {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 /// How long a test waits for what must come; far longer than it takes.
-pub const WAIT: Duration = Duration::from_secs(20);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 static FILES: AtomicU32 = AtomicU32::new(0);
 
@@ -108,7 +108,7 @@
 
 /// Tries until there is something.
 pub fn until<T>(what: &str, mut get: impl FnMut() -> Option<T>) -> T {
-    let end = Instant::now() + WAIT;
+    let end = Instant::now() + TEST_TIMEOUT;
     loop {
         if let Some(t) = get() {
             return t;
--- a/tests/gateways.rs
+++ b/tests/gateways.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{config, file, Program, WAIT};
+use common::{config, file, Program, TEST_TIMEOUT};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream, UdpSocket};
 use std::time::{Duration, Instant};
@@ -81,8 +81,9 @@
     /// The next command of that verb; RQNT and DLCX before it are answered as a gateway would.
     fn command(&mut self, verb: &str) -> Got {
         loop {
-            let got =
-                self.command_or_none(WAIT).unwrap_or_else(|| panic!("no {verb}; seen {:#?}", self.seen));
+            let got = self
+                .command_or_none(TEST_TIMEOUT)
+                .unwrap_or_else(|| panic!("no {verb}; seen {:#?}", self.seen));
             if got.verb == verb {
                 return got;
             }
@@ -110,7 +111,7 @@
 
     /// Sends a text until a response comes.
     fn exchange(&mut self, text: &str) -> String {
-        let until = Instant::now() + WAIT;
+        let until = Instant::now() + TEST_TIMEOUT;
         self.say(text);
         let mut sent = Instant::now();
         while Instant::now() < until {
@@ -332,7 +333,7 @@
     a.dial("lamp/1", "2001");
     let crcx = b.command("CRCX");
     // Lost: the same comes again, to the letter.
-    let until = Instant::now() + WAIT;
+    let until = Instant::now() + TEST_TIMEOUT;
     let again = std::iter::from_fn(|| (Instant::now() < until).then(|| b.poll())).flatten().next();
     assert_eq!(again.as_deref(), Some(crcx.text.as_str()));
     let text = format!("200 {} OK\r\nK:\r\nI: bb1\r\n\r\n{SDP_B}", crcx.id);
@@ -369,7 +370,7 @@
 fn a_caller_on_the_platforms_lines_reaches_a_gateway_through_the_same_core() {
     let (p, _a, mut b) = pair(1, "connection", 15_000);
     let mut stream = TcpStream::connect(p.callers).unwrap();
-    stream.set_read_timeout(Some(WAIT)).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     let sid = "9b1f03aa5c7e2d41";
     let open = serde_json::json!({"msg": "open", "sid": sid, "text": SDP_A, "attrs":
         {"class": "status-report", "left": "9000", "key": "7f3a9c21e0b4d655", "extras": "dest:2;width:1;via:-1"}});
--- a/tests/gossip.rs
+++ b/tests/gossip.rs
@@ -62,7 +62,7 @@
 
     fn show(&self, topic: Topic) -> Body {
         let mut c = Connection::open(&self.socket, "t").unwrap();
-        c.set_read_timeout(Some(common::WAIT)).unwrap();
+        c.set_read_timeout(Some(common::TEST_TIMEOUT)).unwrap();
         c.request("s", Operation::Show { topic, search: String::new() }).unwrap()
     }
 
--- a/tests/incident_75a3cb.rs
+++ b/tests/incident_75a3cb.rs
@@ -36,7 +36,7 @@
 
 /// One that goes on to tell of its group, as exchanges with calls do, until it is dropped.
 fn talking(host: &Host) -> Line {
-    let line = Line::on(host.accept(common::WAIT).unwrap());
+    let line = Line::on(host.accept(common::TEST_TIMEOUT).unwrap());
     keep_talking(&line);
     line
 }
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{config, file, until, Program, WAIT};
+use common::{config, file, until, Program, TEST_TIMEOUT};
 use opentelemetry_proto::tonic::collector::metrics::v1::{
     ExportMetricsPartialSuccess, ExportMetricsServiceRequest, ExportMetricsServiceResponse,
 };
@@ -24,7 +24,7 @@
 /// A call to nowhere: it is refused, and the answer shows that calls are served.
 fn call(callers: SocketAddr, n: u32) {
     let mut stream = TcpStream::connect(callers).unwrap();
-    stream.set_read_timeout(Some(WAIT)).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     let attrs = json!({"class": "status-report", "left": "3000", "extras": "dest:5;width:1"});
     writeln!(stream, "{}", json!({"msg": "open", "sid": format!("{n:016x}"), "attrs": attrs})).unwrap();
     let mut line = String::new();
