--- a/tests/appliance.rs
+++ b/tests/appliance.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{file, until, Program};
+use common::{temp_file, until, Program};
 use serde_json::json;
 use std::fs;
 use std::io::{Read, Write};
@@ -48,7 +48,7 @@
             text +=
                 &format!("[[exchange]]\nname = \"x{n}\"\nexchange = {n}\naddress = \"{}\"\n", e.address());
         }
-        let file = file("appliance.toml", &(text + more));
+        let file = temp_file("appliance.toml", &(text + more));
         Site { folder, exchanges, file }
     }
 
--- a/tests/common/lines.rs
+++ b/tests/common/lines.rs
@@ -1,7 +1,7 @@
 //! JSON-lines connections, exchanges and a coordinator that a test drives by hand.
 #![allow(dead_code)]
 
-use super::{config, file, until, Program, TEST_TIMEOUT};
+use super::{config, temp_file, until, Program, TEST_TIMEOUT};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -134,7 +134,7 @@
         .collect();
     let mut all = config(json!({"known": {"index": 3, "updates": [update(3, true, &members)]}}));
     more.as_object().unwrap().iter().for_each(|(k, v)| all[k] = v.clone());
-    let program = Program::start(&[("--config", &file("config.json", &all.to_string()))], &[]);
+    let program = Program::start(&[("--config", &temp_file("config.json", &all.to_string()))], &[]);
     let callers = program.at("callers");
     let lines = exchanges.iter().copied().map(accept).collect();
     let mut test = Line::to(callers);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -42,7 +42,7 @@
 }
 
 /// A file of this test run's own.
-pub fn file(name: &str, text: &str) -> PathBuf {
+pub fn temp_file(name: &str, text: &str) -> PathBuf {
     let n = FILES.fetch_add(1, Ordering::Relaxed);
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-{n}-{name}", std::process::id()));
     std::fs::write(&path, text).unwrap();
--- a/tests/gateways.rs
+++ b/tests/gateways.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{config, file, Program, TEST_TIMEOUT};
+use common::{config, temp_file, Program, TEST_TIMEOUT};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream, UdpSocket};
 use std::time::{Duration, Instant};
@@ -189,8 +189,8 @@
             names.join(",")
         );
     }
-    let config = file("config.json", &config(serde_json::json!({})).to_string());
-    let program = Program::start(&[("--config", &config), ("--mgcp", &file("mgcp.toml", &mgcp))], &[]);
+    let config = temp_file("config.json", &config(serde_json::json!({})).to_string());
+    let program = Program::start(&[("--config", &config), ("--mgcp", &temp_file("mgcp.toml", &mgcp))], &[]);
     let (callers, agent) = (program.at("callers"), program.at("gateways"));
     Running { _program: program, agent, callers }
 }
--- a/tests/gossip.rs
+++ b/tests/gossip.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{file, until, Program};
+use common::{temp_file, until, Program};
 use std::net::{SocketAddr, UdpSocket};
 use std::os::unix::fs::PermissionsExt;
 use std::path::PathBuf;
@@ -46,14 +46,14 @@
             text +=
                 &format!("[[exchange]]\nname = \"x{n}\"\nexchange = {n}\naddress = \"{}\"\n", e.address());
         }
-        let keys = file("gossip.keys", &keys('a'));
+        let keys = temp_file("gossip.keys", &keys('a'));
         std::fs::set_permissions(&keys, std::fs::Permissions::from_mode(0o600)).unwrap();
         let seeds = seed.map_or(String::new(), |s| format!("seeds = [\"{s}\"]\n"));
         let gossip = format!(
             "enabled = true\nlisten = \"127.0.0.1:0\"\n{seeds}key_file = {:?}\n",
             keys.display().to_string()
         );
-        let (appliance, gossip) = (file("appliance.toml", &text), file("gossip.toml", &gossip));
+        let (appliance, gossip) = (temp_file("appliance.toml", &text), temp_file("gossip.toml", &gossip));
         let program = Program::start(&[("--appliance", &appliance), ("--gossip", &gossip)], &[]);
         let (callers, at) = (program.at("callers"), program.at("gossip"));
         program.said("control socket at ");
--- a/tests/incident_75a3cb.rs
+++ b/tests/incident_75a3cb.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::lines::*;
-use common::{config, file, until, Program};
+use common::{config, temp_file, until, Program};
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 use std::io::{BufRead, Write};
@@ -49,7 +49,7 @@
         let coordinator = feed.local_addr().unwrap().to_string();
         let all = config(json!({"known": known, "coordinator": coordinator}));
         let program =
-            Program::start(&[("--config", &file("config.json", &all.to_string()))], &["--log", "debug"]);
+            Program::start(&[("--config", &temp_file("config.json", &all.to_string()))], &["--log", "debug"]);
         let exchange = talking(&host);
         let coordinator = Coordinator::accept(&feed);
         let mut caller = Line::to(program.at("callers"));
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::lines::*;
-use common::{config, file, Program};
+use common::{config, temp_file, Program};
 use serde_json::json;
 use std::fs;
 use std::io::Write;
@@ -34,7 +34,7 @@
     let exchange = Exchange::start(None, Traits { circuits: 2_000, delay, hold, seed: 7 }).unwrap();
     let member = member("s-1", exchange.address(), 1, "up");
     let all = config(json!({"known": {"index": 3, "updates": [update(3, true, &[member])]}}));
-    let program = Program::start(&[("--config", &file("config.json", &all.to_string()))], &[]);
+    let program = Program::start(&[("--config", &temp_file("config.json", &all.to_string()))], &[]);
     let callers = program.at("callers");
     let mut rounds = Vec::new();
     for round in 0..ROUNDS {
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{config, file, until, Program, TEST_TIMEOUT};
+use common::{config, temp_file, until, Program, TEST_TIMEOUT};
 use opentelemetry_proto::tonic::collector::metrics::v1::{
     ExportMetricsPartialSuccess, ExportMetricsServiceRequest, ExportMetricsServiceResponse,
 };
@@ -14,11 +14,11 @@
 use std::time::{Duration, Instant};
 
 fn start(telemetry: Option<SocketAddr>, flags: &[&str]) -> Program {
-    let config = file("config.json", &config(json!({})).to_string());
+    let config = temp_file("config.json", &config(json!({})).to_string());
     let text = telemetry.map_or("enabled = false\n".to_owned(), |at| {
         format!("enabled = true\nendpoint = \"http://{at}\"\ninterval_ms = 100\nspans = true\n")
     });
-    Program::start(&[("--config", &config), ("--telemetry", &file("telemetry.toml", &text))], flags)
+    Program::start(&[("--config", &config), ("--telemetry", &temp_file("telemetry.toml", &text))], flags)
 }
 
 /// A call to nowhere: it is refused, and the answer shows that calls are served.
@@ -157,7 +157,7 @@
 
 #[test]
 fn the_programs_own_deploy_files_are_good_and_leave_everything_off() {
-    let config = file("config.json", &config(json!({})).to_string());
+    let config = temp_file("config.json", &config(json!({})).to_string());
     let mut p = Program::start(&[("--config", &config)], &["--check"]);
     assert!(p.end().success());
     for name in ["mgcp", "telemetry", "appliance", "gossip"] {
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::lines::*;
-use common::{config, file, until, Program};
+use common::{config, temp_file, until, Program};
 use serde_json::json;
 use std::io::{BufRead, Write};
 use std::net::TcpListener;
@@ -315,7 +315,7 @@
         let known = json!({"index": 3, "updates": [update(3, true, &[member("up")])]});
         config(json!({"coordinator": feed, "known": known})).to_string()
     };
-    let path = file("config.json", &told(&at(&old)));
+    let path = temp_file("config.json", &told(&at(&old)));
     let p = Program::start(&[("--config", &path)], &[]);
     let (callers, mut x) = (p.at("callers"), accept(&l));
     let mut first = Coordinator::accept(&old);
@@ -395,7 +395,7 @@
         (json!({"limits": {"sockets": 3}}), "limits.sockets"),
         (json!({"settings": {"classes": [{"name": "a"}]}}), "settings.classes.0.giveUp"),
     ] {
-        let mut p = Program::start(&[("--config", &file("bad.json", &config(more).to_string()))], &[]);
+        let mut p = Program::start(&[("--config", &temp_file("bad.json", &config(more).to_string()))], &[]);
         assert_eq!(p.end().code(), Some(1));
         assert!(p.said("configuration: ").starts_with(key), "{key}");
     }
