--- a/tests/appliance.rs
+++ b/tests/appliance.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{temp_file, until, Program};
+use common::{temp_file, wait_until, Program};
 use serde_json::json;
 use std::fs;
 use std::io::{Read, Write};
@@ -62,8 +62,8 @@
         let callers = program.at("callers");
         program.said("control socket at ");
         let mut c = self.operator();
-        until("it serves", || (status(&mut c).state != "starting").then_some(()));
-        until("all lines are up", || {
+        wait_until("it serves", || (status(&mut c).state != "starting").then_some(()));
+        wait_until("all lines are up", || {
             let Body::Exchanges { exchanges } = show(&mut c, Topic::Exchanges) else { panic!() };
             exchanges.iter().all(|e| e.connected && e.free.is_some()).then_some(())
         });
@@ -172,24 +172,24 @@
     let site = Site::new(3, Duration::from_secs(2), "");
     let (_program, at) = site.up();
     let callers = Callers::start(at, load(60.0, 5, &[1, 2, 3])).unwrap();
-    until("calls stand at exchange 1", || (site.exchanges[0].busy() > 5).then_some(()));
+    wait_until("calls stand at exchange 1", || (site.exchanges[0].busy() > 5).then_some(()));
     // The order, and a half of another one; then the session is gone.
     let mut raw = UnixStream::connect(site.socket()).unwrap();
     let order = json!({"v": 1, "id": "o1", "who": "awa", "do": "drain", "target": "exchange:1"});
     raw.write_all(format!("{order}\n{{\"v\":1,\"id\":\"o2\",\"do\":\"undr").as_bytes()).unwrap();
     let mut c = site.operator();
-    until("the drain is in force", || (state(&mut c, "exchange:1") != "none").then_some(()));
+    wait_until("the drain is in force", || (state(&mut c, "exchange:1") != "none").then_some(()));
     drop(raw);
     let told = Instant::now();
     assert!(["asked", "shedding", "emptying"].contains(&state(&mut c, "exchange:1").as_str()));
     // The next session sees it through.
-    until("it is empty", || (state(&mut c, "exchange:1") == "empty").then_some(()));
+    wait_until("it is empty", || (state(&mut c, "exchange:1") == "empty").then_some(()));
     let last = site.exchanges[0].last_set_up().unwrap();
     assert!(last <= told + Duration::from_millis(250 + 50), "{:?} after the drain was in force", last - told);
     let before = site.exchanges[0].set_ups();
     let answer = c.request("u1", undrain("exchange:1")).unwrap();
     assert!(matches!(answer, Body::Done { order: 2, .. }), "{answer:?}");
-    until("it is used again", || (site.exchanges[0].set_ups() > before).then_some(()));
+    wait_until("it is used again", || (site.exchanges[0].set_ups() > before).then_some(()));
     let table = callers.finish();
     all_answered(&table);
     assert!(table.late == 0 && table.refused > 0, "{table}");
@@ -262,7 +262,7 @@
     assert!(site.exchanges[0].set_ups() == 0 && drains(&mut c).len() == 1);
     // While it empties, and when it is empty: the state comes with time, the drain is there at once.
     for want in ["shedding", "emptying", "empty"] {
-        until(want, || {
+        wait_until(want, || {
             let now = state(&mut c, "exchange:1");
             (now == want || now == "empty").then_some(())
         });
@@ -314,7 +314,7 @@
     fs::write(&site.file, good.replace("aim_ms = 1200", "aim_ms = 0")).unwrap();
     program.signal("HUP");
     assert!(program.said("warning: configuration kept: ").contains("fault"));
-    until("it is empty", || (state(&mut c, "exchange:1") == "empty").then_some(()));
+    wait_until("it is empty", || (state(&mut c, "exchange:1") == "empty").then_some(()));
     let table = callers.finish();
     all_answered(&table);
     program.signal("TERM");
@@ -327,14 +327,14 @@
     let mut site = Site::new(2, Duration::from_secs(30), "");
     let (_program, at) = site.up();
     let callers = Callers::start(at, load(40.0, 1, &[1])).unwrap();
-    until("calls stand there", || (callers.standing() > 20).then_some(()));
+    wait_until("calls stand there", || (callers.standing() > 20).then_some(()));
     let table = callers.so_far();
     assert_eq!(table.failed, 0);
     let mut c = site.operator();
     c.request("d", drain("exchange:1")).unwrap();
-    until("it empties", || (state(&mut c, "exchange:1") == "emptying").then_some(()));
+    wait_until("it empties", || (state(&mut c, "exchange:1") == "emptying").then_some(()));
     drop(site.exchanges.remove(0));
-    until("it is empty", || (state(&mut c, "exchange:1") == "empty").then_some(()));
+    wait_until("it is empty", || (state(&mut c, "exchange:1") == "empty").then_some(()));
 }
 
 #[test]
@@ -342,7 +342,7 @@
     let site = Site::new(2, Duration::from_secs(60), "[drains]\nown_grace_ms = 300\n");
     let (_program, at) = site.up();
     let callers = Callers::start(at, load(50.0, 1, &[1, 2])).unwrap();
-    until("calls stand", || (callers.standing() == 50).then_some(()));
+    wait_until("calls stand", || (callers.standing() == 50).then_some(()));
     let mut c = site.operator();
     let cut = |target: &str| Operation::Drain {
         target: target.into(),
@@ -352,10 +352,10 @@
         force: false,
     };
     c.request("a", cut("exchange:1")).unwrap();
-    until("it is empty", || (state(&mut c, "exchange:1") == "empty").then_some(()));
-    until("the callers heard it", || (callers.standing() == 25).then_some(()));
+    wait_until("it is empty", || (state(&mut c, "exchange:1") == "empty").then_some(()));
+    wait_until("the callers heard it", || (callers.standing() == 25).then_some(()));
     c.request("b", cut("controller")).unwrap();
-    until("it is drained", || (status(&mut c).state == "drained").then_some(()));
+    wait_until("it is drained", || (status(&mut c).state == "drained").then_some(()));
     let refused = Callers::start(at, load(50.0, 1, &[2])).unwrap().finish();
     all_answered(&refused);
     assert_eq!(refused.refused, refused.offered);
@@ -402,14 +402,14 @@
     let mut c = site.operator();
     let Body::Done { text, .. } = c.request("d", drain("exchange:1")).unwrap() else { panic!() };
     assert!(text.contains("not saved"), "{text}");
-    until("the drain is in force", || (state(&mut c, "exchange:1") == "empty").then_some(()));
+    wait_until("the drain is in force", || (state(&mut c, "exchange:1") == "empty").then_some(()));
     assert_eq!(status(&mut c).state_folder, "unsaved");
     assert!(
         events(&mut c).iter().any(|e| e.kind == "state" && e.text.contains(said)),
         "{:?}",
         events(&mut c)
     );
-    until("the alarm is raised", || status(&mut c).worst.contains("would not survive").then_some(()));
+    wait_until("the alarm is raised", || status(&mut c).worst.contains("would not survive").then_some(()));
     let table = Callers::start(at, load(50.0, 1, &[2])).unwrap().finish();
     all_answered(&table);
     assert_eq!(table.stood, table.offered, "{table}");
@@ -463,7 +463,7 @@
         let end = Instant::now() + Duration::from_secs(2);
         while Instant::now() < end && busy.write_all(asks.repeat(50).as_bytes()).is_ok() {}
     });
-    let mut c = until("an operator gets in", || {
+    let mut c = wait_until("an operator gets in", || {
         let mut c = Connection::open(&site.socket(), "awa").ok()?;
         c.set_read_timeout(Some(Duration::from_millis(500))).ok()?;
         c.request("s", Operation::Show { topic: Topic::Status, search: String::new() }).is_ok().then_some(c)
@@ -562,7 +562,7 @@
         let Body::Drains { round, .. } = show(c, Topic::Drains) else { panic!() };
         round.unwrap().stage
     };
-    until("the first one is empty", || (stage(&mut c) == "working").then_some(()));
+    wait_until("the first one is empty", || (stage(&mut c) == "working").then_some(()));
     assert!(c.request("r2", round).unwrap_err().to_string().contains("under way"));
     c.request("n", Operation::Next).unwrap();
     assert_eq!((stage(&mut c).as_str(), drains(&mut c).len()), ("settling", 0));
--- a/tests/common/lines.rs
+++ b/tests/common/lines.rs
@@ -1,7 +1,7 @@
 //! JSON-lines connections, exchanges and a coordinator that a test drives by hand.
 #![allow(dead_code)]
 
-use super::{config, temp_file, until, Program, TEST_TIMEOUT};
+use super::{config, temp_file, wait_until, Program, TEST_TIMEOUT};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -139,7 +139,7 @@
     let lines = exchanges.iter().copied().map(accept).collect();
     let mut test = Line::to(callers);
     // The test passes once every exchange has been heard of.
-    until("the test passes", || {
+    wait_until("the test passes", || {
         test.say(json!({"msg": "probe", "sid": sid(1), "attrs": {}, "code": 0}));
         (test.about(&sid(1))["code"] == 1).then_some(())
     });
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -83,7 +83,7 @@
 
     /// What follows `head` in the first such line of the log.
     pub fn said(&self, head: &str) -> String {
-        until(&format!("the program says {head:?}"), || {
+        wait_until(&format!("the program says {head:?}"), || {
             let said = self.said.lock().unwrap();
             said.iter().find_map(|l| l.strip_prefix("walnuthatch: ")?.strip_prefix(head).map(str::to_owned))
         })
@@ -102,12 +102,12 @@
 
     /// Waits for its end.
     pub fn end(&mut self) -> ExitStatus {
-        until("the program ends", || self.child.try_wait().unwrap())
+        wait_until("the program ends", || self.child.try_wait().unwrap())
     }
 }
 
 /// Tries until there is something.
-pub fn until<T>(what: &str, mut get: impl FnMut() -> Option<T>) -> T {
+pub fn wait_until<T>(what: &str, mut get: impl FnMut() -> Option<T>) -> T {
     let end = Instant::now() + TEST_TIMEOUT;
     loop {
         if let Some(t) = get() {
--- a/tests/coordinator.rs
+++ b/tests/coordinator.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::lines::*;
-use common::until;
+use common::wait_until;
 use serde_json::{json, Value};
 use std::net::TcpListener;
 use std::thread;
@@ -22,7 +22,7 @@
 
 fn comes_up(listener: &TcpListener) {
     listener.set_nonblocking(true).unwrap();
-    until("the new exchange is connected to", || listener.accept().ok());
+    wait_until("the new exchange is connected to", || listener.accept().ok());
 }
 
 #[test]
--- a/tests/gossip.rs
+++ b/tests/gossip.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{temp_file, until, Program};
+use common::{temp_file, wait_until, Program};
 use std::net::{SocketAddr, UdpSocket};
 use std::os::unix::fs::PermissionsExt;
 use std::path::PathBuf;
@@ -104,7 +104,9 @@
     let mut all = vec![first];
     all.extend((1..n).map(|i| Instance::start(100 + i, exchanges, seed)));
     let peers = usize::from(n) - 1;
-    until("all know each other", || all.iter().all(|i| i.alive() == peers && i.connected()).then_some(()));
+    wait_until("all know each other", || {
+        all.iter().all(|i| i.alive() == peers && i.connected()).then_some(())
+    });
     all
 }
 
@@ -130,9 +132,9 @@
         .map(|i| Callers::start(all[i].callers, load(60.0, 6, &[1, 2, 3, 4], i as u64)).unwrap())
         .collect();
     let quiet = Callers::start(all[2].callers, load(30.0, 6, &[2, 3, 4], 9)).unwrap();
-    until("calls go to it", || (exchanges[0].set_ups() > 20).then_some(()));
+    wait_until("calls go to it", || (exchanges[0].set_ups() > 20).then_some(()));
     exchanges[0].hang(true);
-    until("the third suspects it", || (all[2].suspects() == [1]).then_some(()));
+    wait_until("the third suspects it", || (all[2].suspects() == [1]).then_some(()));
     // Its first call there, if it comes now, is one set-up at the most.
     let before = exchanges[0].set_ups();
     let tried = Callers::start(all[2].callers, load(40.0, 1, &[1], 10)).unwrap();
@@ -145,7 +147,7 @@
     let quiet = quiet.finish();
     answered(&quiet);
     assert_eq!(quiet.stood, quiet.offered, "{quiet}");
-    until("nobody suspects it any more", || all.iter().all(|i| i.suspects().is_empty()).then_some(()));
+    wait_until("nobody suspects it any more", || all.iter().all(|i| i.suspects().is_empty()).then_some(()));
 }
 
 /// A peer with the right key that claims to lose set-ups at every exchange, for ever.
@@ -194,7 +196,7 @@
     let (over, heard) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(0)));
     let (to, ended, bytes) = (all[0].gossip, over.clone(), heard.clone());
     let lies = std::thread::spawn(move || liar(to, ended, bytes));
-    until("the liar is taken in", || all.iter().all(|i| i.alive() == 3).then_some(()));
+    wait_until("the liar is taken in", || all.iter().all(|i| i.alive() == 3).then_some(()));
     let begun = Instant::now();
     let sent_before: Vec<u64> = all.iter().map(|i| i.counter("gossip.sent_bytes")).collect();
     let callers: Vec<Callers> = all
@@ -229,7 +231,7 @@
     assert!(all[1].counter("gossip.flooded") > 1000 && all[1].counter("gossip.forged") > 0);
     // What the liar's word is worth has been seen.
     let id = MemberId::of("liar").to_string();
-    until("nobody believes the liar", || {
+    wait_until("nobody believes the liar", || {
         let Body::Peers { peers } = all[0].show(Topic::Peers) else { panic!() };
         peers.iter().any(|p| p.member == id && p.trust < 0.5).then_some(())
     });
@@ -253,11 +255,11 @@
         for i in &all {
             std::fs::write(&i.keys, step).unwrap();
             i._program.signal("HUP");
-            until("it is read anew", || (i.counter("config.reloads") == n).then_some(()));
+            wait_until("it is read anew", || (i.counter("config.reloads") == n).then_some(()));
         }
     }
     let taken: Vec<u64> = all.iter().map(|i| i.counter("gossip.taken")).collect();
-    until("they hear each other with the new key", || {
+    wait_until("they hear each other with the new key", || {
         all.iter().zip(&taken).all(|(i, t)| i.counter("gossip.taken") > t + 4).then_some(())
     });
     assert!(all.iter().all(|i| i.alive() == 2 && i.counter("gossip.forged") == 0));
--- a/tests/incident_75a3cb.rs
+++ b/tests/incident_75a3cb.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::lines::*;
-use common::{config, temp_file, until, Program};
+use common::{config, temp_file, wait_until, Program};
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 use std::io::{BufRead, Write};
@@ -53,7 +53,7 @@
         let exchange = talking(&host);
         let coordinator = Coordinator::accept(&feed);
         let mut caller = Line::to(program.at("callers"));
-        until("the test passes", || {
+        wait_until("the test passes", || {
             caller.say(json!({"msg": "probe", "sid": sid(1), "attrs": {}, "code": 0}));
             (caller.about(&sid(1))["code"] == 1).then_some(())
         });
@@ -142,7 +142,7 @@
     let mut again: Vec<Line> = (0..5).map(|_| Line::to(callers)).collect();
     program.signal("TERM");
     let asked = Instant::now();
-    let ended = until("the program ends", || {
+    let ended = wait_until("the program ends", || {
         for line in &mut again {
             line.stream.set_read_timeout(Some(Duration::from_millis(2))).unwrap();
             if line.ended() {
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{config, temp_file, until, Program, TEST_TIMEOUT};
+use common::{config, temp_file, wait_until, Program, TEST_TIMEOUT};
 use opentelemetry_proto::tonic::collector::metrics::v1::{
     ExportMetricsPartialSuccess, ExportMetricsServiceRequest, ExportMetricsServiceResponse,
 };
@@ -124,7 +124,7 @@
         &ExportMetricsServiceResponse { partial_success: Some(partial) }.encode_to_vec(),
     );
     // The call's span comes too.
-    until("the span of the call", || {
+    wait_until("the span of the call", || {
         let (stream, path, body) = take(&collector);
         answer(stream, "200 OK", b"");
         let spans = || ExportTraceServiceRequest::decode(&body[..]).unwrap();
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::lines::*;
-use common::{config, temp_file, until, Program};
+use common::{config, temp_file, wait_until, Program};
 use serde_json::json;
 use std::io::{BufRead, Write};
 use std::net::TcpListener;
@@ -261,7 +261,7 @@
     assert_eq!(c.hear()["msg"], "ready");
     // The process dies: nobody listens, and its connections are reset (unread bytes make a close a reset).
     c.say(open(&sid(22), 1, 9000));
-    until("the last set-up has come", || {
+    wait_until("the last set-up has come", || {
         let mut seen = [0; 4096];
         let n = x[0].stream.peek(&mut seen).unwrap();
         String::from_utf8_lossy(&seen[..n]).contains(&sid(22)).then_some(())
@@ -279,7 +279,7 @@
     let mut stream = Coordinator::accept(&feed);
     assert_eq!(stream.last, "3", "from the last event known");
     stream.event(&update(4, false, &[member("s-1", at, 1, "removed"), member("s-new", at, 1, "up")]));
-    let mut y = until("the new exchange answers a call", || {
+    let mut y = wait_until("the new exchange answers a call", || {
         let mut y = accept(&l2);
         y.stream.set_read_timeout(Some(Duration::from_millis(700))).unwrap();
         c.say(open(&sid(30), 1, 9000));
