--- a/tests/appliance.rs
+++ b/tests/appliance.rs
@@ -60,7 +60,7 @@
     fn up(&self) -> (Program, SocketAddr) {
         let program = self.start();
         let callers = program.at("callers");
-        program.said("control socket at ");
+        program.wait_for_log("control socket at ");
         let mut c = self.operator();
         wait_until("it serves", || (status(&mut c).state != "starting").then_some(()));
         wait_until("all lines are up", || {
@@ -301,7 +301,7 @@
     let good = fs::read_to_string(&site.file).unwrap();
     fs::write(&site.file, format!("{good}[drains]\nreason_needed = true\n")).unwrap();
     program.signal("HUP");
-    program.said("configuration read anew");
+    program.wait_for_log("configuration read anew");
     assert_ne!(state(&mut c, "exchange:1"), "none");
     let bare = Operation::Drain {
         target: "group:2".into(),
@@ -313,7 +313,7 @@
     assert!(c.request("n", bare).unwrap_err().to_string().contains("reason: missing"));
     fs::write(&site.file, good.replace("aim_ms = 1200", "aim_ms = 0")).unwrap();
     program.signal("HUP");
-    assert!(program.said("warning: configuration kept: ").contains("fault"));
+    assert!(program.wait_for_log("warning: configuration kept: ").contains("fault"));
     wait_until("it is empty", || (state(&mut c, "exchange:1") == "empty").then_some(()));
     let table = callers.finish();
     all_answered(&table);
@@ -483,7 +483,7 @@
     let (_program, _) = site.up();
     let mut second = site.start();
     assert!(!second.end().success());
-    assert!(second.said("control.socket: ").contains("another controller serves this socket"));
+    assert!(second.wait_for_log("control.socket: ").contains("another controller serves this socket"));
     assert!(Path::new(&site.socket()).exists());
 }
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -82,7 +82,7 @@
     }
 
     /// What follows `head` in the first such line of the log.
-    pub fn said(&self, head: &str) -> String {
+    pub fn wait_for_log(&self, head: &str) -> String {
         wait_until(&format!("the program says {head:?}"), || {
             let said = self.said.lock().unwrap();
             said.iter().find_map(|l| l.strip_prefix("walnuthatch: ")?.strip_prefix(head).map(str::to_owned))
@@ -91,7 +91,7 @@
 
     /// Where it listens for what.
     pub fn at(&self, what: &str) -> SocketAddr {
-        self.said(&format!("{what} at ")).parse().unwrap()
+        self.wait_for_log(&format!("{what} at ")).parse().unwrap()
     }
 
     /// Sends it a signal, by its own process id.
--- a/tests/gossip.rs
+++ b/tests/gossip.rs
@@ -56,7 +56,7 @@
         let (appliance, gossip) = (temp_file("appliance.toml", &text), temp_file("gossip.toml", &gossip));
         let program = Program::start(&[("--appliance", &appliance), ("--gossip", &gossip)], &[]);
         let (callers, at) = (program.at("callers"), program.at("gossip"));
-        program.said("control socket at ");
+        program.wait_for_log("control socket at ");
         Instance { _program: program, callers, gossip: at, socket, keys }
     }
 
@@ -266,6 +266,6 @@
     // A file that others may read is not taken, and the running keys are kept.
     std::fs::set_permissions(&all[0].keys, std::fs::Permissions::from_mode(0o644)).unwrap();
     all[0]._program.signal("HUP");
-    assert!(all[0]._program.said("warning: configuration kept: ").contains("fault"));
+    assert!(all[0]._program.wait_for_log("warning: configuration kept: ").contains("fault"));
     assert_eq!(all[0].alive(), 2);
 }
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -92,7 +92,7 @@
     let callers = p.at("callers");
     call(callers, 1);
     p.signal("USR1");
-    assert!(p.said("calls.offered=1").contains("calls.refused=1"));
+    assert!(p.wait_for_log("calls.offered=1").contains("calls.refused=1"));
     p.signal("TERM");
     assert!(p.end().success());
 }
@@ -132,7 +132,7 @@
     });
     p.signal("TERM");
     assert!(p.end().success());
-    let counters = p.said("t: ");
+    let counters = p.wait_for_log("t: ");
     assert!(counters.contains("otlp.rejected=2") && counters.contains("otlp.again=2"), "{counters}");
 }
 
@@ -151,7 +151,7 @@
         call(callers, 40);
         p.signal("TERM");
         assert!(p.end().success());
-        assert!(p.said("t: ").contains("calls.refused=40"));
+        assert!(p.wait_for_log("t: ").contains("calls.refused=40"));
     }
 }
 
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -327,12 +327,12 @@
     // A faulty file is named by its key, and nothing changes.
     std::fs::write(&path, told("nowhere")).unwrap();
     p.signal("HUP");
-    assert!(p.said("warning: configuration kept: ").starts_with("coordinator"));
+    assert!(p.wait_for_log("warning: configuration kept: ").starts_with("coordinator"));
     first.event(&update(5, false, &[self::member("s-2", l2.local_addr().unwrap(), 2, "up")]));
     accept(&l2);
     std::fs::write(&path, told(&at(&new))).unwrap();
     p.signal("HUP");
-    p.said("configuration read anew");
+    p.wait_for_log("configuration read anew");
     // The numbering goes on at the new address; what is told twice is taken once.
     let mut second = Coordinator::accept(&new);
     assert_eq!(second.last, "5");
@@ -366,7 +366,7 @@
         assert_eq!(line.about(&sid(n))["code"], 34);
     }
     assert!(p.end().success());
-    assert!(p.said("t: ").contains("calls.offered=2"), "counters at exit");
+    assert!(p.wait_for_log("t: ").contains("calls.offered=2"), "counters at exit");
     assert!(c.ended());
 }
 
@@ -397,7 +397,7 @@
     ] {
         let mut p = Program::start(&[("--config", &temp_file("bad.json", &config(more).to_string()))], &[]);
         assert_eq!(p.end().code(), Some(1));
-        assert!(p.said("configuration: ").starts_with(key), "{key}");
+        assert!(p.wait_for_log("configuration: ").starts_with(key), "{key}");
     }
 }
 
