--- a/tests/appliance.rs
+++ b/tests/appliance.rs
@@ -59,7 +59,7 @@
     /// Starts the program, and waits until each exchange was heard of.
     fn up(&self) -> (Program, SocketAddr) {
         let program = self.start();
-        let callers = program.at("callers");
+        let callers = program.listen_address("callers");
         program.wait_for_log("control socket at ");
         let mut c = self.operator();
         wait_until("it serves", || (status(&mut c).state != "starting").then_some(()));
--- a/tests/common/lines.rs
+++ b/tests/common/lines.rs
@@ -135,7 +135,7 @@
     let mut all = config(json!({"known": {"index": 3, "updates": [update(3, true, &members)]}}));
     more.as_object().unwrap().iter().for_each(|(k, v)| all[k] = v.clone());
     let program = Program::start(&[("--config", &temp_file("config.json", &all.to_string()))], &[]);
-    let callers = program.at("callers");
+    let callers = program.listen_address("callers");
     let lines = exchanges.iter().copied().map(accept).collect();
     let mut test = Line::to(callers);
     // The test passes once every exchange has been heard of.
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -90,7 +90,7 @@
     }
 
     /// Where it listens for what.
-    pub fn at(&self, what: &str) -> SocketAddr {
+    pub fn listen_address(&self, what: &str) -> SocketAddr {
         self.wait_for_log(&format!("{what} at ")).parse().unwrap()
     }
 
--- a/tests/gateways.rs
+++ b/tests/gateways.rs
@@ -191,7 +191,7 @@
     }
     let config = temp_file("config.json", &config(serde_json::json!({})).to_string());
     let program = Program::start(&[("--config", &config), ("--mgcp", &temp_file("mgcp.toml", &mgcp))], &[]);
-    let (callers, agent) = (program.at("callers"), program.at("gateways"));
+    let (callers, agent) = (program.listen_address("callers"), program.listen_address("gateways"));
     Running { _program: program, agent, callers }
 }
 
--- a/tests/gossip.rs
+++ b/tests/gossip.rs
@@ -55,7 +55,7 @@
         );
         let (appliance, gossip) = (temp_file("appliance.toml", &text), temp_file("gossip.toml", &gossip));
         let program = Program::start(&[("--appliance", &appliance), ("--gossip", &gossip)], &[]);
-        let (callers, at) = (program.at("callers"), program.at("gossip"));
+        let (callers, at) = (program.listen_address("callers"), program.listen_address("gossip"));
         program.wait_for_log("control socket at ");
         Instance { _program: program, callers, gossip: at, socket, keys }
     }
--- a/tests/incident_75a3cb.rs
+++ b/tests/incident_75a3cb.rs
@@ -52,7 +52,7 @@
             Program::start(&[("--config", &temp_file("config.json", &all.to_string()))], &["--log", "debug"]);
         let exchange = talking(&host);
         let coordinator = Coordinator::accept(&feed);
-        let mut caller = Line::to(program.at("callers"));
+        let mut caller = Line::to(program.listen_address("callers"));
         wait_until("the test passes", || {
             caller.say(json!({"msg": "probe", "sid": sid(1), "attrs": {}, "code": 0}));
             (caller.about(&sid(1))["code"] == 1).then_some(())
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -35,7 +35,7 @@
     let member = member("s-1", exchange.address(), 1, "up");
     let all = config(json!({"known": {"index": 3, "updates": [update(3, true, &[member])]}}));
     let program = Program::start(&[("--config", &temp_file("config.json", &all.to_string()))], &[]);
-    let callers = program.at("callers");
+    let callers = program.listen_address("callers");
     let mut rounds = Vec::new();
     for round in 0..ROUNDS {
         let mut lines: Vec<Line> = (0..CONNECTIONS_PER_ROUND).map(|_| Line::to(callers)).collect();
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -60,7 +60,7 @@
 #[test]
 fn the_console_answers_each_command_and_quits() {
     let mut p = start(None, &["--console"]);
-    let callers = p.at("callers");
+    let callers = p.listen_address("callers");
     call(callers, 1);
     let mut input = p.child.stdin.take().unwrap();
     let mut output = BufReader::new(p.child.stdout.take().unwrap());
@@ -89,7 +89,7 @@
 fn a_closed_standard_input_harms_nothing() {
     let mut p = start(None, &["--console"]);
     drop(p.child.stdin.take());
-    let callers = p.at("callers");
+    let callers = p.listen_address("callers");
     call(callers, 1);
     p.signal("USR1");
     assert!(p.wait_for_log("calls.offered=1").contains("calls.refused=1"));
@@ -101,7 +101,7 @@
 fn exports_wait_as_they_are_told_and_rejected_items_are_not_sent_again() {
     let collector = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut p = start(Some(collector.local_addr().unwrap()), &[]);
-    let callers = p.at("callers");
+    let callers = p.listen_address("callers");
     call(callers, 1);
     // Turned away twice, each time with a second to wait.
     let mut last = None::<Instant>;
@@ -143,7 +143,7 @@
     let gone = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     for at in [silent.local_addr().unwrap(), gone] {
         let mut p = start(Some(at), &[]);
-        let callers = p.at("callers");
+        let callers = p.listen_address("callers");
         for n in 1..40 {
             call(callers, n);
         }
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -317,7 +317,7 @@
     };
     let path = temp_file("config.json", &told(&at(&old)));
     let p = Program::start(&[("--config", &path)], &[]);
-    let (callers, mut x) = (p.at("callers"), accept(&l));
+    let (callers, mut x) = (p.listen_address("callers"), accept(&l));
     let mut first = Coordinator::accept(&old);
     assert_eq!(first.last, "3");
     first.event(&update(4, false, &[member("up")]));
