--- a/tests/appliance.rs
+++ b/tests/appliance.rs
@@ -318,7 +318,7 @@
     let table = callers.finish();
     all_answered(&table);
     program.signal("TERM");
-    assert!(program.end().success());
+    assert!(program.wait_for_exit().success());
     assert!(!site.socket().exists(), "the socket is gone with the program");
 }
 
@@ -482,7 +482,7 @@
     let site = Site::new(1, Duration::from_millis(300), "");
     let (_program, _) = site.up();
     let mut second = site.start();
-    assert!(!second.end().success());
+    assert!(!second.wait_for_exit().success());
     assert!(second.wait_for_log("control.socket: ").contains("another controller serves this socket"));
     assert!(Path::new(&site.socket()).exists());
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -101,7 +101,7 @@
     }
 
     /// Waits for its end.
-    pub fn end(&mut self) -> ExitStatus {
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
         wait_until("the program ends", || self.child.try_wait().unwrap())
     }
 }
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -82,7 +82,7 @@
     ask("status", "state draining");
     ask("drain off", "pass again");
     ask("quit", "stopping");
-    assert!(p.end().success());
+    assert!(p.wait_for_exit().success());
 }
 
 #[test]
@@ -94,7 +94,7 @@
     p.signal("USR1");
     assert!(p.wait_for_log("calls.offered=1").contains("calls.refused=1"));
     p.signal("TERM");
-    assert!(p.end().success());
+    assert!(p.wait_for_exit().success());
 }
 
 #[test]
@@ -131,7 +131,7 @@
         (path == "/v1/traces" && spans().resource_spans[0].scope_spans[0].spans.len() == 1).then_some(())
     });
     p.signal("TERM");
-    assert!(p.end().success());
+    assert!(p.wait_for_exit().success());
     let counters = p.wait_for_log("t: ");
     assert!(counters.contains("otlp.rejected=2") && counters.contains("otlp.again=2"), "{counters}");
 }
@@ -150,7 +150,7 @@
         std::thread::sleep(Duration::from_millis(300));
         call(callers, 40);
         p.signal("TERM");
-        assert!(p.end().success());
+        assert!(p.wait_for_exit().success());
         assert!(p.wait_for_log("t: ").contains("calls.refused=40"));
     }
 }
@@ -159,7 +159,7 @@
 fn the_programs_own_deploy_files_are_good_and_leave_everything_off() {
     let config = temp_file("config.json", &config(json!({})).to_string());
     let mut p = Program::start(&[("--config", &config)], &["--check"]);
-    assert!(p.end().success());
+    assert!(p.wait_for_exit().success());
     for name in ["mgcp", "telemetry", "appliance", "gossip"] {
         let text = std::fs::read_to_string(format!("deploy/{name}.toml")).unwrap();
         assert!(text.lines().any(|l| l == "enabled = false"));
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -365,7 +365,7 @@
         x[0].say(json!({"msg": "close", "sid": sid(n), "attrs": {"note": "end_queue_long"}, "code": 34}));
         assert_eq!(line.about(&sid(n))["code"], 34);
     }
-    assert!(p.end().success());
+    assert!(p.wait_for_exit().success());
     assert!(p.wait_for_log("t: ").contains("calls.offered=2"), "counters at exit");
     assert!(c.ended());
 }
@@ -383,7 +383,7 @@
     p.signal("TERM");
     assert_eq!(c.about(&sid(52))["code"], 41);
     assert!(before.elapsed() < Duration::from_secs(10), "long before its caller gives up");
-    assert!(p.end().success());
+    assert!(p.wait_for_exit().success());
 }
 
 #[test]
@@ -396,7 +396,7 @@
         (json!({"settings": {"classes": [{"name": "a"}]}}), "settings.classes.0.giveUp"),
     ] {
         let mut p = Program::start(&[("--config", &temp_file("bad.json", &config(more).to_string()))], &[]);
-        assert_eq!(p.end().code(), Some(1));
+        assert_eq!(p.wait_for_exit().code(), Some(1));
         assert!(p.wait_for_log("configuration: ").starts_with(key), "{key}");
     }
 }
