--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! What the socket tests share: the program as a process, with its configuration.
 #![allow(dead_code)]
 
-pub mod lines;
+pub mod json_lines;
 
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader};
--- a/tests/coordinator.rs
+++ b/tests/coordinator.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::lines::*;
+use common::json_lines::*;
 use common::wait_until;
 use serde_json::{json, Value};
 use std::net::TcpListener;
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::lines::*;
+use common::json_lines::*;
 use common::{config, temp_file, Program};
 use serde_json::json;
 use std::fs;
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::lines::*;
+use common::json_lines::*;
 use common::{config, temp_file, wait_until, Program};
 use serde_json::json;
 use std::io::{BufRead, Write};
