--- a/tests/common/json_lines.rs
+++ b/tests/common/json_lines.rs
@@ -12,21 +12,21 @@
     "v=0\r\nc=IN IP4 10.4.7.9\r\nm=audio 31000 RTP/AVP 0 8 101\r\na=x:\u{e9}\u{1}\"\\/\r\n";
 
 /// One end of a JSON-lines connection.
-pub struct Line {
+pub struct JsonConnection {
     pub stream: TcpStream,
     pub reader: BufReader<TcpStream>,
     /// While this is there, whoever reports of itself on the stream goes on.
     pub here: Arc<()>,
 }
 
-impl Line {
-    pub fn on(stream: TcpStream) -> Line {
+impl JsonConnection {
+    pub fn on(stream: TcpStream) -> JsonConnection {
         stream.set_nodelay(true).unwrap();
         stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
-        Line { reader: BufReader::new(stream.try_clone().unwrap()), stream, here: Arc::new(()) }
+        JsonConnection { reader: BufReader::new(stream.try_clone().unwrap()), stream, here: Arc::new(()) }
     }
-    pub fn to(address: SocketAddr) -> Line {
-        Line::on(TcpStream::connect(address).unwrap())
+    pub fn to(address: SocketAddr) -> JsonConnection {
+        JsonConnection::on(TcpStream::connect(address).unwrap())
     }
     pub fn say(&mut self, message: Value) {
         self.raw(format!("{message}\n").as_bytes());
@@ -95,21 +95,21 @@
     "{\"msg\":\"status\",\"sid\":\"\",\"attrs\":{\"load\":\"x0:20;x1:20;latency_ms:-1;qps:-1\"}}\n";
 
 /// An exchange that takes one connection and tells of its group, as exchanges do first of all, and no more.
-pub fn accept_mute(listener: &TcpListener) -> Line {
-    let mut line = Line::on(listener.accept().unwrap().0);
+pub fn accept_mute(listener: &TcpListener) -> JsonConnection {
+    let mut line = JsonConnection::on(listener.accept().unwrap().0);
     line.raw(STATUS.as_bytes());
     line
 }
 
 /// One that goes on to tell of its group, as exchanges with calls do.
-pub fn accept(listener: &TcpListener) -> Line {
+pub fn accept(listener: &TcpListener) -> JsonConnection {
     let line = accept_mute(listener);
     keep_talking(&line);
     line
 }
 
 /// Tells of the group on this connection for as long as it is there.
-pub fn keep_talking(line: &Line) {
+pub fn keep_talking(line: &JsonConnection) {
     let (here, mut stream) = (Arc::downgrade(&line.here), line.stream.try_clone().unwrap());
     std::thread::spawn(move || {
         while here.strong_count() > 0 && stream.write_all(STATUS.as_bytes()).is_ok() {
@@ -119,15 +119,15 @@
 }
 
 /// The program with these exchanges known, each connected.
-pub fn start(exchanges: &[&TcpListener], more: Value) -> (Program, SocketAddr, Vec<Line>) {
+pub fn start(exchanges: &[&TcpListener], more: Value) -> (Program, SocketAddr, Vec<JsonConnection>) {
     start_with(accept, exchanges, more)
 }
 
 pub fn start_with(
-    accept: fn(&TcpListener) -> Line,
+    accept: fn(&TcpListener) -> JsonConnection,
     exchanges: &[&TcpListener],
     more: Value,
-) -> (Program, SocketAddr, Vec<Line>) {
+) -> (Program, SocketAddr, Vec<JsonConnection>) {
     let members: Vec<Value> = (1..)
         .zip(exchanges)
         .map(|(i, l)| member(&format!("s-{i}"), l.local_addr().unwrap(), i, "up"))
@@ -137,7 +137,7 @@
     let program = Program::start(&[("--config", &temp_file("config.json", &all.to_string()))], &[]);
     let callers = program.listen_address("callers");
     let lines = exchanges.iter().copied().map(accept).collect();
-    let mut test = Line::to(callers);
+    let mut test = JsonConnection::to(callers);
     // The test passes once every exchange has been heard of.
     wait_until("the test passes", || {
         test.say(json!({"msg": "probe", "sid": sid(1), "attrs": {}, "code": 0}));
--- a/tests/incident_75a3cb.rs
+++ b/tests/incident_75a3cb.rs
@@ -24,8 +24,8 @@
 struct Site {
     _program: Program,
     host: Host,
-    exchange: Line,
-    caller: Line,
+    exchange: JsonConnection,
+    caller: JsonConnection,
     /// The coordinator's stream, and where it listens, while it is up.
     coordinator: Option<(Coordinator, TcpListener)>,
 }
@@ -35,8 +35,8 @@
 }
 
 /// One that goes on to tell of its group, as exchanges with calls do, until it is dropped.
-fn talking(host: &Host) -> Line {
-    let line = Line::on(host.accept(common::TEST_TIMEOUT).unwrap());
+fn talking(host: &Host) -> JsonConnection {
+    let line = JsonConnection::on(host.accept(common::TEST_TIMEOUT).unwrap());
     keep_talking(&line);
     line
 }
@@ -52,7 +52,7 @@
             Program::start(&[("--config", &temp_file("config.json", &all.to_string()))], &["--log", "debug"]);
         let exchange = talking(&host);
         let coordinator = Coordinator::accept(&feed);
-        let mut caller = Line::to(program.listen_address("callers"));
+        let mut caller = JsonConnection::to(program.listen_address("callers"));
         wait_until("the test passes", || {
             caller.say(json!({"msg": "probe", "sid": sid(1), "attrs": {}, "code": 0}));
             (caller.about(&sid(1))["code"] == 1).then_some(())
@@ -76,7 +76,7 @@
 }
 
 /// The caller is told of the end of a call that stood, in time.
-fn told_in_time(caller: &mut Line, name: &str, since: Instant) {
+fn told_in_time(caller: &mut JsonConnection, name: &str, since: Instant) {
     caller.stream.set_read_timeout(Some(TOLD_WITHIN + Duration::from_secs(1))).unwrap();
     let mut told = String::new();
     let heard = caller.reader.read_line(&mut told);
@@ -110,9 +110,9 @@
 
 /// Sends a request every few milliseconds on an open connection, as clients do that go on to the end. Gives the
 /// names of those that were sent early enough and have no answer.
-fn clients_go_on(caller: Line, until: Instant) -> BTreeSet<String> {
+fn clients_go_on(caller: JsonConnection, until: Instant) -> BTreeSet<String> {
     let open_requests = Arc::new(Mutex::new(BTreeSet::new()));
-    let Line { mut stream, reader, .. } = caller;
+    let JsonConnection { mut stream, reader, .. } = caller;
     let answered = open_requests.clone();
     let listening = thread::spawn(move || {
         for line in reader.lines().map_while(Result::ok) {
@@ -139,7 +139,7 @@
 fn a_stop_ends_soon_with_nothing_left_though_clients_connect_again_and_again() {
     let l = listener();
     let (mut program, callers, _x) = start(&[&l], json!({}));
-    let mut again: Vec<Line> = (0..5).map(|_| Line::to(callers)).collect();
+    let mut again: Vec<JsonConnection> = (0..5).map(|_| JsonConnection::to(callers)).collect();
     program.signal("TERM");
     let asked = Instant::now();
     let ended = wait_until("the program ends", || {
@@ -147,7 +147,7 @@
             line.stream.set_read_timeout(Some(Duration::from_millis(2))).unwrap();
             if line.ended() {
                 if let Ok(stream) = std::net::TcpStream::connect(callers) {
-                    *line = Line::on(stream);
+                    *line = JsonConnection::on(stream);
                 }
             }
         }
@@ -162,7 +162,7 @@
     let l = listener();
     let (mut program, callers, mut x) = start(&[&l], json!({}));
     // A call that stands keeps its connection in use.
-    let mut caller = Line::to(callers);
+    let mut caller = JsonConnection::to(callers);
     caller.say(open(&sid(50), 1, 9_000));
     x[0].about(&sid(50));
     x[0].say(json!({"msg": "ready", "sid": sid(50), "attrs": {}, "text": TEXT}));
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -38,7 +38,8 @@
     let callers = program.listen_address("callers");
     let mut rounds = Vec::new();
     for round in 0..ROUNDS {
-        let mut lines: Vec<Line> = (0..CONNECTIONS_PER_ROUND).map(|_| Line::to(callers)).collect();
+        let mut lines: Vec<JsonConnection> =
+            (0..CONNECTIONS_PER_ROUND).map(|_| JsonConnection::to(callers)).collect();
         let name = |n: usize| sid(1 + round * CONNECTIONS_PER_ROUND + n as u32);
         lines.iter_mut().enumerate().for_each(|(n, line)| line.say(open(&name(n), 1, 5_000)));
         for (n, line) in lines.iter_mut().enumerate() {
