--- a/tests/common/json_lines.rs
+++ b/tests/common/json_lines.rs
@@ -20,13 +20,13 @@
 }
 
 impl JsonConnection {
-    pub fn on(stream: TcpStream) -> JsonConnection {
+    pub fn new(stream: TcpStream) -> JsonConnection {
         stream.set_nodelay(true).unwrap();
         stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         JsonConnection { reader: BufReader::new(stream.try_clone().unwrap()), stream, here: Arc::new(()) }
     }
     pub fn to(address: SocketAddr) -> JsonConnection {
-        JsonConnection::on(TcpStream::connect(address).unwrap())
+        JsonConnection::new(TcpStream::connect(address).unwrap())
     }
     pub fn say(&mut self, message: Value) {
         self.raw(format!("{message}\n").as_bytes());
@@ -96,7 +96,7 @@
 
 /// An exchange that takes one connection and tells of its group, as exchanges do first of all, and no more.
 pub fn accept_mute(listener: &TcpListener) -> JsonConnection {
-    let mut line = JsonConnection::on(listener.accept().unwrap().0);
+    let mut line = JsonConnection::new(listener.accept().unwrap().0);
     line.raw(STATUS.as_bytes());
     line
 }
--- a/tests/incident_75a3cb.rs
+++ b/tests/incident_75a3cb.rs
@@ -36,7 +36,7 @@
 
 /// One that goes on to tell of its group, as exchanges with calls do, until it is dropped.
 fn talking(host: &Host) -> JsonConnection {
-    let line = JsonConnection::on(host.accept(common::TEST_TIMEOUT).unwrap());
+    let line = JsonConnection::new(host.accept(common::TEST_TIMEOUT).unwrap());
     keep_talking(&line);
     line
 }
@@ -147,7 +147,7 @@
             line.stream.set_read_timeout(Some(Duration::from_millis(2))).unwrap();
             if line.ended() {
                 if let Ok(stream) = std::net::TcpStream::connect(callers) {
-                    *line = JsonConnection::on(stream);
+                    *line = JsonConnection::new(stream);
                 }
             }
         }
