--- a/tests/common/json_lines.rs
+++ b/tests/common/json_lines.rs
@@ -25,7 +25,7 @@
         stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         JsonConnection { reader: BufReader::new(stream.try_clone().unwrap()), stream, here: Arc::new(()) }
     }
-    pub fn to(address: SocketAddr) -> JsonConnection {
+    pub fn connect(address: SocketAddr) -> JsonConnection {
         JsonConnection::new(TcpStream::connect(address).unwrap())
     }
     pub fn say(&mut self, message: Value) {
@@ -137,7 +137,7 @@
     let program = Program::start(&[("--config", &temp_file("config.json", &all.to_string()))], &[]);
     let callers = program.listen_address("callers");
     let lines = exchanges.iter().copied().map(accept).collect();
-    let mut test = JsonConnection::to(callers);
+    let mut test = JsonConnection::connect(callers);
     // The test passes once every exchange has been heard of.
     wait_until("the test passes", || {
         test.say(json!({"msg": "probe", "sid": sid(1), "attrs": {}, "code": 0}));
--- a/tests/incident_75a3cb.rs
+++ b/tests/incident_75a3cb.rs
@@ -52,7 +52,7 @@
             Program::start(&[("--config", &temp_file("config.json", &all.to_string()))], &["--log", "debug"]);
         let exchange = talking(&host);
         let coordinator = Coordinator::accept(&feed);
-        let mut caller = JsonConnection::to(program.listen_address("callers"));
+        let mut caller = JsonConnection::connect(program.listen_address("callers"));
         wait_until("the test passes", || {
             caller.say(json!({"msg": "probe", "sid": sid(1), "attrs": {}, "code": 0}));
             (caller.about(&sid(1))["code"] == 1).then_some(())
@@ -139,7 +139,7 @@
 fn a_stop_ends_soon_with_nothing_left_though_clients_connect_again_and_again() {
     let l = listener();
     let (mut program, callers, _x) = start(&[&l], json!({}));
-    let mut again: Vec<JsonConnection> = (0..5).map(|_| JsonConnection::to(callers)).collect();
+    let mut again: Vec<JsonConnection> = (0..5).map(|_| JsonConnection::connect(callers)).collect();
     program.signal("TERM");
     let asked = Instant::now();
     let ended = wait_until("the program ends", || {
@@ -162,7 +162,7 @@
     let l = listener();
     let (mut program, callers, mut x) = start(&[&l], json!({}));
     // A call that stands keeps its connection in use.
-    let mut caller = JsonConnection::to(callers);
+    let mut caller = JsonConnection::connect(callers);
     caller.say(open(&sid(50), 1, 9_000));
     x[0].about(&sid(50));
     x[0].say(json!({"msg": "ready", "sid": sid(50), "attrs": {}, "text": TEXT}));
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -39,7 +39,7 @@
     let mut rounds = Vec::new();
     for round in 0..ROUNDS {
         let mut lines: Vec<JsonConnection> =
-            (0..CONNECTIONS_PER_ROUND).map(|_| JsonConnection::to(callers)).collect();
+            (0..CONNECTIONS_PER_ROUND).map(|_| JsonConnection::connect(callers)).collect();
         let name = |n: usize| sid(1 + round * CONNECTIONS_PER_ROUND + n as u32);
         lines.iter_mut().enumerate().for_each(|(n, line)| line.say(open(&name(n), 1, 5_000)));
         for (n, line) in lines.iter_mut().enumerate() {
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -14,7 +14,7 @@
 fn a_call_stands_with_everything_passed_on_unchanged_and_its_end_is_told() {
     let l = listener();
     let (_p, callers, mut x) = start(&[&l], json!({}));
-    let mut c = JsonConnection::to(callers);
+    let mut c = JsonConnection::connect(callers);
     c.say(open(&sid(7), 1, 3000));
     let got = x[0].hear();
     assert_eq!((&got["msg"], &got["sid"], &got["text"]), (&json!("open"), &json!(sid(7)), &json!(TEXT)));
@@ -36,7 +36,7 @@
 fn lines_may_be_split_and_joined() {
     let l = listener();
     let (_p, callers, mut x) = start(&[&l], json!({}));
-    let mut c = JsonConnection::to(callers);
+    let mut c = JsonConnection::connect(callers);
     // Two messages in one write, the second in two parts; the far end hears both.
     let two = format!("{}\n{}\n", open(&sid(1), 1, 3000), open(&sid(2), 1, 3000));
     let (a, b) = two.as_bytes().split_at(two.len() - 40);
@@ -54,7 +54,7 @@
     let extras =
         ["x", "dest:nan", "dest:-3", "dest:1.5", "dest:1;width:0", "dest:1;width:400", "dest:1;via:70000"];
     for (key, value) in faults.into_iter().chain(extras.map(|e| ("extras", e))) {
-        let mut c = JsonConnection::to(callers);
+        let mut c = JsonConnection::connect(callers);
         let mut odd = open(&sid(5), 1, 3000);
         odd["attrs"][key] = json!(value);
         for _ in 0..8 {
@@ -73,13 +73,13 @@
 fn a_fault_of_a_caller_ends_its_own_connection_only_and_what_it_had_open_is_answered_first() {
     let l = listener();
     let (_p, callers, mut x) = start(&[&l], json!({}));
-    let mut good = JsonConnection::to(callers);
+    let mut good = JsonConnection::connect(callers);
     good.say(open(&sid(6), 1, 9000));
     x[0].about(&sid(6));
     let no_name = open("", 1, 3000).to_string();
     let endless = "A".repeat(3_000_000);
     for (n, fault) in (10..).zip(["nonsense", "7", &no_name, "{\"msg\":7}", &endless]) {
-        let mut bad = JsonConnection::to(callers);
+        let mut bad = JsonConnection::connect(callers);
         bad.say(open(&sid(n), 1, 9000));
         x[0].about(&sid(n));
         // It reads what it is sent while it goes on sending, and may find the connection gone.
@@ -90,14 +90,14 @@
         bad.ended();
     }
     // The name of a set-up that is open elsewhere: nothing is said about it, nor can it be given up from there.
-    let mut thief = JsonConnection::to(callers);
+    let mut thief = JsonConnection::connect(callers);
     thief.say(close(&sid(6), 16));
     thief.say(open(&sid(6), 1, 3000));
     assert!(thief.ended());
     x[0].say(json!({"msg": "ready", "sid": sid(6), "attrs": {}, "text": TEXT}));
     assert_eq!(good.hear()["msg"], "ready");
     // Two under one name on one connection: one answer, and the end.
-    let mut twice = JsonConnection::to(callers);
+    let mut twice = JsonConnection::connect(callers);
     let pair = format!("{}\n{}\n", open(&sid(8), 1, 3000), open(&sid(8), 1, 3000));
     twice.raw(pair.as_bytes());
     assert_eq!(twice.hear()["code"], 41);
@@ -108,10 +108,10 @@
 fn callers_who_say_nothing_or_stop_half_way_are_ended_and_hundreds_of_them_leave_room_for_others() {
     let l = listener();
     let (p, callers, mut x) = start(&[&l], json!({"limits": {"sockets": 64}}));
-    let mut silent: Vec<JsonConnection> = (0..300).map(|_| JsonConnection::to(callers)).collect();
+    let mut silent: Vec<JsonConnection> = (0..300).map(|_| JsonConnection::connect(callers)).collect();
     // It may have had to make room already.
     drop(silent[299].stream.write_all(b"{\"msg\":\"open\","));
-    let mut c = JsonConnection::to(callers);
+    let mut c = JsonConnection::connect(callers);
     c.say(open(&sid(9), 1, 9000));
     x[0].about(&sid(9));
     x[0].say(json!({"msg": "ready", "sid": sid(9), "attrs": {}, "text": TEXT}));
@@ -125,7 +125,7 @@
 fn a_refused_call_is_answered_at_once_with_when_to_come_back() {
     let l = listener();
     let (_p, callers, mut x) = start(&[&l], json!({}));
-    let mut c = JsonConnection::to(callers);
+    let mut c = JsonConnection::connect(callers);
     c.say(open(&sid(8), 1, 9000));
     x[0].about(&sid(8));
     let refusal = json!({"msg": "close", "sid": sid(8), "attrs": {"note": "queue_long", "load": "x0:3;x1:20"}, "code": 34});
@@ -140,7 +140,7 @@
 fn an_answer_that_comes_after_the_set_up_was_given_up_is_released() {
     let l = listener();
     let (_p, callers, mut x) = start(&[&l], json!({}));
-    let mut c = JsonConnection::to(callers);
+    let mut c = JsonConnection::connect(callers);
     c.say(open(&sid(9), 1, 9000));
     x[0].about(&sid(9));
     c.say(close(&sid(9), 16));
@@ -158,7 +158,7 @@
     for (n, bytes) in (100..).step_by(10).zip(spoilt) {
         let l = listener();
         let (_p, callers, mut x) = start_with(accept_mute, &[&l], json!({}));
-        let mut c = JsonConnection::to(callers);
+        let mut c = JsonConnection::connect(callers);
         for n in [n, n + 1] {
             c.say(open(&sid(n), 1, 9000));
             x[0].about(&sid(n));
@@ -185,7 +185,7 @@
 fn a_connection_that_stays_open_and_dead_is_given_up_and_what_was_over_meanwhile_is_told() {
     let l = listener();
     let (_p, callers, mut x) = start_with(accept_mute, &[&l], json!({}));
-    let mut c = JsonConnection::to(callers);
+    let mut c = JsonConnection::connect(callers);
     for n in [90, 91] {
         c.say(open(&sid(n), 1, 9000));
         x[0].about(&sid(n));
@@ -208,12 +208,12 @@
 fn a_request_that_comes_again_on_a_new_connection_keeps_the_quiet_period() {
     let l = listener();
     let (_p, callers, mut x) = start(&[&l], json!({}));
-    let mut c = JsonConnection::to(callers);
+    let mut c = JsonConnection::connect(callers);
     c.say(open(&sid(95), 1, 9000));
     assert_eq!(x[0].about(&sid(95))["msg"], "open");
     // Its connection is lost under it, and it is sent again at once.
     drop(c);
-    let mut d = JsonConnection::to(callers);
+    let mut d = JsonConnection::connect(callers);
     d.say(open(&sid(95), 1, 9000));
     assert_eq!(x[0].about(&sid(95))["code"], 16);
     let before = Instant::now();
@@ -227,7 +227,7 @@
 fn no_connection_owns_a_call_that_stands() {
     let l = listener();
     let (_p, callers, mut x) = start(&[&l], json!({}));
-    let mut c = JsonConnection::to(callers);
+    let mut c = JsonConnection::connect(callers);
     for n in [10, 11, 12] {
         c.say(open(&sid(n), 1, 9000));
         x[0].about(&sid(n));
@@ -238,7 +238,7 @@
     // With no connection at all the release waits for the next; with another one it takes that.
     x[0].say(close(&sid(10), 16));
     std::thread::sleep(Duration::from_millis(100));
-    let mut d = JsonConnection::to(callers);
+    let mut d = JsonConnection::connect(callers);
     assert_eq!(d.about(&sid(10))["code"], 16);
     x[0].say(close(&sid(11), 41));
     assert_eq!(d.about(&sid(11))["code"], 41);
@@ -252,7 +252,7 @@
     let (l, feed) = (listener(), listener());
     let at = l.local_addr().unwrap();
     let (_p, callers, mut x) = start(&[&l], json!({"coordinator": feed.local_addr().unwrap().to_string()}));
-    let mut c = JsonConnection::to(callers);
+    let mut c = JsonConnection::connect(callers);
     for n in [20, 21] {
         c.say(open(&sid(n), 1, 9000));
         x[0].about(&sid(n));
@@ -300,7 +300,7 @@
     let mut stream = Coordinator::accept(&feed);
     stream.event(&update(4, false, &[member("s-1", l.local_addr().unwrap(), 1, "draining")]));
     std::thread::sleep(Duration::from_millis(300));
-    let mut c = JsonConnection::to(callers);
+    let mut c = JsonConnection::connect(callers);
     c.say(open(&sid(40), 1, 1500));
     assert_eq!(c.about(&sid(40))["msg"], "close");
     x[0].quiet(Duration::from_millis(300));
@@ -321,7 +321,7 @@
     let mut first = Coordinator::accept(&old);
     assert_eq!(first.last, "3");
     first.event(&update(4, false, &[member("up")]));
-    let mut c = JsonConnection::to(callers);
+    let mut c = JsonConnection::connect(callers);
     c.say(open(&sid(80), 1, 9000));
     x.about(&sid(80));
     // A faulty file is named by its key, and nothing changes.
@@ -351,12 +351,12 @@
 fn after_sigterm_it_goes_on_accepting_for_a_while_and_answers_all_that_it_took() {
     let l = listener();
     let (mut p, callers, mut x) = start(&[&l], json!({}));
-    let mut c = JsonConnection::to(callers);
+    let mut c = JsonConnection::connect(callers);
     c.say(open(&sid(50), 1, 9000));
     x[0].about(&sid(50));
     p.signal("TERM");
     std::thread::sleep(Duration::from_millis(100));
-    let mut d = JsonConnection::to(callers);
+    let mut d = JsonConnection::connect(callers);
     d.say(open(&sid(51), 1, 9000));
     x[0].about(&sid(51));
     std::thread::sleep(Duration::from_millis(1_300));
@@ -376,7 +376,7 @@
     let mut settings = common::settings();
     settings["classes"][0]["giveUp"] = json!(600.0);
     let (mut p, callers, mut x) = start(&[&l], json!({"settings": settings}));
-    let mut c = JsonConnection::to(callers);
+    let mut c = JsonConnection::connect(callers);
     c.say(open(&sid(52), 1, 30_000));
     x[0].about(&sid(52));
     let before = Instant::now();
@@ -405,7 +405,7 @@
 fn a_call_that_stood_through_a_restart_is_released_on_both_sides_by_name() {
     let l = listener();
     let (_p, callers, mut x) = start(&[&l], json!({}));
-    let mut c = JsonConnection::to(callers);
+    let mut c = JsonConnection::connect(callers);
     // Neither name was ever met in this life.
     x[0].say(close(&sid(70), 16));
     assert_eq!(c.about(&sid(70))["code"], 16);
