--- a/tests/common/json_lines.rs
+++ b/tests/common/json_lines.rs
@@ -28,7 +28,7 @@
     pub fn connect(address: SocketAddr) -> JsonConnection {
         JsonConnection::new(TcpStream::connect(address).unwrap())
     }
-    pub fn say(&mut self, message: Value) {
+    pub fn send(&mut self, message: Value) {
         self.raw(format!("{message}\n").as_bytes());
     }
     pub fn raw(&mut self, bytes: &[u8]) {
@@ -140,7 +140,7 @@
     let mut test = JsonConnection::connect(callers);
     // The test passes once every exchange has been heard of.
     wait_until("the test passes", || {
-        test.say(json!({"msg": "probe", "sid": sid(1), "attrs": {}, "code": 0}));
+        test.send(json!({"msg": "probe", "sid": sid(1), "attrs": {}, "code": 0}));
         (test.about(&sid(1))["code"] == 1).then_some(())
     });
     (program, callers, lines)
--- a/tests/incident_75a3cb.rs
+++ b/tests/incident_75a3cb.rs
@@ -54,16 +54,16 @@
         let coordinator = Coordinator::accept(&feed);
         let mut caller = JsonConnection::connect(program.listen_address("callers"));
         wait_until("the test passes", || {
-            caller.say(json!({"msg": "probe", "sid": sid(1), "attrs": {}, "code": 0}));
+            caller.send(json!({"msg": "probe", "sid": sid(1), "attrs": {}, "code": 0}));
             (caller.about(&sid(1))["code"] == 1).then_some(())
         });
         Site { _program: program, host, exchange, caller, coordinator: Some((coordinator, feed)) }
     }
 
     fn call_stands(&mut self, name: &str) {
-        self.caller.say(open(name, 1, 9000));
+        self.caller.send(open(name, 1, 9000));
         self.exchange.about(name);
-        self.exchange.say(json!({"msg": "ready", "sid": name, "attrs": {}, "text": TEXT}));
+        self.exchange.send(json!({"msg": "ready", "sid": name, "attrs": {}, "text": TEXT}));
         assert_eq!(self.caller.about(name)["msg"], "ready");
     }
 
@@ -163,9 +163,9 @@
     let (mut program, callers, mut x) = start(&[&l], json!({}));
     // A call that stands keeps its connection in use.
     let mut caller = JsonConnection::connect(callers);
-    caller.say(open(&sid(50), 1, 9_000));
+    caller.send(open(&sid(50), 1, 9_000));
     x[0].about(&sid(50));
-    x[0].say(json!({"msg": "ready", "sid": sid(50), "attrs": {}, "text": TEXT}));
+    x[0].send(json!({"msg": "ready", "sid": sid(50), "attrs": {}, "text": TEXT}));
     assert_eq!(caller.about(&sid(50))["msg"], "ready");
     program.signal("TERM");
     let kill = Instant::now() + KILL_AFTER;
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -15,7 +15,7 @@
     let l = listener();
     let (_p, callers, mut x) = start(&[&l], json!({}));
     let mut c = JsonConnection::connect(callers);
-    c.say(open(&sid(7), 1, 3000));
+    c.send(open(&sid(7), 1, 3000));
     let got = x[0].hear();
     assert_eq!((&got["msg"], &got["sid"], &got["text"]), (&json!("open"), &json!(sid(7)), &json!(TEXT)));
     assert_eq!(
@@ -23,11 +23,11 @@
         (&json!("status-report"), &json!("7f3a9c21e0b4d655"))
     );
     assert!(got["attrs"]["left"].as_str().unwrap().parse::<u32>().unwrap() <= 3000);
-    x[0].say(json!({"msg": "trying", "sid": sid(7), "attrs": {}}));
-    x[0].say(json!({"msg": "ready", "sid": sid(7), "attrs": {}, "text": TEXT}));
+    x[0].send(json!({"msg": "trying", "sid": sid(7), "attrs": {}}));
+    x[0].send(json!({"msg": "ready", "sid": sid(7), "attrs": {}, "text": TEXT}));
     let ready = c.hear();
     assert_eq!((&ready["msg"], &ready["text"]), (&json!("ready"), &json!(TEXT)));
-    x[0].say(close(&sid(7), 16));
+    x[0].send(close(&sid(7), 16));
     assert_eq!(c.hear()["code"], 16);
     c.quiet(Duration::from_millis(300));
 }
@@ -59,7 +59,7 @@
         odd["attrs"][key] = json!(value);
         for _ in 0..8 {
             // The same again the moment that it is turned away.
-            c.say(odd.clone());
+            c.send(odd.clone());
             let failed = c.hear();
             assert_eq!((&failed["msg"], &failed["sid"]), (&json!("close"), &json!(sid(5))), "{key} {value}");
             assert!(![34, 42, 102].contains(&failed["code"].as_u64().unwrap()), "trying again will not help");
@@ -74,13 +74,13 @@
     let l = listener();
     let (_p, callers, mut x) = start(&[&l], json!({}));
     let mut good = JsonConnection::connect(callers);
-    good.say(open(&sid(6), 1, 9000));
+    good.send(open(&sid(6), 1, 9000));
     x[0].about(&sid(6));
     let no_name = open("", 1, 3000).to_string();
     let endless = "A".repeat(3_000_000);
     for (n, fault) in (10..).zip(["nonsense", "7", &no_name, "{\"msg\":7}", &endless]) {
         let mut bad = JsonConnection::connect(callers);
-        bad.say(open(&sid(n), 1, 9000));
+        bad.send(open(&sid(n), 1, 9000));
         x[0].about(&sid(n));
         // It reads what it is sent while it goes on sending, and may find the connection gone.
         drop(writeln!(bad.stream, "{fault}"));
@@ -91,10 +91,10 @@
     }
     // The name of a set-up that is open elsewhere: nothing is said about it, nor can it be given up from there.
     let mut thief = JsonConnection::connect(callers);
-    thief.say(close(&sid(6), 16));
-    thief.say(open(&sid(6), 1, 3000));
+    thief.send(close(&sid(6), 16));
+    thief.send(open(&sid(6), 1, 3000));
     assert!(thief.ended());
-    x[0].say(json!({"msg": "ready", "sid": sid(6), "attrs": {}, "text": TEXT}));
+    x[0].send(json!({"msg": "ready", "sid": sid(6), "attrs": {}, "text": TEXT}));
     assert_eq!(good.hear()["msg"], "ready");
     // Two under one name on one connection: one answer, and the end.
     let mut twice = JsonConnection::connect(callers);
@@ -112,9 +112,9 @@
     // It may have had to make room already.
     drop(silent[299].stream.write_all(b"{\"msg\":\"open\","));
     let mut c = JsonConnection::connect(callers);
-    c.say(open(&sid(9), 1, 9000));
+    c.send(open(&sid(9), 1, 9000));
     x[0].about(&sid(9));
-    x[0].say(json!({"msg": "ready", "sid": sid(9), "attrs": {}, "text": TEXT}));
+    x[0].send(json!({"msg": "ready", "sid": sid(9), "attrs": {}, "text": TEXT}));
     assert_eq!(c.hear()["msg"], "ready");
     let held = std::fs::read_dir(format!("/proc/{}/fd", p.child.id())).unwrap().count();
     assert!(held <= 64, "{held} descriptors");
@@ -126,11 +126,11 @@
     let l = listener();
     let (_p, callers, mut x) = start(&[&l], json!({}));
     let mut c = JsonConnection::connect(callers);
-    c.say(open(&sid(8), 1, 9000));
+    c.send(open(&sid(8), 1, 9000));
     x[0].about(&sid(8));
     let refusal = json!({"msg": "close", "sid": sid(8), "attrs": {"note": "queue_long", "load": "x0:3;x1:20"}, "code": 34});
     let before = Instant::now();
-    x[0].say(refusal);
+    x[0].send(refusal);
     let answer = c.hear();
     assert_eq!((&answer["code"], &answer["attrs"]["wait"]), (&json!(34), &json!("2000")));
     assert!(before.elapsed() < Duration::from_secs(8), "not held until its caller would give up");
@@ -141,11 +141,11 @@
     let l = listener();
     let (_p, callers, mut x) = start(&[&l], json!({}));
     let mut c = JsonConnection::connect(callers);
-    c.say(open(&sid(9), 1, 9000));
+    c.send(open(&sid(9), 1, 9000));
     x[0].about(&sid(9));
-    c.say(close(&sid(9), 16));
+    c.send(close(&sid(9), 16));
     assert_eq!(x[0].about(&sid(9))["code"], 16);
-    x[0].say(json!({"msg": "ready", "sid": sid(9), "attrs": {}, "text": TEXT}));
+    x[0].send(json!({"msg": "ready", "sid": sid(9), "attrs": {}, "text": TEXT}));
     let release = x[0].about(&sid(9));
     assert_eq!((&release["msg"], &release["code"]), (&json!("close"), &json!(16)));
     c.quiet(Duration::from_millis(200));
@@ -160,7 +160,7 @@
         let (_p, callers, mut x) = start_with(accept_mute, &[&l], json!({}));
         let mut c = JsonConnection::connect(callers);
         for n in [n, n + 1] {
-            c.say(open(&sid(n), 1, 9000));
+            c.send(open(&sid(n), 1, 9000));
             x[0].about(&sid(n));
         }
         let before = Instant::now();
@@ -175,7 +175,7 @@
         for n in [n, n + 1] {
             assert_eq!(y.about(&sid(n))["msg"], "open");
             assert!(before.elapsed() >= Duration::from_millis(500), "not within the quiet period");
-            y.say(json!({"msg": "ready", "sid": sid(n), "attrs": {}, "text": TEXT}));
+            y.send(json!({"msg": "ready", "sid": sid(n), "attrs": {}, "text": TEXT}));
             assert_eq!(c.about(&sid(n))["msg"], "ready");
         }
     }
@@ -187,20 +187,20 @@
     let (_p, callers, mut x) = start_with(accept_mute, &[&l], json!({}));
     let mut c = JsonConnection::connect(callers);
     for n in [90, 91] {
-        c.say(open(&sid(n), 1, 9000));
+        c.send(open(&sid(n), 1, 9000));
         x[0].about(&sid(n));
     }
-    x[0].say(json!({"msg": "ready", "sid": sid(90), "attrs": {}, "text": TEXT}));
+    x[0].send(json!({"msg": "ready", "sid": sid(90), "attrs": {}, "text": TEXT}));
     assert_eq!(c.about(&sid(90))["msg"], "ready");
     // A test on it that is answered keeps it.
     let test = std::iter::repeat_with(|| x[0].hear()).find(|m| m["msg"] == "probe").unwrap();
-    x[0].say(json!({"msg": "probed", "sid": test["sid"], "attrs": {"load": "x0:18;x1:20"}, "code": 1}));
+    x[0].send(json!({"msg": "probed", "sid": test["sid"], "attrs": {"load": "x0:18;x1:20"}, "code": 1}));
     // From here on nothing: the next connection brings the release that was lost, and the set-up again.
     let mut y = accept(&l);
-    y.say(close(&sid(90), 16));
+    y.send(close(&sid(90), 16));
     assert_eq!(c.about(&sid(90))["code"], 16);
     let again = std::iter::repeat_with(|| y.about(&sid(91))).find(|m| m["msg"] == "open").unwrap();
-    y.say(json!({"msg": "ready", "sid": again["sid"], "attrs": {}, "text": TEXT}));
+    y.send(json!({"msg": "ready", "sid": again["sid"], "attrs": {}, "text": TEXT}));
     assert_eq!(c.about(&sid(91))["msg"], "ready");
 }
 
@@ -209,17 +209,17 @@
     let l = listener();
     let (_p, callers, mut x) = start(&[&l], json!({}));
     let mut c = JsonConnection::connect(callers);
-    c.say(open(&sid(95), 1, 9000));
+    c.send(open(&sid(95), 1, 9000));
     assert_eq!(x[0].about(&sid(95))["msg"], "open");
     // Its connection is lost under it, and it is sent again at once.
     drop(c);
     let mut d = JsonConnection::connect(callers);
-    d.say(open(&sid(95), 1, 9000));
+    d.send(open(&sid(95), 1, 9000));
     assert_eq!(x[0].about(&sid(95))["code"], 16);
     let before = Instant::now();
     assert_eq!(x[0].about(&sid(95))["msg"], "open");
     assert!(before.elapsed() >= Duration::from_millis(490), "{:?}", before.elapsed());
-    x[0].say(json!({"msg": "ready", "sid": sid(95), "attrs": {}, "text": TEXT}));
+    x[0].send(json!({"msg": "ready", "sid": sid(95), "attrs": {}, "text": TEXT}));
     assert_eq!(d.about(&sid(95))["msg"], "ready");
 }
 
@@ -229,21 +229,21 @@
     let (_p, callers, mut x) = start(&[&l], json!({}));
     let mut c = JsonConnection::connect(callers);
     for n in [10, 11, 12] {
-        c.say(open(&sid(n), 1, 9000));
+        c.send(open(&sid(n), 1, 9000));
         x[0].about(&sid(n));
-        x[0].say(json!({"msg": "ready", "sid": sid(n), "attrs": {}, "text": TEXT}));
+        x[0].send(json!({"msg": "ready", "sid": sid(n), "attrs": {}, "text": TEXT}));
         c.about(&sid(n));
     }
     drop(c);
     // With no connection at all the release waits for the next; with another one it takes that.
-    x[0].say(close(&sid(10), 16));
+    x[0].send(close(&sid(10), 16));
     std::thread::sleep(Duration::from_millis(100));
     let mut d = JsonConnection::connect(callers);
     assert_eq!(d.about(&sid(10))["code"], 16);
-    x[0].say(close(&sid(11), 41));
+    x[0].send(close(&sid(11), 41));
     assert_eq!(d.about(&sid(11))["code"], 41);
     // The caller's own release may come on any connection.
-    d.say(close(&sid(12), 16));
+    d.send(close(&sid(12), 16));
     assert_eq!(x[0].about(&sid(12))["code"], 16);
 }
 
@@ -254,13 +254,13 @@
     let (_p, callers, mut x) = start(&[&l], json!({"coordinator": feed.local_addr().unwrap().to_string()}));
     let mut c = JsonConnection::connect(callers);
     for n in [20, 21] {
-        c.say(open(&sid(n), 1, 9000));
+        c.send(open(&sid(n), 1, 9000));
         x[0].about(&sid(n));
     }
-    x[0].say(json!({"msg": "ready", "sid": sid(20), "attrs": {}, "text": TEXT}));
+    x[0].send(json!({"msg": "ready", "sid": sid(20), "attrs": {}, "text": TEXT}));
     assert_eq!(c.hear()["msg"], "ready");
     // The process dies: nobody listens, and its connections are reset (unread bytes make a close a reset).
-    c.say(open(&sid(22), 1, 9000));
+    c.send(open(&sid(22), 1, 9000));
     wait_until("the last set-up has come", || {
         let mut seen = [0; 4096];
         let n = x[0].stream.peek(&mut seen).unwrap();
@@ -282,11 +282,11 @@
     let mut y = wait_until("the new exchange answers a call", || {
         let mut y = accept(&l2);
         y.stream.set_read_timeout(Some(Duration::from_millis(700))).unwrap();
-        c.say(open(&sid(30), 1, 9000));
+        c.send(open(&sid(30), 1, 9000));
         let mut line = String::new();
         y.reader.read_line(&mut line).is_ok_and(|_| line.contains("open")).then_some(y)
     });
-    y.say(json!({"msg": "ready", "sid": sid(30), "attrs": {}, "text": TEXT}));
+    y.send(json!({"msg": "ready", "sid": sid(30), "attrs": {}, "text": TEXT}));
     assert_eq!(c.about(&sid(30))["msg"], "ready");
     // The stream ends, and is taken up again after the last event that came.
     drop(stream);
@@ -301,7 +301,7 @@
     stream.event(&update(4, false, &[member("s-1", l.local_addr().unwrap(), 1, "draining")]));
     std::thread::sleep(Duration::from_millis(300));
     let mut c = JsonConnection::connect(callers);
-    c.say(open(&sid(40), 1, 1500));
+    c.send(open(&sid(40), 1, 1500));
     assert_eq!(c.about(&sid(40))["msg"], "close");
     x[0].quiet(Duration::from_millis(300));
 }
@@ -322,7 +322,7 @@
     assert_eq!(first.last, "3");
     first.event(&update(4, false, &[member("up")]));
     let mut c = JsonConnection::connect(callers);
-    c.say(open(&sid(80), 1, 9000));
+    c.send(open(&sid(80), 1, 9000));
     x.about(&sid(80));
     // A faulty file is named by its key, and nothing changes.
     std::fs::write(&path, told("nowhere")).unwrap();
@@ -340,10 +340,10 @@
     second.event(&update(6, false, &[self::member("s-3", l3.local_addr().unwrap(), 3, "up")]));
     accept(&l3);
     std::thread::sleep(Duration::from_millis(300));
-    c.say(open(&sid(81), 1, 9000));
+    c.send(open(&sid(81), 1, 9000));
     assert_eq!(x.about(&sid(81))["msg"], "open", "the second copy of an event is passed over");
     // The call that was open is untouched.
-    x.say(json!({"msg": "ready", "sid": sid(80), "attrs": {}, "text": TEXT}));
+    x.send(json!({"msg": "ready", "sid": sid(80), "attrs": {}, "text": TEXT}));
     assert_eq!(c.about(&sid(80))["msg"], "ready");
 }
 
@@ -352,17 +352,17 @@
     let l = listener();
     let (mut p, callers, mut x) = start(&[&l], json!({}));
     let mut c = JsonConnection::connect(callers);
-    c.say(open(&sid(50), 1, 9000));
+    c.send(open(&sid(50), 1, 9000));
     x[0].about(&sid(50));
     p.signal("TERM");
     std::thread::sleep(Duration::from_millis(100));
     let mut d = JsonConnection::connect(callers);
-    d.say(open(&sid(51), 1, 9000));
+    d.send(open(&sid(51), 1, 9000));
     x[0].about(&sid(51));
     std::thread::sleep(Duration::from_millis(1_300));
     assert!(p.child.try_wait().unwrap().is_none(), "two calls are open");
     for (n, line) in [(50, &mut c), (51, &mut d)] {
-        x[0].say(json!({"msg": "close", "sid": sid(n), "attrs": {"note": "end_queue_long"}, "code": 34}));
+        x[0].send(json!({"msg": "close", "sid": sid(n), "attrs": {"note": "end_queue_long"}, "code": 34}));
         assert_eq!(line.about(&sid(n))["code"], 34);
     }
     assert!(p.wait_for_exit().success());
@@ -377,7 +377,7 @@
     settings["classes"][0]["giveUp"] = json!(600.0);
     let (mut p, callers, mut x) = start(&[&l], json!({"settings": settings}));
     let mut c = JsonConnection::connect(callers);
-    c.say(open(&sid(52), 1, 30_000));
+    c.send(open(&sid(52), 1, 30_000));
     x[0].about(&sid(52));
     let before = Instant::now();
     p.signal("TERM");
@@ -407,16 +407,16 @@
     let (_p, callers, mut x) = start(&[&l], json!({}));
     let mut c = JsonConnection::connect(callers);
     // Neither name was ever met in this life.
-    x[0].say(close(&sid(70), 16));
+    x[0].send(close(&sid(70), 16));
     assert_eq!(c.about(&sid(70))["code"], 16);
-    c.say(close(&sid(71), 16));
+    c.send(close(&sid(71), 16));
     assert_eq!(x[0].about(&sid(71))["msg"], "close");
     // A call of this life that was refused is not released as well when its exchange says more.
-    c.say(open(&sid(72), 1, 9000));
+    c.send(open(&sid(72), 1, 9000));
     x[0].about(&sid(72));
     let refusal = json!({"msg": "close", "sid": sid(72), "attrs": {"note": "end_queue_long"}, "code": 34});
-    x[0].say(refusal.clone());
+    x[0].send(refusal.clone());
     assert_eq!(c.about(&sid(72))["code"], 34);
-    x[0].say(refusal);
+    x[0].send(refusal);
     c.quiet(Duration::from_millis(200));
 }
