--- a/tests/common/json_lines.rs
+++ b/tests/common/json_lines.rs
@@ -29,9 +29,9 @@
         JsonConnection::new(TcpStream::connect(address).unwrap())
     }
     pub fn send(&mut self, message: Value) {
-        self.raw(format!("{message}\n").as_bytes());
+        self.send_bytes(format!("{message}\n").as_bytes());
     }
-    pub fn raw(&mut self, bytes: &[u8]) {
+    pub fn send_bytes(&mut self, bytes: &[u8]) {
         self.stream.write_all(bytes).unwrap();
     }
     pub fn hear(&mut self) -> Value {
@@ -97,7 +97,7 @@
 /// An exchange that takes one connection and tells of its group, as exchanges do first of all, and no more.
 pub fn accept_mute(listener: &TcpListener) -> JsonConnection {
     let mut line = JsonConnection::new(listener.accept().unwrap().0);
-    line.raw(STATUS.as_bytes());
+    line.send_bytes(STATUS.as_bytes());
     line
 }
 
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -40,9 +40,9 @@
     // Two messages in one write, the second in two parts; the far end hears both.
     let two = format!("{}\n{}\n", open(&sid(1), 1, 3000), open(&sid(2), 1, 3000));
     let (a, b) = two.as_bytes().split_at(two.len() - 40);
-    c.raw(a);
+    c.send_bytes(a);
     assert_eq!(x[0].hear()["sid"], sid(1));
-    c.raw(b);
+    c.send_bytes(b);
     assert_eq!(x[0].hear()["sid"], sid(2));
 }
 
@@ -99,7 +99,7 @@
     // Two under one name on one connection: one answer, and the end.
     let mut twice = JsonConnection::connect(callers);
     let pair = format!("{}\n{}\n", open(&sid(8), 1, 3000), open(&sid(8), 1, 3000));
-    twice.raw(pair.as_bytes());
+    twice.send_bytes(pair.as_bytes());
     assert_eq!(twice.hear()["code"], 41);
     assert!(twice.ended());
 }
@@ -164,7 +164,7 @@
             x[0].about(&sid(n));
         }
         let before = Instant::now();
-        x[0].raw(&bytes);
+        x[0].send_bytes(&bytes);
         // Its connection stays open on that side; the other call on it has had its answer lost as well.
         let mut y = accept(&l);
         for n in [n, n + 1] {
