--- a/tests/common/json_lines.rs
+++ b/tests/common/json_lines.rs
@@ -34,7 +34,7 @@
     pub fn send_bytes(&mut self, bytes: &[u8]) {
         self.stream.write_all(bytes).unwrap();
     }
-    pub fn hear(&mut self) -> Value {
+    pub fn receive(&mut self) -> Value {
         let mut line = String::new();
         self.reader.read_line(&mut line).unwrap();
         serde_json::from_str(&line).unwrap_or_else(|e| panic!("{line:?}: {e}"))
@@ -42,7 +42,7 @@
     /// The next message about this call.
     pub fn about(&mut self, sid: &str) -> Value {
         loop {
-            let got = self.hear();
+            let got = self.receive();
             if got["sid"] == sid {
                 return got;
             }
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -16,7 +16,7 @@
     let (_p, callers, mut x) = start(&[&l], json!({}));
     let mut c = JsonConnection::connect(callers);
     c.send(open(&sid(7), 1, 3000));
-    let got = x[0].hear();
+    let got = x[0].receive();
     assert_eq!((&got["msg"], &got["sid"], &got["text"]), (&json!("open"), &json!(sid(7)), &json!(TEXT)));
     assert_eq!(
         (&got["attrs"]["class"], &got["attrs"]["key"]),
@@ -25,10 +25,10 @@
     assert!(got["attrs"]["left"].as_str().unwrap().parse::<u32>().unwrap() <= 3000);
     x[0].send(json!({"msg": "trying", "sid": sid(7), "attrs": {}}));
     x[0].send(json!({"msg": "ready", "sid": sid(7), "attrs": {}, "text": TEXT}));
-    let ready = c.hear();
+    let ready = c.receive();
     assert_eq!((&ready["msg"], &ready["text"]), (&json!("ready"), &json!(TEXT)));
     x[0].send(close(&sid(7), 16));
-    assert_eq!(c.hear()["code"], 16);
+    assert_eq!(c.receive()["code"], 16);
     c.quiet(Duration::from_millis(300));
 }
 
@@ -41,9 +41,9 @@
     let two = format!("{}\n{}\n", open(&sid(1), 1, 3000), open(&sid(2), 1, 3000));
     let (a, b) = two.as_bytes().split_at(two.len() - 40);
     c.send_bytes(a);
-    assert_eq!(x[0].hear()["sid"], sid(1));
+    assert_eq!(x[0].receive()["sid"], sid(1));
     c.send_bytes(b);
-    assert_eq!(x[0].hear()["sid"], sid(2));
+    assert_eq!(x[0].receive()["sid"], sid(2));
 }
 
 #[test]
@@ -60,7 +60,7 @@
         for _ in 0..8 {
             // The same again the moment that it is turned away.
             c.send(odd.clone());
-            let failed = c.hear();
+            let failed = c.receive();
             assert_eq!((&failed["msg"], &failed["sid"]), (&json!("close"), &json!(sid(5))), "{key} {value}");
             assert!(![34, 42, 102].contains(&failed["code"].as_u64().unwrap()), "trying again will not help");
         }
@@ -95,12 +95,12 @@
     thief.send(open(&sid(6), 1, 3000));
     assert!(thief.ended());
     x[0].send(json!({"msg": "ready", "sid": sid(6), "attrs": {}, "text": TEXT}));
-    assert_eq!(good.hear()["msg"], "ready");
+    assert_eq!(good.receive()["msg"], "ready");
     // Two under one name on one connection: one answer, and the end.
     let mut twice = JsonConnection::connect(callers);
     let pair = format!("{}\n{}\n", open(&sid(8), 1, 3000), open(&sid(8), 1, 3000));
     twice.send_bytes(pair.as_bytes());
-    assert_eq!(twice.hear()["code"], 41);
+    assert_eq!(twice.receive()["code"], 41);
     assert!(twice.ended());
 }
 
@@ -115,7 +115,7 @@
     c.send(open(&sid(9), 1, 9000));
     x[0].about(&sid(9));
     x[0].send(json!({"msg": "ready", "sid": sid(9), "attrs": {}, "text": TEXT}));
-    assert_eq!(c.hear()["msg"], "ready");
+    assert_eq!(c.receive()["msg"], "ready");
     let held = std::fs::read_dir(format!("/proc/{}/fd", p.child.id())).unwrap().count();
     assert!(held <= 64, "{held} descriptors");
     assert!(silent.iter_mut().all(JsonConnection::ended));
@@ -131,7 +131,7 @@
     let refusal = json!({"msg": "close", "sid": sid(8), "attrs": {"note": "queue_long", "load": "x0:3;x1:20"}, "code": 34});
     let before = Instant::now();
     x[0].send(refusal);
-    let answer = c.hear();
+    let answer = c.receive();
     assert_eq!((&answer["code"], &answer["attrs"]["wait"]), (&json!(34), &json!("2000")));
     assert!(before.elapsed() < Duration::from_secs(8), "not held until its caller would give up");
 }
@@ -193,7 +193,7 @@
     x[0].send(json!({"msg": "ready", "sid": sid(90), "attrs": {}, "text": TEXT}));
     assert_eq!(c.about(&sid(90))["msg"], "ready");
     // A test on it that is answered keeps it.
-    let test = std::iter::repeat_with(|| x[0].hear()).find(|m| m["msg"] == "probe").unwrap();
+    let test = std::iter::repeat_with(|| x[0].receive()).find(|m| m["msg"] == "probe").unwrap();
     x[0].send(json!({"msg": "probed", "sid": test["sid"], "attrs": {"load": "x0:18;x1:20"}, "code": 1}));
     // From here on nothing: the next connection brings the release that was lost, and the set-up again.
     let mut y = accept(&l);
@@ -258,7 +258,7 @@
         x[0].about(&sid(n));
     }
     x[0].send(json!({"msg": "ready", "sid": sid(20), "attrs": {}, "text": TEXT}));
-    assert_eq!(c.hear()["msg"], "ready");
+    assert_eq!(c.receive()["msg"], "ready");
     // The process dies: nobody listens, and its connections are reset (unread bytes make a close a reset).
     c.send(open(&sid(22), 1, 9000));
     wait_until("the last set-up has come", || {
@@ -270,7 +270,7 @@
     x.clear();
     let mut codes: Vec<(String, u64)> = Vec::new();
     while !codes.iter().any(|k| k.0 == sid(20)) {
-        let got = c.hear();
+        let got = c.receive();
         codes.push((got["sid"].as_str().unwrap().to_owned(), got["code"].as_u64().unwrap()));
     }
     assert!(codes.contains(&(sid(20), 41)), "the call that stood is cut: {codes:?}");
