--- a/tests/common/json_lines.rs
+++ b/tests/common/json_lines.rs
@@ -40,7 +40,7 @@
         serde_json::from_str(&line).unwrap_or_else(|e| panic!("{line:?}: {e}"))
     }
     /// The next message about this call.
-    pub fn about(&mut self, sid: &str) -> Value {
+    pub fn receive_for(&mut self, sid: &str) -> Value {
         loop {
             let got = self.receive();
             if got["sid"] == sid {
@@ -141,7 +141,7 @@
     // The test passes once every exchange has been heard of.
     wait_until("the test passes", || {
         test.send(json!({"msg": "probe", "sid": sid(1), "attrs": {}, "code": 0}));
-        (test.about(&sid(1))["code"] == 1).then_some(())
+        (test.receive_for(&sid(1))["code"] == 1).then_some(())
     });
     (program, callers, lines)
 }
--- a/tests/incident_75a3cb.rs
+++ b/tests/incident_75a3cb.rs
@@ -55,16 +55,16 @@
         let mut caller = JsonConnection::connect(program.listen_address("callers"));
         wait_until("the test passes", || {
             caller.send(json!({"msg": "probe", "sid": sid(1), "attrs": {}, "code": 0}));
-            (caller.about(&sid(1))["code"] == 1).then_some(())
+            (caller.receive_for(&sid(1))["code"] == 1).then_some(())
         });
         Site { _program: program, host, exchange, caller, coordinator: Some((coordinator, feed)) }
     }
 
     fn call_stands(&mut self, name: &str) {
         self.caller.send(open(name, 1, 9000));
-        self.exchange.about(name);
+        self.exchange.receive_for(name);
         self.exchange.send(json!({"msg": "ready", "sid": name, "attrs": {}, "text": TEXT}));
-        assert_eq!(self.caller.about(name)["msg"], "ready");
+        assert_eq!(self.caller.receive_for(name)["msg"], "ready");
     }
 
     /// The host vanishes: open connections are silent, new ones never come up.
@@ -164,9 +164,9 @@
     // A call that stands keeps its connection in use.
     let mut caller = JsonConnection::connect(callers);
     caller.send(open(&sid(50), 1, 9_000));
-    x[0].about(&sid(50));
+    x[0].receive_for(&sid(50));
     x[0].send(json!({"msg": "ready", "sid": sid(50), "attrs": {}, "text": TEXT}));
-    assert_eq!(caller.about(&sid(50))["msg"], "ready");
+    assert_eq!(caller.receive_for(&sid(50))["msg"], "ready");
     program.signal("TERM");
     let kill = Instant::now() + KILL_AFTER;
     let left = clients_go_on(caller, kill);
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -45,7 +45,7 @@
         for (n, line) in lines.iter_mut().enumerate() {
             // Either the call ended, or it was refused while the program had not yet learnt how fast the
             // exchange answers.
-            while line.about(&name(n))["msg"] != "close" {}
+            while line.receive_for(&name(n))["msg"] != "close" {}
             line.send(json!({"msg": "closed", "sid": name(n), "attrs": {}}));
         }
         drop(lines);
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -75,18 +75,18 @@
     let (_p, callers, mut x) = start(&[&l], json!({}));
     let mut good = JsonConnection::connect(callers);
     good.send(open(&sid(6), 1, 9000));
-    x[0].about(&sid(6));
+    x[0].receive_for(&sid(6));
     let no_name = open("", 1, 3000).to_string();
     let endless = "A".repeat(3_000_000);
     for (n, fault) in (10..).zip(["nonsense", "7", &no_name, "{\"msg\":7}", &endless]) {
         let mut bad = JsonConnection::connect(callers);
         bad.send(open(&sid(n), 1, 9000));
-        x[0].about(&sid(n));
+        x[0].receive_for(&sid(n));
         // It reads what it is sent while it goes on sending, and may find the connection gone.
         drop(writeln!(bad.stream, "{fault}"));
-        let failed = bad.about(&sid(n));
+        let failed = bad.receive_for(&sid(n));
         assert_eq!((&failed["msg"], &failed["code"]), (&json!("close"), &json!(41)));
-        assert_eq!(x[0].about(&sid(n))["code"], 16, "it is given up at the exchange too");
+        assert_eq!(x[0].receive_for(&sid(n))["code"], 16, "it is given up at the exchange too");
         bad.ended();
     }
     // The name of a set-up that is open elsewhere: nothing is said about it, nor can it be given up from there.
@@ -113,7 +113,7 @@
     drop(silent[299].stream.write_all(b"{\"msg\":\"open\","));
     let mut c = JsonConnection::connect(callers);
     c.send(open(&sid(9), 1, 9000));
-    x[0].about(&sid(9));
+    x[0].receive_for(&sid(9));
     x[0].send(json!({"msg": "ready", "sid": sid(9), "attrs": {}, "text": TEXT}));
     assert_eq!(c.receive()["msg"], "ready");
     let held = std::fs::read_dir(format!("/proc/{}/fd", p.child.id())).unwrap().count();
@@ -127,7 +127,7 @@
     let (_p, callers, mut x) = start(&[&l], json!({}));
     let mut c = JsonConnection::connect(callers);
     c.send(open(&sid(8), 1, 9000));
-    x[0].about(&sid(8));
+    x[0].receive_for(&sid(8));
     let refusal = json!({"msg": "close", "sid": sid(8), "attrs": {"note": "queue_long", "load": "x0:3;x1:20"}, "code": 34});
     let before = Instant::now();
     x[0].send(refusal);
@@ -142,11 +142,11 @@
     let (_p, callers, mut x) = start(&[&l], json!({}));
     let mut c = JsonConnection::connect(callers);
     c.send(open(&sid(9), 1, 9000));
-    x[0].about(&sid(9));
+    x[0].receive_for(&sid(9));
     c.send(close(&sid(9), 16));
-    assert_eq!(x[0].about(&sid(9))["code"], 16);
+    assert_eq!(x[0].receive_for(&sid(9))["code"], 16);
     x[0].send(json!({"msg": "ready", "sid": sid(9), "attrs": {}, "text": TEXT}));
-    let release = x[0].about(&sid(9));
+    let release = x[0].receive_for(&sid(9));
     assert_eq!((&release["msg"], &release["code"]), (&json!("close"), &json!(16)));
     c.quiet(Duration::from_millis(200));
 }
@@ -161,7 +161,7 @@
         let mut c = JsonConnection::connect(callers);
         for n in [n, n + 1] {
             c.send(open(&sid(n), 1, 9000));
-            x[0].about(&sid(n));
+            x[0].receive_for(&sid(n));
         }
         let before = Instant::now();
         x[0].send_bytes(&bytes);
@@ -169,14 +169,14 @@
         let mut y = accept(&l);
         for n in [n, n + 1] {
             // What may stand there is released first, well before it is set up anew.
-            let got = y.about(&sid(n));
+            let got = y.receive_for(&sid(n));
             assert_eq!((&got["msg"], &got["code"]), (&json!("close"), &json!(16)));
         }
         for n in [n, n + 1] {
-            assert_eq!(y.about(&sid(n))["msg"], "open");
+            assert_eq!(y.receive_for(&sid(n))["msg"], "open");
             assert!(before.elapsed() >= Duration::from_millis(500), "not within the quiet period");
             y.send(json!({"msg": "ready", "sid": sid(n), "attrs": {}, "text": TEXT}));
-            assert_eq!(c.about(&sid(n))["msg"], "ready");
+            assert_eq!(c.receive_for(&sid(n))["msg"], "ready");
         }
     }
 }
@@ -188,20 +188,20 @@
     let mut c = JsonConnection::connect(callers);
     for n in [90, 91] {
         c.send(open(&sid(n), 1, 9000));
-        x[0].about(&sid(n));
+        x[0].receive_for(&sid(n));
     }
     x[0].send(json!({"msg": "ready", "sid": sid(90), "attrs": {}, "text": TEXT}));
-    assert_eq!(c.about(&sid(90))["msg"], "ready");
+    assert_eq!(c.receive_for(&sid(90))["msg"], "ready");
     // A test on it that is answered keeps it.
     let test = std::iter::repeat_with(|| x[0].receive()).find(|m| m["msg"] == "probe").unwrap();
     x[0].send(json!({"msg": "probed", "sid": test["sid"], "attrs": {"load": "x0:18;x1:20"}, "code": 1}));
     // From here on nothing: the next connection brings the release that was lost, and the set-up again.
     let mut y = accept(&l);
     y.send(close(&sid(90), 16));
-    assert_eq!(c.about(&sid(90))["code"], 16);
-    let again = std::iter::repeat_with(|| y.about(&sid(91))).find(|m| m["msg"] == "open").unwrap();
+    assert_eq!(c.receive_for(&sid(90))["code"], 16);
+    let again = std::iter::repeat_with(|| y.receive_for(&sid(91))).find(|m| m["msg"] == "open").unwrap();
     y.send(json!({"msg": "ready", "sid": again["sid"], "attrs": {}, "text": TEXT}));
-    assert_eq!(c.about(&sid(91))["msg"], "ready");
+    assert_eq!(c.receive_for(&sid(91))["msg"], "ready");
 }
 
 #[test]
@@ -210,17 +210,17 @@
     let (_p, callers, mut x) = start(&[&l], json!({}));
     let mut c = JsonConnection::connect(callers);
     c.send(open(&sid(95), 1, 9000));
-    assert_eq!(x[0].about(&sid(95))["msg"], "open");
+    assert_eq!(x[0].receive_for(&sid(95))["msg"], "open");
     // Its connection is lost under it, and it is sent again at once.
     drop(c);
     let mut d = JsonConnection::connect(callers);
     d.send(open(&sid(95), 1, 9000));
-    assert_eq!(x[0].about(&sid(95))["code"], 16);
+    assert_eq!(x[0].receive_for(&sid(95))["code"], 16);
     let before = Instant::now();
-    assert_eq!(x[0].about(&sid(95))["msg"], "open");
+    assert_eq!(x[0].receive_for(&sid(95))["msg"], "open");
     assert!(before.elapsed() >= Duration::from_millis(490), "{:?}", before.elapsed());
     x[0].send(json!({"msg": "ready", "sid": sid(95), "attrs": {}, "text": TEXT}));
-    assert_eq!(d.about(&sid(95))["msg"], "ready");
+    assert_eq!(d.receive_for(&sid(95))["msg"], "ready");
 }
 
 #[test]
@@ -230,21 +230,21 @@
     let mut c = JsonConnection::connect(callers);
     for n in [10, 11, 12] {
         c.send(open(&sid(n), 1, 9000));
-        x[0].about(&sid(n));
+        x[0].receive_for(&sid(n));
         x[0].send(json!({"msg": "ready", "sid": sid(n), "attrs": {}, "text": TEXT}));
-        c.about(&sid(n));
+        c.receive_for(&sid(n));
     }
     drop(c);
     // With no connection at all the release waits for the next; with another one it takes that.
     x[0].send(close(&sid(10), 16));
     std::thread::sleep(Duration::from_millis(100));
     let mut d = JsonConnection::connect(callers);
-    assert_eq!(d.about(&sid(10))["code"], 16);
+    assert_eq!(d.receive_for(&sid(10))["code"], 16);
     x[0].send(close(&sid(11), 41));
-    assert_eq!(d.about(&sid(11))["code"], 41);
+    assert_eq!(d.receive_for(&sid(11))["code"], 41);
     // The caller's own release may come on any connection.
     d.send(close(&sid(12), 16));
-    assert_eq!(x[0].about(&sid(12))["code"], 16);
+    assert_eq!(x[0].receive_for(&sid(12))["code"], 16);
 }
 
 #[test]
@@ -255,7 +255,7 @@
     let mut c = JsonConnection::connect(callers);
     for n in [20, 21] {
         c.send(open(&sid(n), 1, 9000));
-        x[0].about(&sid(n));
+        x[0].receive_for(&sid(n));
     }
     x[0].send(json!({"msg": "ready", "sid": sid(20), "attrs": {}, "text": TEXT}));
     assert_eq!(c.receive()["msg"], "ready");
@@ -287,7 +287,7 @@
         y.reader.read_line(&mut line).is_ok_and(|_| line.contains("open")).then_some(y)
     });
     y.send(json!({"msg": "ready", "sid": sid(30), "attrs": {}, "text": TEXT}));
-    assert_eq!(c.about(&sid(30))["msg"], "ready");
+    assert_eq!(c.receive_for(&sid(30))["msg"], "ready");
     // The stream ends, and is taken up again after the last event that came.
     drop(stream);
     assert_eq!(Coordinator::accept(&feed).last, "4");
@@ -302,7 +302,7 @@
     std::thread::sleep(Duration::from_millis(300));
     let mut c = JsonConnection::connect(callers);
     c.send(open(&sid(40), 1, 1500));
-    assert_eq!(c.about(&sid(40))["msg"], "close");
+    assert_eq!(c.receive_for(&sid(40))["msg"], "close");
     x[0].quiet(Duration::from_millis(300));
 }
 
@@ -323,7 +323,7 @@
     first.event(&update(4, false, &[member("up")]));
     let mut c = JsonConnection::connect(callers);
     c.send(open(&sid(80), 1, 9000));
-    x.about(&sid(80));
+    x.receive_for(&sid(80));
     // A faulty file is named by its key, and nothing changes.
     std::fs::write(&path, told("nowhere")).unwrap();
     p.signal("HUP");
@@ -341,10 +341,10 @@
     accept(&l3);
     std::thread::sleep(Duration::from_millis(300));
     c.send(open(&sid(81), 1, 9000));
-    assert_eq!(x.about(&sid(81))["msg"], "open", "the second copy of an event is passed over");
+    assert_eq!(x.receive_for(&sid(81))["msg"], "open", "the second copy of an event is passed over");
     // The call that was open is untouched.
     x.send(json!({"msg": "ready", "sid": sid(80), "attrs": {}, "text": TEXT}));
-    assert_eq!(c.about(&sid(80))["msg"], "ready");
+    assert_eq!(c.receive_for(&sid(80))["msg"], "ready");
 }
 
 #[test]
@@ -353,17 +353,17 @@
     let (mut p, callers, mut x) = start(&[&l], json!({}));
     let mut c = JsonConnection::connect(callers);
     c.send(open(&sid(50), 1, 9000));
-    x[0].about(&sid(50));
+    x[0].receive_for(&sid(50));
     p.signal("TERM");
     std::thread::sleep(Duration::from_millis(100));
     let mut d = JsonConnection::connect(callers);
     d.send(open(&sid(51), 1, 9000));
-    x[0].about(&sid(51));
+    x[0].receive_for(&sid(51));
     std::thread::sleep(Duration::from_millis(1_300));
     assert!(p.child.try_wait().unwrap().is_none(), "two calls are open");
     for (n, line) in [(50, &mut c), (51, &mut d)] {
         x[0].send(json!({"msg": "close", "sid": sid(n), "attrs": {"note": "end_queue_long"}, "code": 34}));
-        assert_eq!(line.about(&sid(n))["code"], 34);
+        assert_eq!(line.receive_for(&sid(n))["code"], 34);
     }
     assert!(p.wait_for_exit().success());
     assert!(p.wait_for_log("t: ").contains("calls.offered=2"), "counters at exit");
@@ -378,10 +378,10 @@
     let (mut p, callers, mut x) = start(&[&l], json!({"settings": settings}));
     let mut c = JsonConnection::connect(callers);
     c.send(open(&sid(52), 1, 30_000));
-    x[0].about(&sid(52));
+    x[0].receive_for(&sid(52));
     let before = Instant::now();
     p.signal("TERM");
-    assert_eq!(c.about(&sid(52))["code"], 41);
+    assert_eq!(c.receive_for(&sid(52))["code"], 41);
     assert!(before.elapsed() < Duration::from_secs(10), "long before its caller gives up");
     assert!(p.wait_for_exit().success());
 }
@@ -408,15 +408,15 @@
     let mut c = JsonConnection::connect(callers);
     // Neither name was ever met in this life.
     x[0].send(close(&sid(70), 16));
-    assert_eq!(c.about(&sid(70))["code"], 16);
+    assert_eq!(c.receive_for(&sid(70))["code"], 16);
     c.send(close(&sid(71), 16));
-    assert_eq!(x[0].about(&sid(71))["msg"], "close");
+    assert_eq!(x[0].receive_for(&sid(71))["msg"], "close");
     // A call of this life that was refused is not released as well when its exchange says more.
     c.send(open(&sid(72), 1, 9000));
-    x[0].about(&sid(72));
+    x[0].receive_for(&sid(72));
     let refusal = json!({"msg": "close", "sid": sid(72), "attrs": {"note": "end_queue_long"}, "code": 34});
     x[0].send(refusal.clone());
-    assert_eq!(c.about(&sid(72))["code"], 34);
+    assert_eq!(c.receive_for(&sid(72))["code"], 34);
     x[0].send(refusal);
     c.quiet(Duration::from_millis(200));
 }
