--- a/tests/common/json_lines.rs
+++ b/tests/common/json_lines.rs
@@ -48,7 +48,7 @@
             }
         }
     }
-    pub fn quiet(&mut self, span: Duration) {
+    pub fn assert_silent_for(&mut self, span: Duration) {
         self.stream.set_read_timeout(Some(span)).unwrap();
         let mut byte = [0];
         let got = self.reader.read(&mut byte);
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -29,7 +29,7 @@
     assert_eq!((&ready["msg"], &ready["text"]), (&json!("ready"), &json!(TEXT)));
     x[0].send(close(&sid(7), 16));
     assert_eq!(c.receive()["code"], 16);
-    c.quiet(Duration::from_millis(300));
+    c.assert_silent_for(Duration::from_millis(300));
 }
 
 #[test]
@@ -66,7 +66,7 @@
         }
         assert!(c.ended());
     }
-    x[0].quiet(Duration::from_millis(100));
+    x[0].assert_silent_for(Duration::from_millis(100));
 }
 
 #[test]
@@ -148,7 +148,7 @@
     x[0].send(json!({"msg": "ready", "sid": sid(9), "attrs": {}, "text": TEXT}));
     let release = x[0].receive_for(&sid(9));
     assert_eq!((&release["msg"], &release["code"]), (&json!("close"), &json!(16)));
-    c.quiet(Duration::from_millis(200));
+    c.assert_silent_for(Duration::from_millis(200));
 }
 
 #[test]
@@ -303,7 +303,7 @@
     let mut c = JsonConnection::connect(callers);
     c.send(open(&sid(40), 1, 1500));
     assert_eq!(c.receive_for(&sid(40))["msg"], "close");
-    x[0].quiet(Duration::from_millis(300));
+    x[0].assert_silent_for(Duration::from_millis(300));
 }
 
 #[test]
@@ -418,5 +418,5 @@
     x[0].send(refusal.clone());
     assert_eq!(c.receive_for(&sid(72))["code"], 34);
     x[0].send(refusal);
-    c.quiet(Duration::from_millis(200));
+    c.assert_silent_for(Duration::from_millis(200));
 }
