--- a/tests/common/json_lines.rs
+++ b/tests/common/json_lines.rs
@@ -56,7 +56,7 @@
         self.stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     }
     /// Waits for the connection's end, with nothing more said before it.
-    pub fn ended(&mut self) -> bool {
+    pub fn closes_silently(&mut self) -> bool {
         let mut rest = Vec::new();
         let end = self.reader.read_to_end(&mut rest);
         let over = end.is_ok() || end.is_err_and(|e| e.kind() == std::io::ErrorKind::ConnectionReset);
--- a/tests/incident_75a3cb.rs
+++ b/tests/incident_75a3cb.rs
@@ -145,7 +145,7 @@
     let ended = wait_until("the program ends", || {
         for line in &mut again {
             line.stream.set_read_timeout(Some(Duration::from_millis(2))).unwrap();
-            if line.ended() {
+            if line.closes_silently() {
                 if let Ok(stream) = std::net::TcpStream::connect(callers) {
                     *line = JsonConnection::new(stream);
                 }
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -64,7 +64,7 @@
             assert_eq!((&failed["msg"], &failed["sid"]), (&json!("close"), &json!(sid(5))), "{key} {value}");
             assert!(![34, 42, 102].contains(&failed["code"].as_u64().unwrap()), "trying again will not help");
         }
-        assert!(c.ended());
+        assert!(c.closes_silently());
     }
     x[0].assert_silent_for(Duration::from_millis(100));
 }
@@ -87,13 +87,13 @@
         let failed = bad.receive_for(&sid(n));
         assert_eq!((&failed["msg"], &failed["code"]), (&json!("close"), &json!(41)));
         assert_eq!(x[0].receive_for(&sid(n))["code"], 16, "it is given up at the exchange too");
-        bad.ended();
+        bad.closes_silently();
     }
     // The name of a set-up that is open elsewhere: nothing is said about it, nor can it be given up from there.
     let mut thief = JsonConnection::connect(callers);
     thief.send(close(&sid(6), 16));
     thief.send(open(&sid(6), 1, 3000));
-    assert!(thief.ended());
+    assert!(thief.closes_silently());
     x[0].send(json!({"msg": "ready", "sid": sid(6), "attrs": {}, "text": TEXT}));
     assert_eq!(good.receive()["msg"], "ready");
     // Two under one name on one connection: one answer, and the end.
@@ -101,7 +101,7 @@
     let pair = format!("{}\n{}\n", open(&sid(8), 1, 3000), open(&sid(8), 1, 3000));
     twice.send_bytes(pair.as_bytes());
     assert_eq!(twice.receive()["code"], 41);
-    assert!(twice.ended());
+    assert!(twice.closes_silently());
 }
 
 #[test]
@@ -118,7 +118,7 @@
     assert_eq!(c.receive()["msg"], "ready");
     let held = std::fs::read_dir(format!("/proc/{}/fd", p.child.id())).unwrap().count();
     assert!(held <= 64, "{held} descriptors");
-    assert!(silent.iter_mut().all(JsonConnection::ended));
+    assert!(silent.iter_mut().all(JsonConnection::closes_silently));
 }
 
 #[test]
@@ -367,7 +367,7 @@
     }
     assert!(p.wait_for_exit().success());
     assert!(p.wait_for_log("t: ").contains("calls.offered=2"), "counters at exit");
-    assert!(c.ended());
+    assert!(c.closes_silently());
 }
 
 #[test]
