--- a/tests/common/json_lines.rs
+++ b/tests/common/json_lines.rs
@@ -16,14 +16,18 @@
     pub stream: TcpStream,
     pub reader: BufReader<TcpStream>,
     /// While this is there, whoever reports of itself on the stream goes on.
-    pub here: Arc<()>,
+    pub reporting: Arc<()>,
 }
 
 impl JsonConnection {
     pub fn new(stream: TcpStream) -> JsonConnection {
         stream.set_nodelay(true).unwrap();
         stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
-        JsonConnection { reader: BufReader::new(stream.try_clone().unwrap()), stream, here: Arc::new(()) }
+        JsonConnection {
+            reader: BufReader::new(stream.try_clone().unwrap()),
+            stream,
+            reporting: Arc::new(()),
+        }
     }
     pub fn connect(address: SocketAddr) -> JsonConnection {
         JsonConnection::new(TcpStream::connect(address).unwrap())
@@ -110,7 +114,7 @@
 
 /// Tells of the group on this connection for as long as it is there.
 pub fn keep_talking(line: &JsonConnection) {
-    let (here, mut stream) = (Arc::downgrade(&line.here), line.stream.try_clone().unwrap());
+    let (here, mut stream) = (Arc::downgrade(&line.reporting), line.stream.try_clone().unwrap());
     std::thread::spawn(move || {
         while here.strong_count() > 0 && stream.write_all(STATUS.as_bytes()).is_ok() {
             std::thread::sleep(Duration::from_millis(100));
--- a/tests/incident_75a3cb.rs
+++ b/tests/incident_75a3cb.rs
@@ -70,7 +70,7 @@
     /// The host vanishes: open connections are silent, new ones never come up.
     fn vanish(&mut self) -> Instant {
         self.host.vanish().unwrap();
-        self.exchange.here = Arc::new(());
+        self.exchange.reporting = Arc::new(());
         Instant::now()
     }
 }
