--- a/tests/common/json_lines.rs
+++ b/tests/common/json_lines.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-pub const TEXT: &str =
+pub const SESSION_DESCRIPTION: &str =
     "v=0\r\nc=IN IP4 10.4.7.9\r\nm=audio 31000 RTP/AVP 0 8 101\r\na=x:\u{e9}\u{1}\"\\/\r\n";
 
 /// One end of a JSON-lines connection.
@@ -70,7 +70,7 @@
 
 pub fn open(sid: &str, to: u16, left: u32) -> Value {
     let extras = format!("dest:{to};width:1;via:-1");
-    json!({"msg": "open", "sid": sid, "text": TEXT, "attrs": {"class": "status-report",
+    json!({"msg": "open", "sid": sid, "text": SESSION_DESCRIPTION, "attrs": {"class": "status-report",
         "left": left.to_string(), "key": "7f3a9c21e0b4d655", "extras": extras}})
 }
 
--- a/tests/incident_75a3cb.rs
+++ b/tests/incident_75a3cb.rs
@@ -63,7 +63,7 @@
     fn call_stands(&mut self, name: &str) {
         self.caller.send(open(name, 1, 9000));
         self.exchange.receive_for(name);
-        self.exchange.send(json!({"msg": "ready", "sid": name, "attrs": {}, "text": TEXT}));
+        self.exchange.send(json!({"msg": "ready", "sid": name, "attrs": {}, "text": SESSION_DESCRIPTION}));
         assert_eq!(self.caller.receive_for(name)["msg"], "ready");
     }
 
@@ -165,7 +165,7 @@
     let mut caller = JsonConnection::connect(callers);
     caller.send(open(&sid(50), 1, 9_000));
     x[0].receive_for(&sid(50));
-    x[0].send(json!({"msg": "ready", "sid": sid(50), "attrs": {}, "text": TEXT}));
+    x[0].send(json!({"msg": "ready", "sid": sid(50), "attrs": {}, "text": SESSION_DESCRIPTION}));
     assert_eq!(caller.receive_for(&sid(50))["msg"], "ready");
     program.signal("TERM");
     let kill = Instant::now() + KILL_AFTER;
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -17,16 +17,19 @@
     let mut c = JsonConnection::connect(callers);
     c.send(open(&sid(7), 1, 3000));
     let got = x[0].receive();
-    assert_eq!((&got["msg"], &got["sid"], &got["text"]), (&json!("open"), &json!(sid(7)), &json!(TEXT)));
+    assert_eq!(
+        (&got["msg"], &got["sid"], &got["text"]),
+        (&json!("open"), &json!(sid(7)), &json!(SESSION_DESCRIPTION))
+    );
     assert_eq!(
         (&got["attrs"]["class"], &got["attrs"]["key"]),
         (&json!("status-report"), &json!("7f3a9c21e0b4d655"))
     );
     assert!(got["attrs"]["left"].as_str().unwrap().parse::<u32>().unwrap() <= 3000);
     x[0].send(json!({"msg": "trying", "sid": sid(7), "attrs": {}}));
-    x[0].send(json!({"msg": "ready", "sid": sid(7), "attrs": {}, "text": TEXT}));
+    x[0].send(json!({"msg": "ready", "sid": sid(7), "attrs": {}, "text": SESSION_DESCRIPTION}));
     let ready = c.receive();
-    assert_eq!((&ready["msg"], &ready["text"]), (&json!("ready"), &json!(TEXT)));
+    assert_eq!((&ready["msg"], &ready["text"]), (&json!("ready"), &json!(SESSION_DESCRIPTION)));
     x[0].send(close(&sid(7), 16));
     assert_eq!(c.receive()["code"], 16);
     c.assert_silent_for(Duration::from_millis(300));
@@ -94,7 +97,7 @@
     thief.send(close(&sid(6), 16));
     thief.send(open(&sid(6), 1, 3000));
     assert!(thief.closes_silently());
-    x[0].send(json!({"msg": "ready", "sid": sid(6), "attrs": {}, "text": TEXT}));
+    x[0].send(json!({"msg": "ready", "sid": sid(6), "attrs": {}, "text": SESSION_DESCRIPTION}));
     assert_eq!(good.receive()["msg"], "ready");
     // Two under one name on one connection: one answer, and the end.
     let mut twice = JsonConnection::connect(callers);
@@ -114,7 +117,7 @@
     let mut c = JsonConnection::connect(callers);
     c.send(open(&sid(9), 1, 9000));
     x[0].receive_for(&sid(9));
-    x[0].send(json!({"msg": "ready", "sid": sid(9), "attrs": {}, "text": TEXT}));
+    x[0].send(json!({"msg": "ready", "sid": sid(9), "attrs": {}, "text": SESSION_DESCRIPTION}));
     assert_eq!(c.receive()["msg"], "ready");
     let held = std::fs::read_dir(format!("/proc/{}/fd", p.child.id())).unwrap().count();
     assert!(held <= 64, "{held} descriptors");
@@ -145,7 +148,7 @@
     x[0].receive_for(&sid(9));
     c.send(close(&sid(9), 16));
     assert_eq!(x[0].receive_for(&sid(9))["code"], 16);
-    x[0].send(json!({"msg": "ready", "sid": sid(9), "attrs": {}, "text": TEXT}));
+    x[0].send(json!({"msg": "ready", "sid": sid(9), "attrs": {}, "text": SESSION_DESCRIPTION}));
     let release = x[0].receive_for(&sid(9));
     assert_eq!((&release["msg"], &release["code"]), (&json!("close"), &json!(16)));
     c.assert_silent_for(Duration::from_millis(200));
@@ -175,7 +178,7 @@
         for n in [n, n + 1] {
             assert_eq!(y.receive_for(&sid(n))["msg"], "open");
             assert!(before.elapsed() >= Duration::from_millis(500), "not within the quiet period");
-            y.send(json!({"msg": "ready", "sid": sid(n), "attrs": {}, "text": TEXT}));
+            y.send(json!({"msg": "ready", "sid": sid(n), "attrs": {}, "text": SESSION_DESCRIPTION}));
             assert_eq!(c.receive_for(&sid(n))["msg"], "ready");
         }
     }
@@ -190,7 +193,7 @@
         c.send(open(&sid(n), 1, 9000));
         x[0].receive_for(&sid(n));
     }
-    x[0].send(json!({"msg": "ready", "sid": sid(90), "attrs": {}, "text": TEXT}));
+    x[0].send(json!({"msg": "ready", "sid": sid(90), "attrs": {}, "text": SESSION_DESCRIPTION}));
     assert_eq!(c.receive_for(&sid(90))["msg"], "ready");
     // A test on it that is answered keeps it.
     let test = std::iter::repeat_with(|| x[0].receive()).find(|m| m["msg"] == "probe").unwrap();
@@ -200,7 +203,7 @@
     y.send(close(&sid(90), 16));
     assert_eq!(c.receive_for(&sid(90))["code"], 16);
     let again = std::iter::repeat_with(|| y.receive_for(&sid(91))).find(|m| m["msg"] == "open").unwrap();
-    y.send(json!({"msg": "ready", "sid": again["sid"], "attrs": {}, "text": TEXT}));
+    y.send(json!({"msg": "ready", "sid": again["sid"], "attrs": {}, "text": SESSION_DESCRIPTION}));
     assert_eq!(c.receive_for(&sid(91))["msg"], "ready");
 }
 
@@ -219,7 +222,7 @@
     let before = Instant::now();
     assert_eq!(x[0].receive_for(&sid(95))["msg"], "open");
     assert!(before.elapsed() >= Duration::from_millis(490), "{:?}", before.elapsed());
-    x[0].send(json!({"msg": "ready", "sid": sid(95), "attrs": {}, "text": TEXT}));
+    x[0].send(json!({"msg": "ready", "sid": sid(95), "attrs": {}, "text": SESSION_DESCRIPTION}));
     assert_eq!(d.receive_for(&sid(95))["msg"], "ready");
 }
 
@@ -231,7 +234,7 @@
     for n in [10, 11, 12] {
         c.send(open(&sid(n), 1, 9000));
         x[0].receive_for(&sid(n));
-        x[0].send(json!({"msg": "ready", "sid": sid(n), "attrs": {}, "text": TEXT}));
+        x[0].send(json!({"msg": "ready", "sid": sid(n), "attrs": {}, "text": SESSION_DESCRIPTION}));
         c.receive_for(&sid(n));
     }
     drop(c);
@@ -257,7 +260,7 @@
         c.send(open(&sid(n), 1, 9000));
         x[0].receive_for(&sid(n));
     }
-    x[0].send(json!({"msg": "ready", "sid": sid(20), "attrs": {}, "text": TEXT}));
+    x[0].send(json!({"msg": "ready", "sid": sid(20), "attrs": {}, "text": SESSION_DESCRIPTION}));
     assert_eq!(c.receive()["msg"], "ready");
     // The process dies: nobody listens, and its connections are reset (unread bytes make a close a reset).
     c.send(open(&sid(22), 1, 9000));
@@ -286,7 +289,7 @@
         let mut line = String::new();
         y.reader.read_line(&mut line).is_ok_and(|_| line.contains("open")).then_some(y)
     });
-    y.send(json!({"msg": "ready", "sid": sid(30), "attrs": {}, "text": TEXT}));
+    y.send(json!({"msg": "ready", "sid": sid(30), "attrs": {}, "text": SESSION_DESCRIPTION}));
     assert_eq!(c.receive_for(&sid(30))["msg"], "ready");
     // The stream ends, and is taken up again after the last event that came.
     drop(stream);
@@ -343,7 +346,7 @@
     c.send(open(&sid(81), 1, 9000));
     assert_eq!(x.receive_for(&sid(81))["msg"], "open", "the second copy of an event is passed over");
     // The call that was open is untouched.
-    x.send(json!({"msg": "ready", "sid": sid(80), "attrs": {}, "text": TEXT}));
+    x.send(json!({"msg": "ready", "sid": sid(80), "attrs": {}, "text": SESSION_DESCRIPTION}));
     assert_eq!(c.receive_for(&sid(80))["msg"], "ready");
 }
 
