--- a/tests/common/json_lines.rs
+++ b/tests/common/json_lines.rs
@@ -95,13 +95,13 @@
     TcpListener::bind("127.0.0.1:0").unwrap()
 }
 
-pub const STATUS: &str =
+pub const STATUS_MESSAGE: &str =
     "{\"msg\":\"status\",\"sid\":\"\",\"attrs\":{\"load\":\"x0:20;x1:20;latency_ms:-1;qps:-1\"}}\n";
 
 /// An exchange that takes one connection and tells of its group, as exchanges do first of all, and no more.
 pub fn accept_mute(listener: &TcpListener) -> JsonConnection {
     let mut line = JsonConnection::new(listener.accept().unwrap().0);
-    line.send_bytes(STATUS.as_bytes());
+    line.send_bytes(STATUS_MESSAGE.as_bytes());
     line
 }
 
@@ -116,7 +116,7 @@
 pub fn keep_talking(line: &JsonConnection) {
     let (here, mut stream) = (Arc::downgrade(&line.reporting), line.stream.try_clone().unwrap());
     std::thread::spawn(move || {
-        while here.strong_count() > 0 && stream.write_all(STATUS.as_bytes()).is_ok() {
+        while here.strong_count() > 0 && stream.write_all(STATUS_MESSAGE.as_bytes()).is_ok() {
             std::thread::sleep(Duration::from_millis(100));
         }
     });
