--- a/tests/common/json_lines.rs
+++ b/tests/common/json_lines.rs
@@ -68,7 +68,7 @@
     }
 }
 
-pub fn open(sid: &str, to: u16, left: u32) -> Value {
+pub fn open_message(sid: &str, to: u16, left: u32) -> Value {
     let extras = format!("dest:{to};width:1;via:-1");
     json!({"msg": "open", "sid": sid, "text": SESSION_DESCRIPTION, "attrs": {"class": "status-report",
         "left": left.to_string(), "key": "7f3a9c21e0b4d655", "extras": extras}})
--- a/tests/incident_75a3cb.rs
+++ b/tests/incident_75a3cb.rs
@@ -61,7 +61,7 @@
     }
 
     fn call_stands(&mut self, name: &str) {
-        self.caller.send(open(name, 1, 9000));
+        self.caller.send(open_message(name, 1, 9000));
         self.exchange.receive_for(name);
         self.exchange.send(json!({"msg": "ready", "sid": name, "attrs": {}, "text": SESSION_DESCRIPTION}));
         assert_eq!(self.caller.receive_for(name)["msg"], "ready");
@@ -125,7 +125,7 @@
     while Instant::now() < until - NO_CHANCE {
         number += 1;
         open_requests.lock().unwrap().insert(sid(number));
-        writeln!(stream, "{}", open(&sid(number), 1, 2_032)).unwrap();
+        writeln!(stream, "{}", open_message(&sid(number), 1, 2_032)).unwrap();
         thread::sleep(Duration::from_millis(4));
     }
     thread::sleep(until.saturating_duration_since(Instant::now()));
@@ -163,7 +163,7 @@
     let (mut program, callers, mut x) = start(&[&l], json!({}));
     // A call that stands keeps its connection in use.
     let mut caller = JsonConnection::connect(callers);
-    caller.send(open(&sid(50), 1, 9_000));
+    caller.send(open_message(&sid(50), 1, 9_000));
     x[0].receive_for(&sid(50));
     x[0].send(json!({"msg": "ready", "sid": sid(50), "attrs": {}, "text": SESSION_DESCRIPTION}));
     assert_eq!(caller.receive_for(&sid(50))["msg"], "ready");
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -41,7 +41,7 @@
         let mut lines: Vec<JsonConnection> =
             (0..CONNECTIONS_PER_ROUND).map(|_| JsonConnection::connect(callers)).collect();
         let name = |n: usize| sid(1 + round * CONNECTIONS_PER_ROUND + n as u32);
-        lines.iter_mut().enumerate().for_each(|(n, line)| line.send(open(&name(n), 1, 5_000)));
+        lines.iter_mut().enumerate().for_each(|(n, line)| line.send(open_message(&name(n), 1, 5_000)));
         for (n, line) in lines.iter_mut().enumerate() {
             // Either the call ended, or it was refused while the program had not yet learnt how fast the
             // exchange answers.
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -15,7 +15,7 @@
     let l = listener();
     let (_p, callers, mut x) = start(&[&l], json!({}));
     let mut c = JsonConnection::connect(callers);
-    c.send(open(&sid(7), 1, 3000));
+    c.send(open_message(&sid(7), 1, 3000));
     let got = x[0].receive();
     assert_eq!(
         (&got["msg"], &got["sid"], &got["text"]),
@@ -41,7 +41,7 @@
     let (_p, callers, mut x) = start(&[&l], json!({}));
     let mut c = JsonConnection::connect(callers);
     // Two messages in one write, the second in two parts; the far end hears both.
-    let two = format!("{}\n{}\n", open(&sid(1), 1, 3000), open(&sid(2), 1, 3000));
+    let two = format!("{}\n{}\n", open_message(&sid(1), 1, 3000), open_message(&sid(2), 1, 3000));
     let (a, b) = two.as_bytes().split_at(two.len() - 40);
     c.send_bytes(a);
     assert_eq!(x[0].receive()["sid"], sid(1));
@@ -58,7 +58,7 @@
         ["x", "dest:nan", "dest:-3", "dest:1.5", "dest:1;width:0", "dest:1;width:400", "dest:1;via:70000"];
     for (key, value) in faults.into_iter().chain(extras.map(|e| ("extras", e))) {
         let mut c = JsonConnection::connect(callers);
-        let mut odd = open(&sid(5), 1, 3000);
+        let mut odd = open_message(&sid(5), 1, 3000);
         odd["attrs"][key] = json!(value);
         for _ in 0..8 {
             // The same again the moment that it is turned away.
@@ -77,13 +77,13 @@
     let l = listener();
     let (_p, callers, mut x) = start(&[&l], json!({}));
     let mut good = JsonConnection::connect(callers);
-    good.send(open(&sid(6), 1, 9000));
+    good.send(open_message(&sid(6), 1, 9000));
     x[0].receive_for(&sid(6));
-    let no_name = open("", 1, 3000).to_string();
+    let no_name = open_message("", 1, 3000).to_string();
     let endless = "A".repeat(3_000_000);
     for (n, fault) in (10..).zip(["nonsense", "7", &no_name, "{\"msg\":7}", &endless]) {
         let mut bad = JsonConnection::connect(callers);
-        bad.send(open(&sid(n), 1, 9000));
+        bad.send(open_message(&sid(n), 1, 9000));
         x[0].receive_for(&sid(n));
         // It reads what it is sent while it goes on sending, and may find the connection gone.
         drop(writeln!(bad.stream, "{fault}"));
@@ -95,13 +95,13 @@
     // The name of a set-up that is open elsewhere: nothing is said about it, nor can it be given up from there.
     let mut thief = JsonConnection::connect(callers);
     thief.send(close(&sid(6), 16));
-    thief.send(open(&sid(6), 1, 3000));
+    thief.send(open_message(&sid(6), 1, 3000));
     assert!(thief.closes_silently());
     x[0].send(json!({"msg": "ready", "sid": sid(6), "attrs": {}, "text": SESSION_DESCRIPTION}));
     assert_eq!(good.receive()["msg"], "ready");
     // Two under one name on one connection: one answer, and the end.
     let mut twice = JsonConnection::connect(callers);
-    let pair = format!("{}\n{}\n", open(&sid(8), 1, 3000), open(&sid(8), 1, 3000));
+    let pair = format!("{}\n{}\n", open_message(&sid(8), 1, 3000), open_message(&sid(8), 1, 3000));
     twice.send_bytes(pair.as_bytes());
     assert_eq!(twice.receive()["code"], 41);
     assert!(twice.closes_silently());
@@ -115,7 +115,7 @@
     // It may have had to make room already.
     drop(silent[299].stream.write_all(b"{\"msg\":\"open\","));
     let mut c = JsonConnection::connect(callers);
-    c.send(open(&sid(9), 1, 9000));
+    c.send(open_message(&sid(9), 1, 9000));
     x[0].receive_for(&sid(9));
     x[0].send(json!({"msg": "ready", "sid": sid(9), "attrs": {}, "text": SESSION_DESCRIPTION}));
     assert_eq!(c.receive()["msg"], "ready");
@@ -129,7 +129,7 @@
     let l = listener();
     let (_p, callers, mut x) = start(&[&l], json!({}));
     let mut c = JsonConnection::connect(callers);
-    c.send(open(&sid(8), 1, 9000));
+    c.send(open_message(&sid(8), 1, 9000));
     x[0].receive_for(&sid(8));
     let refusal = json!({"msg": "close", "sid": sid(8), "attrs": {"note": "queue_long", "load": "x0:3;x1:20"}, "code": 34});
     let before = Instant::now();
@@ -144,7 +144,7 @@
     let l = listener();
     let (_p, callers, mut x) = start(&[&l], json!({}));
     let mut c = JsonConnection::connect(callers);
-    c.send(open(&sid(9), 1, 9000));
+    c.send(open_message(&sid(9), 1, 9000));
     x[0].receive_for(&sid(9));
     c.send(close(&sid(9), 16));
     assert_eq!(x[0].receive_for(&sid(9))["code"], 16);
@@ -163,7 +163,7 @@
         let (_p, callers, mut x) = start_with(accept_mute, &[&l], json!({}));
         let mut c = JsonConnection::connect(callers);
         for n in [n, n + 1] {
-            c.send(open(&sid(n), 1, 9000));
+            c.send(open_message(&sid(n), 1, 9000));
             x[0].receive_for(&sid(n));
         }
         let before = Instant::now();
@@ -190,7 +190,7 @@
     let (_p, callers, mut x) = start_with(accept_mute, &[&l], json!({}));
     let mut c = JsonConnection::connect(callers);
     for n in [90, 91] {
-        c.send(open(&sid(n), 1, 9000));
+        c.send(open_message(&sid(n), 1, 9000));
         x[0].receive_for(&sid(n));
     }
     x[0].send(json!({"msg": "ready", "sid": sid(90), "attrs": {}, "text": SESSION_DESCRIPTION}));
@@ -212,12 +212,12 @@
     let l = listener();
     let (_p, callers, mut x) = start(&[&l], json!({}));
     let mut c = JsonConnection::connect(callers);
-    c.send(open(&sid(95), 1, 9000));
+    c.send(open_message(&sid(95), 1, 9000));
     assert_eq!(x[0].receive_for(&sid(95))["msg"], "open");
     // Its connection is lost under it, and it is sent again at once.
     drop(c);
     let mut d = JsonConnection::connect(callers);
-    d.send(open(&sid(95), 1, 9000));
+    d.send(open_message(&sid(95), 1, 9000));
     assert_eq!(x[0].receive_for(&sid(95))["code"], 16);
     let before = Instant::now();
     assert_eq!(x[0].receive_for(&sid(95))["msg"], "open");
@@ -232,7 +232,7 @@
     let (_p, callers, mut x) = start(&[&l], json!({}));
     let mut c = JsonConnection::connect(callers);
     for n in [10, 11, 12] {
-        c.send(open(&sid(n), 1, 9000));
+        c.send(open_message(&sid(n), 1, 9000));
         x[0].receive_for(&sid(n));
         x[0].send(json!({"msg": "ready", "sid": sid(n), "attrs": {}, "text": SESSION_DESCRIPTION}));
         c.receive_for(&sid(n));
@@ -257,13 +257,13 @@
     let (_p, callers, mut x) = start(&[&l], json!({"coordinator": feed.local_addr().unwrap().to_string()}));
     let mut c = JsonConnection::connect(callers);
     for n in [20, 21] {
-        c.send(open(&sid(n), 1, 9000));
+        c.send(open_message(&sid(n), 1, 9000));
         x[0].receive_for(&sid(n));
     }
     x[0].send(json!({"msg": "ready", "sid": sid(20), "attrs": {}, "text": SESSION_DESCRIPTION}));
     assert_eq!(c.receive()["msg"], "ready");
     // The process dies: nobody listens, and its connections are reset (unread bytes make a close a reset).
-    c.send(open(&sid(22), 1, 9000));
+    c.send(open_message(&sid(22), 1, 9000));
     wait_until("the last set-up has come", || {
         let mut seen = [0; 4096];
         let n = x[0].stream.peek(&mut seen).unwrap();
@@ -285,7 +285,7 @@
     let mut y = wait_until("the new exchange answers a call", || {
         let mut y = accept(&l2);
         y.stream.set_read_timeout(Some(Duration::from_millis(700))).unwrap();
-        c.send(open(&sid(30), 1, 9000));
+        c.send(open_message(&sid(30), 1, 9000));
         let mut line = String::new();
         y.reader.read_line(&mut line).is_ok_and(|_| line.contains("open")).then_some(y)
     });
@@ -304,7 +304,7 @@
     stream.event(&update(4, false, &[member("s-1", l.local_addr().unwrap(), 1, "draining")]));
     std::thread::sleep(Duration::from_millis(300));
     let mut c = JsonConnection::connect(callers);
-    c.send(open(&sid(40), 1, 1500));
+    c.send(open_message(&sid(40), 1, 1500));
     assert_eq!(c.receive_for(&sid(40))["msg"], "close");
     x[0].assert_silent_for(Duration::from_millis(300));
 }
@@ -325,7 +325,7 @@
     assert_eq!(first.last, "3");
     first.event(&update(4, false, &[member("up")]));
     let mut c = JsonConnection::connect(callers);
-    c.send(open(&sid(80), 1, 9000));
+    c.send(open_message(&sid(80), 1, 9000));
     x.receive_for(&sid(80));
     // A faulty file is named by its key, and nothing changes.
     std::fs::write(&path, told("nowhere")).unwrap();
@@ -343,7 +343,7 @@
     second.event(&update(6, false, &[self::member("s-3", l3.local_addr().unwrap(), 3, "up")]));
     accept(&l3);
     std::thread::sleep(Duration::from_millis(300));
-    c.send(open(&sid(81), 1, 9000));
+    c.send(open_message(&sid(81), 1, 9000));
     assert_eq!(x.receive_for(&sid(81))["msg"], "open", "the second copy of an event is passed over");
     // The call that was open is untouched.
     x.send(json!({"msg": "ready", "sid": sid(80), "attrs": {}, "text": SESSION_DESCRIPTION}));
@@ -355,12 +355,12 @@
     let l = listener();
     let (mut p, callers, mut x) = start(&[&l], json!({}));
     let mut c = JsonConnection::connect(callers);
-    c.send(open(&sid(50), 1, 9000));
+    c.send(open_message(&sid(50), 1, 9000));
     x[0].receive_for(&sid(50));
     p.signal("TERM");
     std::thread::sleep(Duration::from_millis(100));
     let mut d = JsonConnection::connect(callers);
-    d.send(open(&sid(51), 1, 9000));
+    d.send(open_message(&sid(51), 1, 9000));
     x[0].receive_for(&sid(51));
     std::thread::sleep(Duration::from_millis(1_300));
     assert!(p.child.try_wait().unwrap().is_none(), "two calls are open");
@@ -380,7 +380,7 @@
     settings["classes"][0]["giveUp"] = json!(600.0);
     let (mut p, callers, mut x) = start(&[&l], json!({"settings": settings}));
     let mut c = JsonConnection::connect(callers);
-    c.send(open(&sid(52), 1, 30_000));
+    c.send(open_message(&sid(52), 1, 30_000));
     x[0].receive_for(&sid(52));
     let before = Instant::now();
     p.signal("TERM");
@@ -415,7 +415,7 @@
     c.send(close(&sid(71), 16));
     assert_eq!(x[0].receive_for(&sid(71))["msg"], "close");
     // A call of this life that was refused is not released as well when its exchange says more.
-    c.send(open(&sid(72), 1, 9000));
+    c.send(open_message(&sid(72), 1, 9000));
     x[0].receive_for(&sid(72));
     let refusal = json!({"msg": "close", "sid": sid(72), "attrs": {"note": "end_queue_long"}, "code": 34});
     x[0].send(refusal.clone());
