--- a/tests/common/json_lines.rs
+++ b/tests/common/json_lines.rs
@@ -74,7 +74,7 @@
         "left": left.to_string(), "key": "7f3a9c21e0b4d655", "extras": extras}})
 }
 
-pub fn close(sid: &str, code: u16) -> Value {
+pub fn close_message(sid: &str, code: u16) -> Value {
     json!({"msg": "close", "sid": sid, "attrs": {}, "code": code})
 }
 
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -30,7 +30,7 @@
     x[0].send(json!({"msg": "ready", "sid": sid(7), "attrs": {}, "text": SESSION_DESCRIPTION}));
     let ready = c.receive();
     assert_eq!((&ready["msg"], &ready["text"]), (&json!("ready"), &json!(SESSION_DESCRIPTION)));
-    x[0].send(close(&sid(7), 16));
+    x[0].send(close_message(&sid(7), 16));
     assert_eq!(c.receive()["code"], 16);
     c.assert_silent_for(Duration::from_millis(300));
 }
@@ -94,7 +94,7 @@
     }
     // The name of a set-up that is open elsewhere: nothing is said about it, nor can it be given up from there.
     let mut thief = JsonConnection::connect(callers);
-    thief.send(close(&sid(6), 16));
+    thief.send(close_message(&sid(6), 16));
     thief.send(open_message(&sid(6), 1, 3000));
     assert!(thief.closes_silently());
     x[0].send(json!({"msg": "ready", "sid": sid(6), "attrs": {}, "text": SESSION_DESCRIPTION}));
@@ -146,7 +146,7 @@
     let mut c = JsonConnection::connect(callers);
     c.send(open_message(&sid(9), 1, 9000));
     x[0].receive_for(&sid(9));
-    c.send(close(&sid(9), 16));
+    c.send(close_message(&sid(9), 16));
     assert_eq!(x[0].receive_for(&sid(9))["code"], 16);
     x[0].send(json!({"msg": "ready", "sid": sid(9), "attrs": {}, "text": SESSION_DESCRIPTION}));
     let release = x[0].receive_for(&sid(9));
@@ -200,7 +200,7 @@
     x[0].send(json!({"msg": "probed", "sid": test["sid"], "attrs": {"load": "x0:18;x1:20"}, "code": 1}));
     // From here on nothing: the next connection brings the release that was lost, and the set-up again.
     let mut y = accept(&l);
-    y.send(close(&sid(90), 16));
+    y.send(close_message(&sid(90), 16));
     assert_eq!(c.receive_for(&sid(90))["code"], 16);
     let again = std::iter::repeat_with(|| y.receive_for(&sid(91))).find(|m| m["msg"] == "open").unwrap();
     y.send(json!({"msg": "ready", "sid": again["sid"], "attrs": {}, "text": SESSION_DESCRIPTION}));
@@ -239,14 +239,14 @@
     }
     drop(c);
     // With no connection at all the release waits for the next; with another one it takes that.
-    x[0].send(close(&sid(10), 16));
+    x[0].send(close_message(&sid(10), 16));
     std::thread::sleep(Duration::from_millis(100));
     let mut d = JsonConnection::connect(callers);
     assert_eq!(d.receive_for(&sid(10))["code"], 16);
-    x[0].send(close(&sid(11), 41));
+    x[0].send(close_message(&sid(11), 41));
     assert_eq!(d.receive_for(&sid(11))["code"], 41);
     // The caller's own release may come on any connection.
-    d.send(close(&sid(12), 16));
+    d.send(close_message(&sid(12), 16));
     assert_eq!(x[0].receive_for(&sid(12))["code"], 16);
 }
 
@@ -410,9 +410,9 @@
     let (_p, callers, mut x) = start(&[&l], json!({}));
     let mut c = JsonConnection::connect(callers);
     // Neither name was ever met in this life.
-    x[0].send(close(&sid(70), 16));
+    x[0].send(close_message(&sid(70), 16));
     assert_eq!(c.receive_for(&sid(70))["code"], 16);
-    c.send(close(&sid(71), 16));
+    c.send(close_message(&sid(71), 16));
     assert_eq!(x[0].receive_for(&sid(71))["msg"], "close");
     // A call of this life that was refused is not released as well when its exchange says more.
     c.send(open_message(&sid(72), 1, 9000));
