--- a/tests/common/json_lines.rs
+++ b/tests/common/json_lines.rs
@@ -108,12 +108,12 @@
 /// One that goes on to tell of its group, as exchanges with calls do.
 pub fn accept(listener: &TcpListener) -> JsonConnection {
     let line = accept_mute(listener);
-    keep_talking(&line);
+    report_periodically(&line);
     line
 }
 
 /// Tells of the group on this connection for as long as it is there.
-pub fn keep_talking(line: &JsonConnection) {
+pub fn report_periodically(line: &JsonConnection) {
     let (here, mut stream) = (Arc::downgrade(&line.reporting), line.stream.try_clone().unwrap());
     std::thread::spawn(move || {
         while here.strong_count() > 0 && stream.write_all(STATUS_MESSAGE.as_bytes()).is_ok() {
--- a/tests/incident_75a3cb.rs
+++ b/tests/incident_75a3cb.rs
@@ -37,7 +37,7 @@
 /// One that goes on to tell of its group, as exchanges with calls do, until it is dropped.
 fn talking(host: &Host) -> JsonConnection {
     let line = JsonConnection::new(host.accept(common::TEST_TIMEOUT).unwrap());
-    keep_talking(&line);
+    report_periodically(&line);
     line
 }
 
