--- a/tests/common/json_lines.rs
+++ b/tests/common/json_lines.rs
@@ -99,7 +99,7 @@
     "{\"msg\":\"status\",\"sid\":\"\",\"attrs\":{\"load\":\"x0:20;x1:20;latency_ms:-1;qps:-1\"}}\n";
 
 /// An exchange that takes one connection and tells of its group, as exchanges do first of all, and no more.
-pub fn accept_mute(listener: &TcpListener) -> JsonConnection {
+pub fn accept_reporting_once(listener: &TcpListener) -> JsonConnection {
     let mut line = JsonConnection::new(listener.accept().unwrap().0);
     line.send_bytes(STATUS_MESSAGE.as_bytes());
     line
@@ -107,7 +107,7 @@
 
 /// One that goes on to tell of its group, as exchanges with calls do.
 pub fn accept(listener: &TcpListener) -> JsonConnection {
-    let line = accept_mute(listener);
+    let line = accept_reporting_once(listener);
     report_periodically(&line);
     line
 }
