--- a/tests/common/json_lines.rs
+++ b/tests/common/json_lines.rs
@@ -106,7 +106,7 @@
 }
 
 /// One that goes on to tell of its group, as exchanges with calls do.
-pub fn accept(listener: &TcpListener) -> JsonConnection {
+pub fn accept_reporting(listener: &TcpListener) -> JsonConnection {
     let line = accept_reporting_once(listener);
     report_periodically(&line);
     line
@@ -124,7 +124,7 @@
 
 /// The program with these exchanges known, each connected.
 pub fn start(exchanges: &[&TcpListener], more: Value) -> (Program, SocketAddr, Vec<JsonConnection>) {
-    start_with(accept, exchanges, more)
+    start_with(accept_reporting, exchanges, more)
 }
 
 pub fn start_with(
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -169,7 +169,7 @@
         let before = Instant::now();
         x[0].send_bytes(&bytes);
         // Its connection stays open on that side; the other call on it has had its answer lost as well.
-        let mut y = accept(&l);
+        let mut y = accept_reporting(&l);
         for n in [n, n + 1] {
             // What may stand there is released first, well before it is set up anew.
             let got = y.receive_for(&sid(n));
@@ -199,7 +199,7 @@
     let test = std::iter::repeat_with(|| x[0].receive()).find(|m| m["msg"] == "probe").unwrap();
     x[0].send(json!({"msg": "probed", "sid": test["sid"], "attrs": {"load": "x0:18;x1:20"}, "code": 1}));
     // From here on nothing: the next connection brings the release that was lost, and the set-up again.
-    let mut y = accept(&l);
+    let mut y = accept_reporting(&l);
     y.send(close_message(&sid(90), 16));
     assert_eq!(c.receive_for(&sid(90))["code"], 16);
     let again = std::iter::repeat_with(|| y.receive_for(&sid(91))).find(|m| m["msg"] == "open").unwrap();
@@ -283,7 +283,7 @@
     assert_eq!(stream.last, "3", "from the last event known");
     stream.event(&update(4, false, &[member("s-1", at, 1, "removed"), member("s-new", at, 1, "up")]));
     let mut y = wait_until("the new exchange answers a call", || {
-        let mut y = accept(&l2);
+        let mut y = accept_reporting(&l2);
         y.stream.set_read_timeout(Some(Duration::from_millis(700))).unwrap();
         c.send(open_message(&sid(30), 1, 9000));
         let mut line = String::new();
@@ -320,7 +320,7 @@
     };
     let path = temp_file("config.json", &told(&at(&old)));
     let p = Program::start(&[("--config", &path)], &[]);
-    let (callers, mut x) = (p.listen_address("callers"), accept(&l));
+    let (callers, mut x) = (p.listen_address("callers"), accept_reporting(&l));
     let mut first = Coordinator::accept(&old);
     assert_eq!(first.last, "3");
     first.event(&update(4, false, &[member("up")]));
@@ -332,7 +332,7 @@
     p.signal("HUP");
     assert!(p.wait_for_log("warning: configuration kept: ").starts_with("coordinator"));
     first.event(&update(5, false, &[self::member("s-2", l2.local_addr().unwrap(), 2, "up")]));
-    accept(&l2);
+    accept_reporting(&l2);
     std::fs::write(&path, told(&at(&new))).unwrap();
     p.signal("HUP");
     p.wait_for_log("configuration read anew");
@@ -341,7 +341,7 @@
     assert_eq!(second.last, "5");
     second.event(&update(5, false, &[member("draining")]));
     second.event(&update(6, false, &[self::member("s-3", l3.local_addr().unwrap(), 3, "up")]));
-    accept(&l3);
+    accept_reporting(&l3);
     std::thread::sleep(Duration::from_millis(300));
     c.send(open_message(&sid(81), 1, 9000));
     assert_eq!(x.receive_for(&sid(81))["msg"], "open", "the second copy of an event is passed over");
