--- a/tests/common/json_lines.rs
+++ b/tests/common/json_lines.rs
@@ -124,10 +124,10 @@
 
 /// The program with these exchanges known, each connected.
 pub fn start(exchanges: &[&TcpListener], more: Value) -> (Program, SocketAddr, Vec<JsonConnection>) {
-    start_with(accept_reporting, exchanges, more)
+    start_program_with(accept_reporting, exchanges, more)
 }
 
-pub fn start_with(
+pub fn start_program_with(
     accept: fn(&TcpListener) -> JsonConnection,
     exchanges: &[&TcpListener],
     more: Value,
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -160,7 +160,7 @@
     let spoilt = [b"\x89=0\x9c:AA\r\n".to_vec(), vec![b'A'; 40_000], half, b"{\"msg\":\"ready\"}\n".to_vec()];
     for (n, bytes) in (100..).step_by(10).zip(spoilt) {
         let l = listener();
-        let (_p, callers, mut x) = start_with(accept_reporting_once, &[&l], json!({}));
+        let (_p, callers, mut x) = start_program_with(accept_reporting_once, &[&l], json!({}));
         let mut c = JsonConnection::connect(callers);
         for n in [n, n + 1] {
             c.send(open_message(&sid(n), 1, 9000));
@@ -187,7 +187,7 @@
 #[test]
 fn a_connection_that_stays_open_and_dead_is_given_up_and_what_was_over_meanwhile_is_told() {
     let l = listener();
-    let (_p, callers, mut x) = start_with(accept_reporting_once, &[&l], json!({}));
+    let (_p, callers, mut x) = start_program_with(accept_reporting_once, &[&l], json!({}));
     let mut c = JsonConnection::connect(callers);
     for n in [90, 91] {
         c.send(open_message(&sid(n), 1, 9000));
