--- a/tests/common/json_lines.rs
+++ b/tests/common/json_lines.rs
@@ -123,7 +123,7 @@
 }
 
 /// The program with these exchanges known, each connected.
-pub fn start(exchanges: &[&TcpListener], more: Value) -> (Program, SocketAddr, Vec<JsonConnection>) {
+pub fn start_program(exchanges: &[&TcpListener], more: Value) -> (Program, SocketAddr, Vec<JsonConnection>) {
     start_program_with(accept_reporting, exchanges, more)
 }
 
--- a/tests/coordinator.rs
+++ b/tests/coordinator.rs
@@ -28,7 +28,7 @@
 #[test]
 fn a_coordinator_that_takes_three_seconds_to_answer_is_followed() {
     let (l, feed, added) = (listener(), listener(), listener());
-    let (_program, _, _x) = start(&[&l], followed_by(&feed));
+    let (_program, _, _x) = start_program(&[&l], followed_by(&feed));
     let mut stream = Coordinator::asked(&feed);
     thread::sleep(Duration::from_secs(3));
     stream.answer();
@@ -39,7 +39,7 @@
 #[test]
 fn a_request_that_hangs_does_not_keep_a_coordinator_that_is_back_from_telling_in_time() {
     let (l, feed, added) = (listener(), listener(), listener());
-    let (_program, _, _x) = start(&[&l], followed_by(&feed));
+    let (_program, _, _x) = start_program(&[&l], followed_by(&feed));
     let _hangs = Coordinator::asked(&feed);
     let back = Instant::now();
     let mut stream = Coordinator::accept(&feed);
@@ -51,7 +51,7 @@
 #[test]
 fn an_event_that_can_not_be_read_has_the_whole_list_told_again() {
     let (l, feed, added) = (listener(), listener(), listener());
-    let (_program, _, _x) = start(&[&l], followed_by(&feed));
+    let (_program, _, _x) = start_program(&[&l], followed_by(&feed));
     let mut stream = Coordinator::accept(&feed);
     assert_eq!(stream.last, "3");
     stream.raw_event(4, "{\"index\":4,\"endpoints\":{\"members\":[{\"id\":7");
--- a/tests/incident_75a3cb.rs
+++ b/tests/incident_75a3cb.rs
@@ -138,7 +138,7 @@
 #[test]
 fn a_stop_ends_soon_with_nothing_left_though_clients_connect_again_and_again() {
     let l = listener();
-    let (mut program, callers, _x) = start(&[&l], json!({}));
+    let (mut program, callers, _x) = start_program(&[&l], json!({}));
     let mut again: Vec<JsonConnection> = (0..5).map(|_| JsonConnection::connect(callers)).collect();
     program.signal("TERM");
     let asked = Instant::now();
@@ -160,7 +160,7 @@
 #[test]
 fn requests_that_come_up_to_the_kill_are_answered_while_the_exchange_hangs() {
     let l = listener();
-    let (mut program, callers, mut x) = start(&[&l], json!({}));
+    let (mut program, callers, mut x) = start_program(&[&l], json!({}));
     // A call that stands keeps its connection in use.
     let mut caller = JsonConnection::connect(callers);
     caller.send(open_message(&sid(50), 1, 9_000));
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -13,7 +13,7 @@
 #[test]
 fn a_call_stands_with_everything_passed_on_unchanged_and_its_end_is_told() {
     let l = listener();
-    let (_p, callers, mut x) = start(&[&l], json!({}));
+    let (_p, callers, mut x) = start_program(&[&l], json!({}));
     let mut c = JsonConnection::connect(callers);
     c.send(open_message(&sid(7), 1, 3000));
     let got = x[0].receive();
@@ -38,7 +38,7 @@
 #[test]
 fn lines_may_be_split_and_joined() {
     let l = listener();
-    let (_p, callers, mut x) = start(&[&l], json!({}));
+    let (_p, callers, mut x) = start_program(&[&l], json!({}));
     let mut c = JsonConnection::connect(callers);
     // Two messages in one write, the second in two parts; the far end hears both.
     let two = format!("{}\n{}\n", open_message(&sid(1), 1, 3000), open_message(&sid(2), 1, 3000));
@@ -52,7 +52,7 @@
 #[test]
 fn what_nothing_can_be_made_of_fails_at_once_and_its_connection_ends_if_it_goes_on() {
     let l = listener();
-    let (_p, callers, mut x) = start(&[&l], json!({}));
+    let (_p, callers, mut x) = start_program(&[&l], json!({}));
     let faults = [("class", "telex"), ("left", "-5"), ("left", "soon"), ("left", "99999999999999999999999")];
     let extras =
         ["x", "dest:nan", "dest:-3", "dest:1.5", "dest:1;width:0", "dest:1;width:400", "dest:1;via:70000"];
@@ -75,7 +75,7 @@
 #[test]
 fn a_fault_of_a_caller_ends_its_own_connection_only_and_what_it_had_open_is_answered_first() {
     let l = listener();
-    let (_p, callers, mut x) = start(&[&l], json!({}));
+    let (_p, callers, mut x) = start_program(&[&l], json!({}));
     let mut good = JsonConnection::connect(callers);
     good.send(open_message(&sid(6), 1, 9000));
     x[0].receive_for(&sid(6));
@@ -110,7 +110,7 @@
 #[test]
 fn callers_who_say_nothing_or_stop_half_way_are_ended_and_hundreds_of_them_leave_room_for_others() {
     let l = listener();
-    let (p, callers, mut x) = start(&[&l], json!({"limits": {"sockets": 64}}));
+    let (p, callers, mut x) = start_program(&[&l], json!({"limits": {"sockets": 64}}));
     let mut silent: Vec<JsonConnection> = (0..300).map(|_| JsonConnection::connect(callers)).collect();
     // It may have had to make room already.
     drop(silent[299].stream.write_all(b"{\"msg\":\"open\","));
@@ -127,7 +127,7 @@
 #[test]
 fn a_refused_call_is_answered_at_once_with_when_to_come_back() {
     let l = listener();
-    let (_p, callers, mut x) = start(&[&l], json!({}));
+    let (_p, callers, mut x) = start_program(&[&l], json!({}));
     let mut c = JsonConnection::connect(callers);
     c.send(open_message(&sid(8), 1, 9000));
     x[0].receive_for(&sid(8));
@@ -142,7 +142,7 @@
 #[test]
 fn an_answer_that_comes_after_the_set_up_was_given_up_is_released() {
     let l = listener();
-    let (_p, callers, mut x) = start(&[&l], json!({}));
+    let (_p, callers, mut x) = start_program(&[&l], json!({}));
     let mut c = JsonConnection::connect(callers);
     c.send(open_message(&sid(9), 1, 9000));
     x[0].receive_for(&sid(9));
@@ -210,7 +210,7 @@
 #[test]
 fn a_request_that_comes_again_on_a_new_connection_keeps_the_quiet_period() {
     let l = listener();
-    let (_p, callers, mut x) = start(&[&l], json!({}));
+    let (_p, callers, mut x) = start_program(&[&l], json!({}));
     let mut c = JsonConnection::connect(callers);
     c.send(open_message(&sid(95), 1, 9000));
     assert_eq!(x[0].receive_for(&sid(95))["msg"], "open");
@@ -229,7 +229,7 @@
 #[test]
 fn no_connection_owns_a_call_that_stands() {
     let l = listener();
-    let (_p, callers, mut x) = start(&[&l], json!({}));
+    let (_p, callers, mut x) = start_program(&[&l], json!({}));
     let mut c = JsonConnection::connect(callers);
     for n in [10, 11, 12] {
         c.send(open_message(&sid(n), 1, 9000));
@@ -254,7 +254,8 @@
 fn a_dead_exchange_cuts_its_calls_and_a_new_one_may_have_its_address() {
     let (l, feed) = (listener(), listener());
     let at = l.local_addr().unwrap();
-    let (_p, callers, mut x) = start(&[&l], json!({"coordinator": feed.local_addr().unwrap().to_string()}));
+    let (_p, callers, mut x) =
+        start_program(&[&l], json!({"coordinator": feed.local_addr().unwrap().to_string()}));
     let mut c = JsonConnection::connect(callers);
     for n in [20, 21] {
         c.send(open_message(&sid(n), 1, 9000));
@@ -299,7 +300,8 @@
 #[test]
 fn nothing_new_is_sent_to_an_exchange_that_drains() {
     let (l, feed) = (listener(), listener());
-    let (_p, callers, mut x) = start(&[&l], json!({"coordinator": feed.local_addr().unwrap().to_string()}));
+    let (_p, callers, mut x) =
+        start_program(&[&l], json!({"coordinator": feed.local_addr().unwrap().to_string()}));
     let mut stream = Coordinator::accept(&feed);
     stream.event(&update(4, false, &[member("s-1", l.local_addr().unwrap(), 1, "draining")]));
     std::thread::sleep(Duration::from_millis(300));
@@ -353,7 +355,7 @@
 #[test]
 fn after_sigterm_it_goes_on_accepting_for_a_while_and_answers_all_that_it_took() {
     let l = listener();
-    let (mut p, callers, mut x) = start(&[&l], json!({}));
+    let (mut p, callers, mut x) = start_program(&[&l], json!({}));
     let mut c = JsonConnection::connect(callers);
     c.send(open_message(&sid(50), 1, 9000));
     x[0].receive_for(&sid(50));
@@ -378,7 +380,7 @@
     let l = listener();
     let mut settings = common::settings();
     settings["classes"][0]["giveUp"] = json!(600.0);
-    let (mut p, callers, mut x) = start(&[&l], json!({"settings": settings}));
+    let (mut p, callers, mut x) = start_program(&[&l], json!({"settings": settings}));
     let mut c = JsonConnection::connect(callers);
     c.send(open_message(&sid(52), 1, 30_000));
     x[0].receive_for(&sid(52));
@@ -407,7 +409,7 @@
 #[test]
 fn a_call_that_stood_through_a_restart_is_released_on_both_sides_by_name() {
     let l = listener();
-    let (_p, callers, mut x) = start(&[&l], json!({}));
+    let (_p, callers, mut x) = start_program(&[&l], json!({}));
     let mut c = JsonConnection::connect(callers);
     // Neither name was ever met in this life.
     x[0].send(close_message(&sid(70), 16));
