--- a/tests/common/json_lines.rs
+++ b/tests/common/json_lines.rs
@@ -151,26 +151,26 @@
 }
 
 /// One connection of the coordinator's stream.
-pub struct Coordinator {
+pub struct CoordinatorStream {
     pub stream: TcpStream,
     pub last: String,
 }
 
-impl Coordinator {
-    pub fn accept(feed: &TcpListener) -> Coordinator {
-        let mut asked = Coordinator::asked(feed);
+impl CoordinatorStream {
+    pub fn accept(feed: &TcpListener) -> CoordinatorStream {
+        let mut asked = CoordinatorStream::asked(feed);
         asked.answer();
         asked
     }
 
     /// One that was asked for the stream and has not answered.
-    pub fn asked(feed: &TcpListener) -> Coordinator {
+    pub fn asked(feed: &TcpListener) -> CoordinatorStream {
         let stream = feed.accept().unwrap().0;
         let mut lines = BufReader::new(stream.try_clone().unwrap()).lines().map_while(Result::ok);
         assert_eq!(lines.next().unwrap(), "GET /v2/stream HTTP/1.1");
         let head: Vec<String> = lines.take_while(|l| !l.is_empty()).collect();
         let last = head.iter().find_map(|l| l.strip_prefix("Last-Event-ID: ")).unwrap().to_owned();
-        Coordinator { stream, last }
+        CoordinatorStream { stream, last }
     }
 
     pub fn answer(&mut self) {
--- a/tests/coordinator.rs
+++ b/tests/coordinator.rs
@@ -29,7 +29,7 @@
 fn a_coordinator_that_takes_three_seconds_to_answer_is_followed() {
     let (l, feed, added) = (listener(), listener(), listener());
     let (_program, _, _x) = start_program(&[&l], followed_by(&feed));
-    let mut stream = Coordinator::asked(&feed);
+    let mut stream = CoordinatorStream::asked(&feed);
     thread::sleep(Duration::from_secs(3));
     stream.answer();
     stream.event(&another_exchange(4, &added));
@@ -40,9 +40,9 @@
 fn a_request_that_hangs_does_not_keep_a_coordinator_that_is_back_from_telling_in_time() {
     let (l, feed, added) = (listener(), listener(), listener());
     let (_program, _, _x) = start_program(&[&l], followed_by(&feed));
-    let _hangs = Coordinator::asked(&feed);
+    let _hangs = CoordinatorStream::asked(&feed);
     let back = Instant::now();
-    let mut stream = Coordinator::accept(&feed);
+    let mut stream = CoordinatorStream::accept(&feed);
     stream.event(&another_exchange(4, &added));
     comes_up(&added);
     assert!(back.elapsed() < TOLD);
@@ -52,10 +52,10 @@
 fn an_event_that_can_not_be_read_has_the_whole_list_told_again() {
     let (l, feed, added) = (listener(), listener(), listener());
     let (_program, _, _x) = start_program(&[&l], followed_by(&feed));
-    let mut stream = Coordinator::accept(&feed);
+    let mut stream = CoordinatorStream::accept(&feed);
     assert_eq!(stream.last, "3");
     stream.raw_event(4, "{\"index\":4,\"endpoints\":{\"members\":[{\"id\":7");
-    let mut again = Coordinator::accept(&feed);
+    let mut again = CoordinatorStream::accept(&feed);
     assert_eq!(again.last, "0", "from the first event on");
     let whole = [
         member("s-1", l.local_addr().unwrap(), 1, "up"),
--- a/tests/incident_75a3cb.rs
+++ b/tests/incident_75a3cb.rs
@@ -27,7 +27,7 @@
     exchange: JsonConnection,
     caller: JsonConnection,
     /// The coordinator's stream, and where it listens, while it is up.
-    coordinator: Option<(Coordinator, TcpListener)>,
+    coordinator: Option<(CoordinatorStream, TcpListener)>,
 }
 
 fn loopback() -> SocketAddr {
@@ -51,7 +51,7 @@
         let program =
             Program::start(&[("--config", &temp_file("config.json", &all.to_string()))], &["--log", "debug"]);
         let exchange = talking(&host);
-        let coordinator = Coordinator::accept(&feed);
+        let coordinator = CoordinatorStream::accept(&feed);
         let mut caller = JsonConnection::connect(program.listen_address("callers"));
         wait_until("the test passes", || {
             caller.send(json!({"msg": "probe", "sid": sid(1), "attrs": {}, "code": 0}));
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -280,7 +280,7 @@
     assert!(codes.contains(&(sid(20), 41)), "the call that stood is cut: {codes:?}");
     // Another exchange comes up at the old address, and is told of by the coordinator.
     let l2 = TcpListener::bind(at).unwrap();
-    let mut stream = Coordinator::accept(&feed);
+    let mut stream = CoordinatorStream::accept(&feed);
     assert_eq!(stream.last, "3", "from the last event known");
     stream.event(&update(4, false, &[member("s-1", at, 1, "removed"), member("s-new", at, 1, "up")]));
     let mut y = wait_until("the new exchange answers a call", || {
@@ -294,7 +294,7 @@
     assert_eq!(c.receive_for(&sid(30))["msg"], "ready");
     // The stream ends, and is taken up again after the last event that came.
     drop(stream);
-    assert_eq!(Coordinator::accept(&feed).last, "4");
+    assert_eq!(CoordinatorStream::accept(&feed).last, "4");
 }
 
 #[test]
@@ -302,7 +302,7 @@
     let (l, feed) = (listener(), listener());
     let (_p, callers, mut x) =
         start_program(&[&l], json!({"coordinator": feed.local_addr().unwrap().to_string()}));
-    let mut stream = Coordinator::accept(&feed);
+    let mut stream = CoordinatorStream::accept(&feed);
     stream.event(&update(4, false, &[member("s-1", l.local_addr().unwrap(), 1, "draining")]));
     std::thread::sleep(Duration::from_millis(300));
     let mut c = JsonConnection::connect(callers);
@@ -323,7 +323,7 @@
     let path = temp_file("config.json", &told(&at(&old)));
     let p = Program::start(&[("--config", &path)], &[]);
     let (callers, mut x) = (p.listen_address("callers"), accept_reporting(&l));
-    let mut first = Coordinator::accept(&old);
+    let mut first = CoordinatorStream::accept(&old);
     assert_eq!(first.last, "3");
     first.event(&update(4, false, &[member("up")]));
     let mut c = JsonConnection::connect(callers);
@@ -339,7 +339,7 @@
     p.signal("HUP");
     p.wait_for_log("configuration read anew");
     // The numbering goes on at the new address; what is told twice is taken once.
-    let mut second = Coordinator::accept(&new);
+    let mut second = CoordinatorStream::accept(&new);
     assert_eq!(second.last, "5");
     second.event(&update(5, false, &[member("draining")]));
     second.event(&update(6, false, &[self::member("s-3", l3.local_addr().unwrap(), 3, "up")]));
