--- a/tests/common/json_lines.rs
+++ b/tests/common/json_lines.rs
@@ -158,13 +158,13 @@
 
 impl CoordinatorStream {
     pub fn accept(feed: &TcpListener) -> CoordinatorStream {
-        let mut asked = CoordinatorStream::asked(feed);
+        let mut asked = CoordinatorStream::accept_unanswered(feed);
         asked.answer();
         asked
     }
 
     /// One that was asked for the stream and has not answered.
-    pub fn asked(feed: &TcpListener) -> CoordinatorStream {
+    pub fn accept_unanswered(feed: &TcpListener) -> CoordinatorStream {
         let stream = feed.accept().unwrap().0;
         let mut lines = BufReader::new(stream.try_clone().unwrap()).lines().map_while(Result::ok);
         assert_eq!(lines.next().unwrap(), "GET /v2/stream HTTP/1.1");
--- a/tests/coordinator.rs
+++ b/tests/coordinator.rs
@@ -29,7 +29,7 @@
 fn a_coordinator_that_takes_three_seconds_to_answer_is_followed() {
     let (l, feed, added) = (listener(), listener(), listener());
     let (_program, _, _x) = start_program(&[&l], followed_by(&feed));
-    let mut stream = CoordinatorStream::asked(&feed);
+    let mut stream = CoordinatorStream::accept_unanswered(&feed);
     thread::sleep(Duration::from_secs(3));
     stream.answer();
     stream.event(&another_exchange(4, &added));
@@ -40,7 +40,7 @@
 fn a_request_that_hangs_does_not_keep_a_coordinator_that_is_back_from_telling_in_time() {
     let (l, feed, added) = (listener(), listener(), listener());
     let (_program, _, _x) = start_program(&[&l], followed_by(&feed));
-    let _hangs = CoordinatorStream::asked(&feed);
+    let _hangs = CoordinatorStream::accept_unanswered(&feed);
     let back = Instant::now();
     let mut stream = CoordinatorStream::accept(&feed);
     stream.event(&another_exchange(4, &added));
