--- a/tests/common/json_lines.rs
+++ b/tests/common/json_lines.rs
@@ -159,7 +159,7 @@
 impl CoordinatorStream {
     pub fn accept(feed: &TcpListener) -> CoordinatorStream {
         let mut asked = CoordinatorStream::accept_unanswered(feed);
-        asked.answer();
+        asked.send_response_head();
         asked
     }
 
@@ -173,7 +173,7 @@
         CoordinatorStream { stream, last }
     }
 
-    pub fn answer(&mut self) {
+    pub fn send_response_head(&mut self) {
         let head = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: here\n\n";
         self.stream.write_all(head).unwrap();
     }
--- a/tests/coordinator.rs
+++ b/tests/coordinator.rs
@@ -31,7 +31,7 @@
     let (_program, _, _x) = start_program(&[&l], followed_by(&feed));
     let mut stream = CoordinatorStream::accept_unanswered(&feed);
     thread::sleep(Duration::from_secs(3));
-    stream.answer();
+    stream.send_response_head();
     stream.event(&another_exchange(4, &added));
     comes_up(&added);
 }
