--- a/tests/common/json_lines.rs
+++ b/tests/common/json_lines.rs
@@ -178,7 +178,7 @@
         self.stream.write_all(head).unwrap();
     }
 
-    pub fn event(&mut self, update: &Value) {
+    pub fn send_event(&mut self, update: &Value) {
         self.raw_event(update["index"].as_u64().unwrap(), &update.to_string());
     }
 
--- a/tests/coordinator.rs
+++ b/tests/coordinator.rs
@@ -32,7 +32,7 @@
     let mut stream = CoordinatorStream::accept_unanswered(&feed);
     thread::sleep(Duration::from_secs(3));
     stream.send_response_head();
-    stream.event(&another_exchange(4, &added));
+    stream.send_event(&another_exchange(4, &added));
     comes_up(&added);
 }
 
@@ -43,7 +43,7 @@
     let _hangs = CoordinatorStream::accept_unanswered(&feed);
     let back = Instant::now();
     let mut stream = CoordinatorStream::accept(&feed);
-    stream.event(&another_exchange(4, &added));
+    stream.send_event(&another_exchange(4, &added));
     comes_up(&added);
     assert!(back.elapsed() < TOLD);
 }
@@ -61,6 +61,6 @@
         member("s-1", l.local_addr().unwrap(), 1, "up"),
         member("s-2", added.local_addr().unwrap(), 2, "up"),
     ];
-    again.event(&update(4, true, &whole));
+    again.send_event(&update(4, true, &whole));
     comes_up(&added);
 }
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -282,7 +282,7 @@
     let l2 = TcpListener::bind(at).unwrap();
     let mut stream = CoordinatorStream::accept(&feed);
     assert_eq!(stream.last, "3", "from the last event known");
-    stream.event(&update(4, false, &[member("s-1", at, 1, "removed"), member("s-new", at, 1, "up")]));
+    stream.send_event(&update(4, false, &[member("s-1", at, 1, "removed"), member("s-new", at, 1, "up")]));
     let mut y = wait_until("the new exchange answers a call", || {
         let mut y = accept_reporting(&l2);
         y.stream.set_read_timeout(Some(Duration::from_millis(700))).unwrap();
@@ -303,7 +303,7 @@
     let (_p, callers, mut x) =
         start_program(&[&l], json!({"coordinator": feed.local_addr().unwrap().to_string()}));
     let mut stream = CoordinatorStream::accept(&feed);
-    stream.event(&update(4, false, &[member("s-1", l.local_addr().unwrap(), 1, "draining")]));
+    stream.send_event(&update(4, false, &[member("s-1", l.local_addr().unwrap(), 1, "draining")]));
     std::thread::sleep(Duration::from_millis(300));
     let mut c = JsonConnection::connect(callers);
     c.send(open_message(&sid(40), 1, 1500));
@@ -325,7 +325,7 @@
     let (callers, mut x) = (p.listen_address("callers"), accept_reporting(&l));
     let mut first = CoordinatorStream::accept(&old);
     assert_eq!(first.last, "3");
-    first.event(&update(4, false, &[member("up")]));
+    first.send_event(&update(4, false, &[member("up")]));
     let mut c = JsonConnection::connect(callers);
     c.send(open_message(&sid(80), 1, 9000));
     x.receive_for(&sid(80));
@@ -333,7 +333,7 @@
     std::fs::write(&path, told("nowhere")).unwrap();
     p.signal("HUP");
     assert!(p.wait_for_log("warning: configuration kept: ").starts_with("coordinator"));
-    first.event(&update(5, false, &[self::member("s-2", l2.local_addr().unwrap(), 2, "up")]));
+    first.send_event(&update(5, false, &[self::member("s-2", l2.local_addr().unwrap(), 2, "up")]));
     accept_reporting(&l2);
     std::fs::write(&path, told(&at(&new))).unwrap();
     p.signal("HUP");
@@ -341,8 +341,8 @@
     // The numbering goes on at the new address; what is told twice is taken once.
     let mut second = CoordinatorStream::accept(&new);
     assert_eq!(second.last, "5");
-    second.event(&update(5, false, &[member("draining")]));
-    second.event(&update(6, false, &[self::member("s-3", l3.local_addr().unwrap(), 3, "up")]));
+    second.send_event(&update(5, false, &[member("draining")]));
+    second.send_event(&update(6, false, &[self::member("s-3", l3.local_addr().unwrap(), 3, "up")]));
     accept_reporting(&l3);
     std::thread::sleep(Duration::from_millis(300));
     c.send(open_message(&sid(81), 1, 9000));
