--- a/tests/common/json_lines.rs
+++ b/tests/common/json_lines.rs
@@ -179,10 +179,10 @@
     }
 
     pub fn send_event(&mut self, update: &Value) {
-        self.raw_event(update["index"].as_u64().unwrap(), &update.to_string());
+        self.send_raw_event(update["index"].as_u64().unwrap(), &update.to_string());
     }
 
-    pub fn raw_event(&mut self, index: u64, data: &str) {
+    pub fn send_raw_event(&mut self, index: u64, data: &str) {
         write!(self.stream, "id: {index}\ndata: {data}\n\n").unwrap();
     }
 }
--- a/tests/coordinator.rs
+++ b/tests/coordinator.rs
@@ -54,7 +54,7 @@
     let (_program, _, _x) = start_program(&[&l], followed_by(&feed));
     let mut stream = CoordinatorStream::accept(&feed);
     assert_eq!(stream.last, "3");
-    stream.raw_event(4, "{\"index\":4,\"endpoints\":{\"members\":[{\"id\":7");
+    stream.send_raw_event(4, "{\"index\":4,\"endpoints\":{\"members\":[{\"id\":7");
     let mut again = CoordinatorStream::accept(&feed);
     assert_eq!(again.last, "0", "from the first event on");
     let whole = [
