--- a/tests/common/json_lines.rs
+++ b/tests/common/json_lines.rs
@@ -153,7 +153,7 @@
 /// One connection of the coordinator's stream.
 pub struct CoordinatorStream {
     pub stream: TcpStream,
-    pub last: String,
+    pub last_event_id: String,
 }
 
 impl CoordinatorStream {
@@ -169,8 +169,8 @@
         let mut lines = BufReader::new(stream.try_clone().unwrap()).lines().map_while(Result::ok);
         assert_eq!(lines.next().unwrap(), "GET /v2/stream HTTP/1.1");
         let head: Vec<String> = lines.take_while(|l| !l.is_empty()).collect();
-        let last = head.iter().find_map(|l| l.strip_prefix("Last-Event-ID: ")).unwrap().to_owned();
-        CoordinatorStream { stream, last }
+        let last_event_id = head.iter().find_map(|l| l.strip_prefix("Last-Event-ID: ")).unwrap().to_owned();
+        CoordinatorStream { stream, last_event_id }
     }
 
     pub fn send_response_head(&mut self) {
--- a/tests/coordinator.rs
+++ b/tests/coordinator.rs
@@ -53,10 +53,10 @@
     let (l, feed, added) = (listener(), listener(), listener());
     let (_program, _, _x) = start_program(&[&l], followed_by(&feed));
     let mut stream = CoordinatorStream::accept(&feed);
-    assert_eq!(stream.last, "3");
+    assert_eq!(stream.last_event_id, "3");
     stream.send_raw_event(4, "{\"index\":4,\"endpoints\":{\"members\":[{\"id\":7");
     let mut again = CoordinatorStream::accept(&feed);
-    assert_eq!(again.last, "0", "from the first event on");
+    assert_eq!(again.last_event_id, "0", "from the first event on");
     let whole = [
         member("s-1", l.local_addr().unwrap(), 1, "up"),
         member("s-2", added.local_addr().unwrap(), 2, "up"),
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -281,7 +281,7 @@
     // Another exchange comes up at the old address, and is told of by the coordinator.
     let l2 = TcpListener::bind(at).unwrap();
     let mut stream = CoordinatorStream::accept(&feed);
-    assert_eq!(stream.last, "3", "from the last event known");
+    assert_eq!(stream.last_event_id, "3", "from the last event known");
     stream.send_event(&update(4, false, &[member("s-1", at, 1, "removed"), member("s-new", at, 1, "up")]));
     let mut y = wait_until("the new exchange answers a call", || {
         let mut y = accept_reporting(&l2);
@@ -294,7 +294,7 @@
     assert_eq!(c.receive_for(&sid(30))["msg"], "ready");
     // The stream ends, and is taken up again after the last event that came.
     drop(stream);
-    assert_eq!(CoordinatorStream::accept(&feed).last, "4");
+    assert_eq!(CoordinatorStream::accept(&feed).last_event_id, "4");
 }
 
 #[test]
@@ -324,7 +324,7 @@
     let p = Program::start(&[("--config", &path)], &[]);
     let (callers, mut x) = (p.listen_address("callers"), accept_reporting(&l));
     let mut first = CoordinatorStream::accept(&old);
-    assert_eq!(first.last, "3");
+    assert_eq!(first.last_event_id, "3");
     first.send_event(&update(4, false, &[member("up")]));
     let mut c = JsonConnection::connect(callers);
     c.send(open_message(&sid(80), 1, 9000));
@@ -340,7 +340,7 @@
     p.wait_for_log("configuration read anew");
     // The numbering goes on at the new address; what is told twice is taken once.
     let mut second = CoordinatorStream::accept(&new);
-    assert_eq!(second.last, "5");
+    assert_eq!(second.last_event_id, "5");
     second.send_event(&update(5, false, &[member("draining")]));
     second.send_event(&update(6, false, &[self::member("s-3", l3.local_addr().unwrap(), 3, "up")]));
     accept_reporting(&l3);
