--- a/tests/common/json_lines.rs
+++ b/tests/common/json_lines.rs
@@ -87,7 +87,7 @@
         "cell": cell, "phase": phase, "size": 1, "up_since_ms": 0})
 }
 
-pub fn update(index: u64, complete: bool, members: &[Value]) -> Value {
+pub fn list_update(index: u64, complete: bool, members: &[Value]) -> Value {
     json!({"index": index, "endpoints": {"revision": index, "complete": complete, "members": members}})
 }
 
@@ -136,7 +136,7 @@
         .zip(exchanges)
         .map(|(i, l)| member(&format!("s-{i}"), l.local_addr().unwrap(), i, "up"))
         .collect();
-    let mut all = config(json!({"known": {"index": 3, "updates": [update(3, true, &members)]}}));
+    let mut all = config(json!({"known": {"index": 3, "updates": [list_update(3, true, &members)]}}));
     more.as_object().unwrap().iter().for_each(|(k, v)| all[k] = v.clone());
     let program = Program::start(&[("--config", &temp_file("config.json", &all.to_string()))], &[]);
     let callers = program.listen_address("callers");
--- a/tests/coordinator.rs
+++ b/tests/coordinator.rs
@@ -17,7 +17,7 @@
 }
 
 fn another_exchange(index: u64, at: &TcpListener) -> Value {
-    update(index, false, &[member("s-2", at.local_addr().unwrap(), 2, "up")])
+    list_update(index, false, &[member("s-2", at.local_addr().unwrap(), 2, "up")])
 }
 
 fn comes_up(listener: &TcpListener) {
@@ -61,6 +61,6 @@
         member("s-1", l.local_addr().unwrap(), 1, "up"),
         member("s-2", added.local_addr().unwrap(), 2, "up"),
     ];
-    again.send_event(&update(4, true, &whole));
+    again.send_event(&list_update(4, true, &whole));
     comes_up(&added);
 }
--- a/tests/incident_75a3cb.rs
+++ b/tests/incident_75a3cb.rs
@@ -45,7 +45,7 @@
     fn start() -> Site {
         let (host, feed) = (Host::listen(loopback()).unwrap(), listener());
         let known =
-            json!({"index": 3, "updates": [update(3, true, &[member("s-1", host.address(), 1, "up")])]});
+            json!({"index": 3, "updates": [list_update(3, true, &[member("s-1", host.address(), 1, "up")])]});
         let coordinator = feed.local_addr().unwrap().to_string();
         let all = config(json!({"known": known, "coordinator": coordinator}));
         let program =
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -33,7 +33,7 @@
     let (delay, hold) = (Duration::from_millis(1), Duration::from_millis(100));
     let exchange = Exchange::start(None, Traits { circuits: 2_000, delay, hold, seed: 7 }).unwrap();
     let member = member("s-1", exchange.address(), 1, "up");
-    let all = config(json!({"known": {"index": 3, "updates": [update(3, true, &[member])]}}));
+    let all = config(json!({"known": {"index": 3, "updates": [list_update(3, true, &[member])]}}));
     let program = Program::start(&[("--config", &temp_file("config.json", &all.to_string()))], &[]);
     let callers = program.listen_address("callers");
     let mut rounds = Vec::new();
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -282,7 +282,11 @@
     let l2 = TcpListener::bind(at).unwrap();
     let mut stream = CoordinatorStream::accept(&feed);
     assert_eq!(stream.last_event_id, "3", "from the last event known");
-    stream.send_event(&update(4, false, &[member("s-1", at, 1, "removed"), member("s-new", at, 1, "up")]));
+    stream.send_event(&list_update(
+        4,
+        false,
+        &[member("s-1", at, 1, "removed"), member("s-new", at, 1, "up")],
+    ));
     let mut y = wait_until("the new exchange answers a call", || {
         let mut y = accept_reporting(&l2);
         y.stream.set_read_timeout(Some(Duration::from_millis(700))).unwrap();
@@ -303,7 +307,7 @@
     let (_p, callers, mut x) =
         start_program(&[&l], json!({"coordinator": feed.local_addr().unwrap().to_string()}));
     let mut stream = CoordinatorStream::accept(&feed);
-    stream.send_event(&update(4, false, &[member("s-1", l.local_addr().unwrap(), 1, "draining")]));
+    stream.send_event(&list_update(4, false, &[member("s-1", l.local_addr().unwrap(), 1, "draining")]));
     std::thread::sleep(Duration::from_millis(300));
     let mut c = JsonConnection::connect(callers);
     c.send(open_message(&sid(40), 1, 1500));
@@ -317,7 +321,7 @@
     let at = |feed: &TcpListener| feed.local_addr().unwrap().to_string();
     let member = |phase| member("s-1", l.local_addr().unwrap(), 1, phase);
     let told = |feed: &str| {
-        let known = json!({"index": 3, "updates": [update(3, true, &[member("up")])]});
+        let known = json!({"index": 3, "updates": [list_update(3, true, &[member("up")])]});
         config(json!({"coordinator": feed, "known": known})).to_string()
     };
     let path = temp_file("config.json", &told(&at(&old)));
@@ -325,7 +329,7 @@
     let (callers, mut x) = (p.listen_address("callers"), accept_reporting(&l));
     let mut first = CoordinatorStream::accept(&old);
     assert_eq!(first.last_event_id, "3");
-    first.send_event(&update(4, false, &[member("up")]));
+    first.send_event(&list_update(4, false, &[member("up")]));
     let mut c = JsonConnection::connect(callers);
     c.send(open_message(&sid(80), 1, 9000));
     x.receive_for(&sid(80));
@@ -333,7 +337,7 @@
     std::fs::write(&path, told("nowhere")).unwrap();
     p.signal("HUP");
     assert!(p.wait_for_log("warning: configuration kept: ").starts_with("coordinator"));
-    first.send_event(&update(5, false, &[self::member("s-2", l2.local_addr().unwrap(), 2, "up")]));
+    first.send_event(&list_update(5, false, &[self::member("s-2", l2.local_addr().unwrap(), 2, "up")]));
     accept_reporting(&l2);
     std::fs::write(&path, told(&at(&new))).unwrap();
     p.signal("HUP");
@@ -341,8 +345,8 @@
     // The numbering goes on at the new address; what is told twice is taken once.
     let mut second = CoordinatorStream::accept(&new);
     assert_eq!(second.last_event_id, "5");
-    second.send_event(&update(5, false, &[member("draining")]));
-    second.send_event(&update(6, false, &[self::member("s-3", l3.local_addr().unwrap(), 3, "up")]));
+    second.send_event(&list_update(5, false, &[member("draining")]));
+    second.send_event(&list_update(6, false, &[self::member("s-3", l3.local_addr().unwrap(), 3, "up")]));
     accept_reporting(&l3);
     std::thread::sleep(Duration::from_millis(300));
     c.send(open_message(&sid(81), 1, 9000));
