--- a/tests/common/json_lines.rs
+++ b/tests/common/json_lines.rs
@@ -1,4 +1,4 @@
-//! JSON-lines connections, exchanges and a coordinator that a test drives by hand.
+//! JSON-lines connections, exchanges and a coordinator whose messages the test sends one by one.
 #![allow(dead_code)]
 
 use super::{config, temp_file, wait_until, Program, TEST_TIMEOUT};
@@ -8,6 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+/// Session description with non-ASCII, control and escaped characters, which must be forwarded unchanged.
 pub const SESSION_DESCRIPTION: &str =
     "v=0\r\nc=IN IP4 10.4.7.9\r\nm=audio 31000 RTP/AVP 0 8 101\r\na=x:\u{e9}\u{1}\"\\/\r\n";
 
@@ -15,7 +16,7 @@
 pub struct JsonConnection {
     pub stream: TcpStream,
     pub reader: BufReader<TcpStream>,
-    /// While this is there, whoever reports of itself on the stream goes on.
+    /// Periodic status reports on this connection stop when this is dropped.
     pub reporting: Arc<()>,
 }
 
@@ -43,129 +44,144 @@
         self.reader.read_line(&mut line).unwrap();
         serde_json::from_str(&line).unwrap_or_else(|e| panic!("{line:?}: {e}"))
     }
-    /// The next message about this call.
+    /// Returns the next message for this call and discards the messages for others.
     pub fn receive_for(&mut self, sid: &str) -> Value {
         loop {
-            let got = self.receive();
-            if got["sid"] == sid {
-                return got;
+            let message = self.receive();
+            if message["sid"] == sid {
+                return message;
             }
         }
     }
-    pub fn assert_silent_for(&mut self, span: Duration) {
-        self.stream.set_read_timeout(Some(span)).unwrap();
+    /// Asserts that no message arrives within `duration`.
+    pub fn assert_silent_for(&mut self, duration: Duration) {
+        self.stream.set_read_timeout(Some(duration)).unwrap();
         let mut byte = [0];
-        let got = self.reader.read(&mut byte);
-        assert!(got.is_err(), "{got:?} {byte:?} where nothing was due");
+        let result = self.reader.read(&mut byte);
+        assert!(result.is_err(), "expected no message, got {result:?} {byte:?}");
         self.stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     }
-    /// Waits for the connection's end, with nothing more said before it.
+    /// Whether the peer closes or resets the connection without sending anything more.
     pub fn closes_silently(&mut self) -> bool {
         let mut rest = Vec::new();
-        let end = self.reader.read_to_end(&mut rest);
-        let over = end.is_ok() || end.is_err_and(|e| e.kind() == std::io::ErrorKind::ConnectionReset);
-        over && rest.is_empty()
+        let result = self.reader.read_to_end(&mut rest);
+        let closed = result.is_ok() || result.is_err_and(|e| e.kind() == std::io::ErrorKind::ConnectionReset);
+        closed && rest.is_empty()
     }
 }
 
-pub fn open_message(sid: &str, to: u16, left: u32) -> Value {
-    let extras = format!("dest:{to};width:1;via:-1");
+/// Set-up of a call to an exchange, with the client's remaining time (ms).
+pub fn open_message(sid: &str, destination: u16, remaining_ms: u32) -> Value {
+    let extras = format!("dest:{destination};width:1;via:-1");
     json!({"msg": "open", "sid": sid, "text": SESSION_DESCRIPTION, "attrs": {"class": "status-report",
-        "left": left.to_string(), "key": "7f3a9c21e0b4d655", "extras": extras}})
+        "left": remaining_ms.to_string(), "key": "7f3a9c21e0b4d655", "extras": extras}})
 }
 
+/// Release or refusal of a call.
 pub fn close_message(sid: &str, code: u16) -> Value {
     json!({"msg": "close", "sid": sid, "attrs": {}, "code": code})
 }
 
-pub fn sid(n: u32) -> String {
-    format!("{n:016x}")
+/// The identifier of call `number` on the wire.
+pub fn sid(number: u32) -> String {
+    format!("{number:016x}")
 }
 
-pub fn member(id: &str, at: SocketAddr, cell: u16, phase: &str) -> Value {
-    json!({"id": id, "host_port": at.to_string(), "locality": "dakar-plateau", "flavor": "single-core",
+/// An exchange in the coordinator's list.
+pub fn member(id: &str, address: SocketAddr, cell: u16, phase: &str) -> Value {
+    json!({"id": id, "host_port": address.to_string(), "locality": "dakar-plateau", "flavor": "single-core",
         "cell": cell, "phase": phase, "size": 1, "up_since_ms": 0})
 }
 
+/// An update of the coordinator's list: the whole list if `complete`, else its changes.
 pub fn list_update(index: u64, complete: bool, members: &[Value]) -> Value {
     json!({"index": index, "endpoints": {"revision": index, "complete": complete, "members": members}})
 }
 
+/// A listener on a free loopback port.
 pub fn listener() -> TcpListener {
     TcpListener::bind("127.0.0.1:0").unwrap()
 }
 
+/// An exchange's status report: 20 of 20 circuits are free.
 pub const STATUS_MESSAGE: &str =
     "{\"msg\":\"status\",\"sid\":\"\",\"attrs\":{\"load\":\"x0:20;x1:20;latency_ms:-1;qps:-1\"}}\n";
 
-/// An exchange that takes one connection and tells of its group, as exchanges do first of all, and no more.
+/// Accepts a connection as an exchange that sends the initial status report and no other.
 pub fn accept_reporting_once(listener: &TcpListener) -> JsonConnection {
-    let mut line = JsonConnection::new(listener.accept().unwrap().0);
-    line.send_bytes(STATUS_MESSAGE.as_bytes());
-    line
+    let mut connection = JsonConnection::new(listener.accept().unwrap().0);
+    connection.send_bytes(STATUS_MESSAGE.as_bytes());
+    connection
 }
 
-/// One that goes on to tell of its group, as exchanges with calls do.
+/// Accepts a connection as an exchange that sends status reports periodically, as exchanges with calls do.
 pub fn accept_reporting(listener: &TcpListener) -> JsonConnection {
-    let line = accept_reporting_once(listener);
-    report_periodically(&line);
-    line
+    let connection = accept_reporting_once(listener);
+    report_periodically(&connection);
+    connection
 }
 
-/// Tells of the group on this connection for as long as it is there.
-pub fn report_periodically(line: &JsonConnection) {
-    let (here, mut stream) = (Arc::downgrade(&line.reporting), line.stream.try_clone().unwrap());
+/// Sends status reports on the connection until it fails or its `reporting` is dropped.
+pub fn report_periodically(connection: &JsonConnection) {
+    let (reporting, mut stream) =
+        (Arc::downgrade(&connection.reporting), connection.stream.try_clone().unwrap());
     std::thread::spawn(move || {
-        while here.strong_count() > 0 && stream.write_all(STATUS_MESSAGE.as_bytes()).is_ok() {
+        while reporting.strong_count() > 0 && stream.write_all(STATUS_MESSAGE.as_bytes()).is_ok() {
             std::thread::sleep(Duration::from_millis(100));
         }
     });
 }
 
-/// The program with these exchanges known, each connected.
-pub fn start_program(exchanges: &[&TcpListener], more: Value) -> (Program, SocketAddr, Vec<JsonConnection>) {
-    start_program_with(accept_reporting, exchanges, more)
+/// Starts the program with these exchanges in its list, numbered from 1, and waits until each has reported.
+/// Returns the program, its address for callers and the exchanges' ends of the connections.
+pub fn start_program(
+    exchanges: &[&TcpListener],
+    overrides: Value,
+) -> (Program, SocketAddr, Vec<JsonConnection>) {
+    start_program_with(accept_reporting, exchanges, overrides)
 }
 
+/// [`start_program`] with a function of its own that accepts the exchanges' connections.
 pub fn start_program_with(
     accept: fn(&TcpListener) -> JsonConnection,
     exchanges: &[&TcpListener],
-    more: Value,
+    overrides: Value,
 ) -> (Program, SocketAddr, Vec<JsonConnection>) {
     let members: Vec<Value> = (1..)
         .zip(exchanges)
-        .map(|(i, l)| member(&format!("s-{i}"), l.local_addr().unwrap(), i, "up"))
+        .map(|(i, listener)| member(&format!("s-{i}"), listener.local_addr().unwrap(), i, "up"))
         .collect();
-    let mut all = config(json!({"known": {"index": 3, "updates": [list_update(3, true, &members)]}}));
-    more.as_object().unwrap().iter().for_each(|(k, v)| all[k] = v.clone());
-    let program = Program::start(&[("--config", &temp_file("config.json", &all.to_string()))], &[]);
+    let mut config = config(json!({"known": {"index": 3, "updates": [list_update(3, true, &members)]}}));
+    overrides.as_object().unwrap().iter().for_each(|(key, value)| config[key] = value.clone());
+    let program = Program::start(&[("--config", &temp_file("config.json", &config.to_string()))], &[]);
     let callers = program.listen_address("callers");
-    let lines = exchanges.iter().copied().map(accept).collect();
-    let mut test = JsonConnection::connect(callers);
-    // The test passes once every exchange has been heard of.
-    wait_until("the test passes", || {
-        test.send(json!({"msg": "probe", "sid": sid(1), "attrs": {}, "code": 0}));
-        (test.receive_for(&sid(1))["code"] == 1).then_some(())
+    let connections = exchanges.iter().copied().map(accept).collect();
+    let mut prober = JsonConnection::connect(callers);
+    // A probe succeeds once every exchange has reported.
+    wait_until("a probe succeeds", || {
+        prober.send(json!({"msg": "probe", "sid": sid(1), "attrs": {}, "code": 0}));
+        (prober.receive_for(&sid(1))["code"] == 1).then_some(())
     });
-    (program, callers, lines)
+    (program, callers, connections)
 }
 
-/// One connection of the coordinator's stream.
+/// The coordinator's end of an event stream connection.
 pub struct CoordinatorStream {
     pub stream: TcpStream,
     pub last_event_id: String,
 }
 
 impl CoordinatorStream {
-    pub fn accept(feed: &TcpListener) -> CoordinatorStream {
-        let mut asked = CoordinatorStream::accept_unanswered(feed);
-        asked.send_response_head();
-        asked
+    /// Accepts a request for the event stream and starts the response.
+    pub fn accept(listener: &TcpListener) -> CoordinatorStream {
+        let mut stream = CoordinatorStream::accept_unanswered(listener);
+        stream.send_response_head();
+        stream
     }
 
-    /// One that was asked for the stream and has not answered.
-    pub fn accept_unanswered(feed: &TcpListener) -> CoordinatorStream {
-        let stream = feed.accept().unwrap().0;
+    /// Accepts a request for the event stream and sends no response yet.
+    pub fn accept_unanswered(listener: &TcpListener) -> CoordinatorStream {
+        let stream = listener.accept().unwrap().0;
         let mut lines = BufReader::new(stream.try_clone().unwrap()).lines().map_while(Result::ok);
         assert_eq!(lines.next().unwrap(), "GET /v2/stream HTTP/1.1");
         let head: Vec<String> = lines.take_while(|l| !l.is_empty()).collect();
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the socket tests share: the program as a process, with its configuration.
+//! Helpers for tests that run the program as a process: start, configuration, log and termination.
 #![allow(dead_code)]
 
 pub mod json_lines;
@@ -12,12 +12,12 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// How long a test waits for what must come; far longer than it takes.
+/// Maximum time to wait for an expected event; far longer than any of them takes.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-static FILES: AtomicU32 = AtomicU32::new(0);
+static FILE_COUNT: AtomicU32 = AtomicU32::new(0);
 
-/// The settings of a small site.
+/// Routing settings of a small site.
 pub fn settings() -> Value {
     json!({
         "classes": [{"name": "status-report", "aim": 1200.0, "giveUp": 9000.0, "effect": "retryable"}],
@@ -29,37 +29,38 @@
     })
 }
 
-/// A whole configuration; fields of `more` come on top.
-pub fn config(more: Value) -> Value {
-    let mut all = json!({
+/// Complete configuration; the top-level keys of `overrides` replace the defaults.
+pub fn config(overrides: Value) -> Value {
+    let mut config = json!({
         "name": "t", "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964",
         "limits": {"sockets": 1024}, "settings": settings()
     });
-    for (key, value) in more.as_object().unwrap() {
-        all[key] = value.clone();
+    for (key, value) in overrides.as_object().unwrap() {
+        config[key] = value.clone();
     }
-    all
+    config
 }
 
-/// A file of this test run's own.
+/// Creates a file whose name is unique within this test run.
 pub fn temp_file(name: &str, text: &str) -> PathBuf {
-    let n = FILES.fetch_add(1, Ordering::Relaxed);
-    let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-{n}-{name}", std::process::id()));
+    let number = FILE_COUNT.fetch_add(1, Ordering::Relaxed);
+    let path =
+        PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-{number}-{name}", std::process::id()));
     std::fs::write(&path, text).unwrap();
     path
 }
 
-/// The program, ended when the test ends.
+/// The running program; killed on drop.
 pub struct Program {
     pub child: Child,
-    said: Arc<Mutex<Vec<String>>>,
+    log_lines: Arc<Mutex<Vec<String>>>,
 }
 
 impl Drop for Program {
     fn drop(&mut self) {
         if std::thread::panicking() {
-            // What a failed test's program said is the first thing that its cause is looked for in.
-            self.said.lock().unwrap().iter().for_each(|line| println!("{line}"));
+            // Show the program's log together with the failed assertion.
+            self.log_lines.lock().unwrap().iter().for_each(|line| println!("{line}"));
         }
         drop(self.child.kill());
         drop(self.child.wait());
@@ -67,53 +68,57 @@
 }
 
 impl Program {
-    /// Starts it with these files, by argument: `[("--config", path), ...]`.
+    /// Starts the program with an argument for each file, such as `("--config", path)`, and further flags.
     pub fn start(files: &[(&str, &PathBuf)], flags: &[&str]) -> Program {
         let mut command = Command::new(env!("CARGO_BIN_EXE_walnuthatch"));
         for (flag, path) in files {
             command.arg(flag).arg(path);
         }
-        let piped = command.args(flags).stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::piped());
-        let mut child = piped.spawn().unwrap();
-        let said = Arc::new(Mutex::new(Vec::new()));
-        let (lines, words) = (BufReader::new(child.stderr.take().unwrap()).lines(), said.clone());
-        std::thread::spawn(move || lines.map_while(Result::ok).for_each(|l| words.lock().unwrap().push(l)));
-        Program { child, said }
+        command.args(flags).stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::piped());
+        let mut child = command.spawn().unwrap();
+        let log_lines = Arc::new(Mutex::new(Vec::new()));
+        let (stderr, log) = (BufReader::new(child.stderr.take().unwrap()), log_lines.clone());
+        std::thread::spawn(move || {
+            stderr.lines().map_while(Result::ok).for_each(|line| log.lock().unwrap().push(line));
+        });
+        Program { child, log_lines }
     }
 
-    /// What follows `head` in the first such line of the log.
-    pub fn wait_for_log(&self, head: &str) -> String {
-        wait_until(&format!("the program says {head:?}"), || {
-            let said = self.said.lock().unwrap();
-            said.iter().find_map(|l| l.strip_prefix("walnuthatch: ")?.strip_prefix(head).map(str::to_owned))
+    /// Waits for a log line that starts with `prefix` and returns the rest of the first such line.
+    pub fn wait_for_log(&self, prefix: &str) -> String {
+        wait_until(&format!("the program logs a line that starts with {prefix:?}"), || {
+            let lines = self.log_lines.lock().unwrap();
+            lines
+                .iter()
+                .find_map(|l| l.strip_prefix("walnuthatch: ")?.strip_prefix(prefix).map(str::to_owned))
         })
     }
 
-    /// Where it listens for what.
-    pub fn listen_address(&self, what: &str) -> SocketAddr {
-        self.wait_for_log(&format!("{what} at ")).parse().unwrap()
+    /// Waits until the program has logged its listen address for `service`, such as `callers`.
+    pub fn listen_address(&self, service: &str) -> SocketAddr {
+        self.wait_for_log(&format!("{service} at ")).parse().unwrap()
     }
 
-    /// Sends it a signal, by its own process id.
+    /// Sends a signal to the process, by its name without `SIG`.
     pub fn signal(&self, name: &str) {
-        let done = Command::new("kill").args(["-s", name, &self.child.id().to_string()]).status().unwrap();
-        assert!(done.success());
+        let status = Command::new("kill").args(["-s", name, &self.child.id().to_string()]).status().unwrap();
+        assert!(status.success());
     }
 
-    /// Waits for its end.
+    /// Waits until the process has exited.
     pub fn wait_for_exit(&mut self) -> ExitStatus {
-        wait_until("the program ends", || self.child.try_wait().unwrap())
+        wait_until("the program exits", || self.child.try_wait().unwrap())
     }
 }
 
-/// Tries until there is something.
-pub fn wait_until<T>(what: &str, mut get: impl FnMut() -> Option<T>) -> T {
-    let end = Instant::now() + TEST_TIMEOUT;
+/// Polls until `poll` returns a value; panics with the name of the condition after [`TEST_TIMEOUT`].
+pub fn wait_until<T>(condition: &str, mut poll: impl FnMut() -> Option<T>) -> T {
+    let deadline = Instant::now() + TEST_TIMEOUT;
     loop {
-        if let Some(t) = get() {
-            return t;
+        if let Some(value) = poll() {
+            return value;
         }
-        assert!(Instant::now() < end, "waited in vain: {what}");
+        assert!(Instant::now() < deadline, "timed out waiting until {condition}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
