--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -1,4 +1,4 @@
-//! The console and the exporter, on the program as a process: with a stand-in collector of its own.
+//! The console and the telemetry exporter of the program as a process, with a stand-in collector.
 
 mod common;
 
@@ -15,25 +15,25 @@
 
 fn start(telemetry: Option<SocketAddr>, flags: &[&str]) -> Program {
     let config = temp_file("config.json", &config(json!({})).to_string());
-    let text = telemetry.map_or("enabled = false\n".to_owned(), |at| {
-        format!("enabled = true\nendpoint = \"http://{at}\"\ninterval_ms = 100\nspans = true\n")
+    let text = telemetry.map_or("enabled = false\n".to_owned(), |collector| {
+        format!("enabled = true\nendpoint = \"http://{collector}\"\ninterval_ms = 100\nspans = true\n")
     });
     Program::start(&[("--config", &config), ("--telemetry", &temp_file("telemetry.toml", &text))], flags)
 }
 
-/// A call to nowhere: it is refused, and the answer shows that calls are served.
-fn call(callers: SocketAddr, n: u32) {
+/// Sends a call to an unknown exchange and waits for the refusal, which shows that the program serves calls.
+fn send_refused_call(callers: SocketAddr, number: u32) {
     let mut stream = TcpStream::connect(callers).unwrap();
     stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     let attrs = json!({"class": "status-report", "left": "3000", "extras": "dest:5;width:1"});
-    writeln!(stream, "{}", json!({"msg": "open", "sid": format!("{n:016x}"), "attrs": attrs})).unwrap();
+    writeln!(stream, "{}", json!({"msg": "open", "sid": format!("{number:016x}"), "attrs": attrs})).unwrap();
     let mut line = String::new();
     BufReader::new(stream).read_line(&mut line).unwrap();
     assert!(line.contains("\"close\""), "{line}");
 }
 
-/// Takes one export: its path and body.
-fn take(collector: &TcpListener) -> (TcpStream, String, Vec<u8>) {
+/// Receives one export request: its connection, path and body.
+fn receive_export(collector: &TcpListener) -> (TcpStream, String, Vec<u8>) {
     let stream = collector.accept().unwrap().0;
     let mut reader = BufReader::new(stream.try_clone().unwrap());
     let mut line = String::new();
@@ -43,8 +43,8 @@
     while line.trim() != "" {
         line.clear();
         reader.read_line(&mut line).unwrap();
-        if let Some(n) = line.to_ascii_lowercase().strip_prefix("content-length: ") {
-            length = n.trim().parse().unwrap();
+        if let Some(value) = line.to_ascii_lowercase().strip_prefix("content-length: ") {
+            length = value.trim().parse().unwrap();
         }
     }
     let mut body = vec![0; length];
@@ -52,114 +52,121 @@
     (stream, path, body)
 }
 
-fn answer(mut stream: TcpStream, status: &str, body: &[u8]) {
+fn respond(mut stream: TcpStream, status: &str, body: &[u8]) {
     write!(stream, "HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n", body.len()).unwrap();
     stream.write_all(body).unwrap();
 }
 
+/// Every command must get its answer from the running program, an unknown one must be reported, and `quit` must stop
+/// the program.
 #[test]
 fn the_console_answers_each_command_and_quits() {
-    let mut p = start(None, &["--console"]);
-    let callers = p.listen_address("callers");
-    call(callers, 1);
-    let mut input = p.child.stdin.take().unwrap();
-    let mut output = BufReader::new(p.child.stdout.take().unwrap());
-    let mut ask = |command: &str, want: &str| {
+    let mut program = start(None, &["--console"]);
+    let callers = program.listen_address("callers");
+    send_refused_call(callers, 1);
+    let mut input = program.child.stdin.take().unwrap();
+    let mut output = BufReader::new(program.child.stdout.take().unwrap());
+    let mut run = |command: &str, expected: &str| {
         writeln!(input, "{command}").unwrap();
         let mut line = String::new();
-        while !line.contains(want) {
+        while !line.contains(expected) {
             line.clear();
-            assert!(output.read_line(&mut line).unwrap() > 0, "{command}: no {want}");
+            assert!(output.read_line(&mut line).unwrap() > 0, "{command}: no {expected}");
         }
     };
-    ask("help", "quit");
-    ask("status", "state serving");
-    ask("status", "calls.open 0");
-    ask("counters", "calls.refused");
-    ask("config", "gateways off");
-    ask("bogus", "no command");
-    ask("drain", "fail from now on");
-    ask("status", "state draining");
-    ask("drain off", "pass again");
-    ask("quit", "stopping");
-    assert!(p.wait_for_exit().success());
+    run("help", "quit");
+    run("status", "state serving");
+    run("status", "calls.open 0");
+    run("counters", "calls.refused");
+    run("config", "gateways off");
+    run("bogus", "no command");
+    run("drain", "fail from now on");
+    run("status", "state draining");
+    run("drain off", "pass again");
+    run("quit", "stopping");
+    assert!(program.wait_for_exit().success());
 }
 
+/// A supervisor may close standard input. The console's end must not end the program or its handling of signals.
 #[test]
-fn a_closed_standard_input_harms_nothing() {
-    let mut p = start(None, &["--console"]);
-    drop(p.child.stdin.take());
-    let callers = p.listen_address("callers");
-    call(callers, 1);
-    p.signal("USR1");
-    assert!(p.wait_for_log("calls.offered=1").contains("calls.refused=1"));
-    p.signal("TERM");
-    assert!(p.wait_for_exit().success());
+fn a_closed_standard_input_does_not_stop_the_program() {
+    let mut program = start(None, &["--console"]);
+    drop(program.child.stdin.take());
+    let callers = program.listen_address("callers");
+    send_refused_call(callers, 1);
+    program.signal("USR1");
+    assert!(program.wait_for_log("calls.offered=1").contains("calls.refused=1"));
+    program.signal("TERM");
+    assert!(program.wait_for_exit().success());
 }
 
+/// Retries before the time that an overloaded collector asks for would keep it overloaded, and items that it has
+/// rejected would be rejected for ever.
 #[test]
-fn exports_wait_as_they_are_told_and_rejected_items_are_not_sent_again() {
+fn exports_observe_retry_after_and_do_not_resend_rejected_items() {
     let collector = TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut p = start(Some(collector.local_addr().unwrap()), &[]);
-    let callers = p.listen_address("callers");
-    call(callers, 1);
-    // Turned away twice, each time with a second to wait.
-    let mut last = None::<Instant>;
+    let mut program = start(Some(collector.local_addr().unwrap()), &[]);
+    let callers = program.listen_address("callers");
+    send_refused_call(callers, 1);
+    // Refused twice, each time with a second to wait before the retry.
+    let mut refused_at = None::<Instant>;
     for status in ["503 Busy\r\nRetry-After: 1", "429 Too Many\r\nRetry-After: 1"] {
-        let (stream, path, _) = take(&collector);
+        let (stream, path, _) = receive_export(&collector);
         assert_eq!(path, "/v1/metrics");
-        assert!(last.is_none_or(|t| t.elapsed() >= Duration::from_secs(1)));
-        last = Some(Instant::now());
-        answer(stream, status, b"");
+        assert!(refused_at.is_none_or(|at| at.elapsed() >= Duration::from_secs(1)));
+        refused_at = Some(Instant::now());
+        respond(stream, status, b"");
     }
-    let (stream, _, body) = take(&collector);
-    assert!(last.is_some_and(|t| t.elapsed() >= Duration::from_secs(1)));
-    let read = ExportMetricsServiceRequest::decode(&body[..]).unwrap();
-    let metrics = &read.resource_metrics[0].scope_metrics[0].metrics;
-    assert!(metrics.iter().any(|m| m.name == "walnuthatch.calls.refused"));
+    let (stream, _, body) = receive_export(&collector);
+    assert!(refused_at.is_some_and(|at| at.elapsed() >= Duration::from_secs(1)));
+    let request = ExportMetricsServiceRequest::decode(&body[..]).unwrap();
+    let metrics = &request.resource_metrics[0].scope_metrics[0].metrics;
+    assert!(metrics.iter().any(|metric| metric.name == "walnuthatch.calls.refused"));
     let partial = ExportMetricsPartialSuccess { rejected_data_points: 2, ..Default::default() };
-    answer(
+    respond(
         stream,
         "200 OK",
         &ExportMetricsServiceResponse { partial_success: Some(partial) }.encode_to_vec(),
     );
-    // The call's span comes too.
-    wait_until("the span of the call", || {
-        let (stream, path, body) = take(&collector);
-        answer(stream, "200 OK", b"");
+    // The call's span is exported too.
+    wait_until("the span of the call is exported", || {
+        let (stream, path, body) = receive_export(&collector);
+        respond(stream, "200 OK", b"");
         let spans = || ExportTraceServiceRequest::decode(&body[..]).unwrap();
         (path == "/v1/traces" && spans().resource_spans[0].scope_spans[0].spans.len() == 1).then_some(())
     });
-    p.signal("TERM");
-    assert!(p.wait_for_exit().success());
-    let counters = p.wait_for_log("t: ");
+    program.signal("TERM");
+    assert!(program.wait_for_exit().success());
+    let counters = program.wait_for_log("t: ");
     assert!(counters.contains("otlp.rejected=2") && counters.contains("otlp.again=2"), "{counters}");
 }
 
+/// An exporter that blocks on its collector must not block calls or the exit of the program.
 #[test]
-fn a_collector_that_is_dead_or_silent_never_touches_calls() {
-    // One that accepts and says nothing, and one that is not there.
-    let silent = TcpListener::bind("127.0.0.1:0").unwrap();
-    let gone = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    for at in [silent.local_addr().unwrap(), gone] {
-        let mut p = start(Some(at), &[]);
-        let callers = p.listen_address("callers");
+fn an_unresponsive_or_absent_collector_does_not_affect_calls() {
+    // One collector accepts connections and never responds; nobody listens at the address of the other.
+    let unresponsive = TcpListener::bind("127.0.0.1:0").unwrap();
+    let absent = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    for collector in [unresponsive.local_addr().unwrap(), absent] {
+        let mut program = start(Some(collector), &[]);
+        let callers = program.listen_address("callers");
         for n in 1..40 {
-            call(callers, n);
+            send_refused_call(callers, n);
         }
         std::thread::sleep(Duration::from_millis(300));
-        call(callers, 40);
-        p.signal("TERM");
-        assert!(p.wait_for_exit().success());
-        assert!(p.wait_for_log("t: ").contains("calls.refused=40"));
+        send_refused_call(callers, 40);
+        program.signal("TERM");
+        assert!(program.wait_for_exit().success());
+        assert!(program.wait_for_log("t: ").contains("calls.refused=40"));
     }
 }
 
+/// An installation from the files in `deploy` must not open a service that nobody has asked for.
 #[test]
-fn the_programs_own_deploy_files_are_good_and_leave_everything_off() {
+fn the_shipped_configuration_is_valid_and_leaves_optional_services_disabled() {
     let config = temp_file("config.json", &config(json!({})).to_string());
-    let mut p = Program::start(&[("--config", &config)], &["--check"]);
-    assert!(p.wait_for_exit().success());
+    let mut program = Program::start(&[("--config", &config)], &["--check"]);
+    assert!(program.wait_for_exit().success());
     for name in ["mgcp", "telemetry", "appliance", "gossip"] {
         let text = std::fs::read_to_string(format!("deploy/{name}.toml")).unwrap();
         assert!(text.lines().any(|l| l == "enabled = false"));
