--- a/tests/appliance.rs
+++ b/tests/appliance.rs
@@ -66,9 +66,7 @@
         let callers = program.listen_address("callers");
         program.wait_for_log("control socket at ");
         let mut operator = self.operator();
-        wait_until("the program has finished its cold start", || {
-            (status(&mut operator).state != "starting").then_some(())
-        });
+        wait_until("the program has started", || (status(&mut operator).state != "starting").then_some(()));
         wait_until("all exchanges are connected and have reported", || {
             let Body::Exchanges { exchanges } = show(&mut operator, Topic::Exchanges) else { panic!() };
             exchanges.iter().all(|e| e.connected && e.free.is_some()).then_some(())
