--- a/tests/gateways.rs
+++ b/tests/gateways.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{config, file, Program, WAIT};
+use common::{config, temp_file, Program, TEST_TIMEOUT};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream, UdpSocket};
 use std::time::{Duration, Instant};
@@ -81,8 +81,9 @@
     /// The next command with this verb; RQNT and DLCX before it are answered with success.
     fn command(&mut self, verb: &str) -> ReceivedCommand {
         loop {
-            let command =
-                self.try_command(WAIT).unwrap_or_else(|| panic!("no {verb}; received {:#?}", self.received));
+            let command = self
+                .try_command(TEST_TIMEOUT)
+                .unwrap_or_else(|| panic!("no {verb}; received {:#?}", self.received));
             if command.verb == verb {
                 return command;
             }
@@ -111,7 +112,7 @@
 
     /// Sends a datagram, repeatedly, until a response arrives.
     fn send_until_answered(&mut self, text: &str) -> String {
-        let deadline = Instant::now() + WAIT;
+        let deadline = Instant::now() + TEST_TIMEOUT;
         self.send(text);
         let mut sent_at = Instant::now();
         while Instant::now() < deadline {
@@ -197,9 +198,9 @@
             names.join(",")
         );
     }
-    let config = file("config.json", &config(serde_json::json!({})).to_string());
-    let program = Program::start(&[("--config", &config), ("--mgcp", &file("mgcp.toml", &mgcp))], &[]);
-    let (callers, agent) = (program.at("callers"), program.at("gateways"));
+    let config = temp_file("config.json", &config(serde_json::json!({})).to_string());
+    let program = Program::start(&[("--config", &config), ("--mgcp", &temp_file("mgcp.toml", &mgcp))], &[]);
+    let (callers, agent) = (program.listen_address("callers"), program.listen_address("gateways"));
     Running { _program: program, agent, callers }
 }
 
@@ -345,7 +346,7 @@
     a.dial("lamp/1", "2001");
     let crcx = b.command("CRCX");
     // The command counts as lost, and an identical one follows.
-    let deadline = Instant::now() + WAIT;
+    let deadline = Instant::now() + TEST_TIMEOUT;
     let retransmitted = std::iter::from_fn(|| (Instant::now() < deadline).then(|| b.poll())).flatten().next();
     assert_eq!(retransmitted.as_deref(), Some(crcx.text.as_str()));
     let text = format!("200 {} OK\r\nK:\r\nI: bb1\r\n\r\n{SDP_B}", crcx.transaction);
@@ -386,7 +387,7 @@
 fn a_caller_on_a_tcp_connection_reaches_a_gateway() {
     let (program, _a, mut b) = gateway_pair(1, "connection", 15_000);
     let mut stream = TcpStream::connect(program.callers).unwrap();
-    stream.set_read_timeout(Some(WAIT)).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     let sid = "9b1f03aa5c7e2d41";
     let open = serde_json::json!({"msg": "open", "sid": sid, "text": SDP_A, "attrs":
         {"class": "status-report", "left": "9000", "key": "7f3a9c21e0b4d655", "extras": "dest:2;width:1;via:-1"}});
--- a/tests/incident_75a3cb.rs
+++ b/tests/incident_75a3cb.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use common::lines::*;
-use common::{config, file, until, Program};
+use common::json_lines::*;
+use common::{config, temp_file, wait_until, Program};
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 use std::io::{BufRead, Write};
@@ -24,10 +24,10 @@
 struct Site {
     _program: Program,
     host: Host,
-    exchange: Line,
-    caller: Line,
+    exchange: JsonConnection,
+    caller: JsonConnection,
     /// The coordinator's stream and its listener while it is up.
-    coordinator: Option<(Coordinator, TcpListener)>,
+    coordinator: Option<(CoordinatorStream, TcpListener)>,
 }
 
 fn loopback() -> SocketAddr {
@@ -35,9 +35,9 @@
 }
 
 /// Accepts a connection at an exchange that reports its trunk group until the connection is dropped.
-fn accept_reporting(host: &Host) -> Line {
-    let line = Line::on(host.accept(common::WAIT).unwrap());
-    keep_talking(&line);
+fn accept_reporting(host: &Host) -> JsonConnection {
+    let line = JsonConnection::new(host.accept(common::TEST_TIMEOUT).unwrap());
+    report_periodically(&line);
     line
 }
 
@@ -45,19 +45,19 @@
     fn start() -> Site {
         let (host, coordinator_listener) = (Host::listen(loopback()).unwrap(), listener());
         let known =
-            json!({"index": 3, "updates": [update(3, true, &[member("s-1", host.address(), 1, "up")])]});
+            json!({"index": 3, "updates": [list_update(3, true, &[member("s-1", host.address(), 1, "up")])]});
         let coordinator = coordinator_listener.local_addr().unwrap().to_string();
         let config_json = config(json!({"known": known, "coordinator": coordinator}));
         let program = Program::start(
-            &[("--config", &file("config.json", &config_json.to_string()))],
+            &[("--config", &temp_file("config.json", &config_json.to_string()))],
             &["--log", "debug"],
         );
         let exchange = accept_reporting(&host);
-        let coordinator = Coordinator::accept(&coordinator_listener);
-        let mut caller = Line::to(program.at("callers"));
-        until("the controller is ready", || {
-            caller.say(json!({"msg": "probe", "sid": sid(1), "attrs": {}, "code": 0}));
-            (caller.about(&sid(1))["code"] == 1).then_some(())
+        let coordinator = CoordinatorStream::accept(&coordinator_listener);
+        let mut caller = JsonConnection::connect(program.listen_address("callers"));
+        wait_until("the controller is ready", || {
+            caller.send(json!({"msg": "probe", "sid": sid(1), "attrs": {}, "code": 0}));
+            (caller.receive_for(&sid(1))["code"] == 1).then_some(())
         });
         Site {
             _program: program,
@@ -69,22 +69,22 @@
     }
 
     fn establish_call(&mut self, name: &str) {
-        self.caller.say(open(name, 1, 9000));
-        self.exchange.about(name);
-        self.exchange.say(json!({"msg": "ready", "sid": name, "attrs": {}, "text": TEXT}));
-        assert_eq!(self.caller.about(name)["msg"], "ready");
+        self.caller.send(open_message(name, 1, 9000));
+        self.exchange.receive_for(name);
+        self.exchange.send(json!({"msg": "ready", "sid": name, "attrs": {}, "text": SESSION_DESCRIPTION}));
+        assert_eq!(self.caller.receive_for(name)["msg"], "ready");
     }
 
     /// Makes the host unreachable: open connections fall silent and new ones are never established.
     fn vanish(&mut self) -> Instant {
         self.host.vanish().unwrap();
-        self.exchange.here = Arc::new(());
+        self.exchange.reporting = Arc::new(());
         Instant::now()
     }
 }
 
 /// Asserts that the caller receives the release of an established call in time.
-fn assert_released_in_time(caller: &mut Line, name: &str, ended_at: Instant) {
+fn assert_released_in_time(caller: &mut JsonConnection, name: &str, ended_at: Instant) {
     caller.stream.set_read_timeout(Some(RELEASE_LIMIT + Duration::from_secs(1))).unwrap();
     let mut release = String::new();
     let result = caller.reader.read_line(&mut release);
@@ -118,9 +118,9 @@
 
 /// Sends a request every 4 ms on an open connection until shortly before `until`. Returns the identifiers of the
 /// requests that are unanswered at `until`.
-fn send_requests_until(caller: Line, until: Instant) -> BTreeSet<String> {
+fn send_requests_until(caller: JsonConnection, until: Instant) -> BTreeSet<String> {
     let open_requests = Arc::new(Mutex::new(BTreeSet::new()));
-    let Line { mut stream, reader, .. } = caller;
+    let JsonConnection { mut stream, reader, .. } = caller;
     let requests_of_reader = open_requests.clone();
     let reader_thread = thread::spawn(move || {
         for line in reader.lines().map_while(Result::ok) {
@@ -133,7 +133,7 @@
     while Instant::now() < until - READ_GRACE {
         number += 1;
         open_requests.lock().unwrap().insert(sid(number));
-        writeln!(stream, "{}", open(&sid(number), 1, 2_032)).unwrap();
+        writeln!(stream, "{}", open_message(&sid(number), 1, 2_032)).unwrap();
         thread::sleep(Duration::from_millis(4));
     }
     thread::sleep(until.saturating_duration_since(Instant::now()));
@@ -146,16 +146,16 @@
 #[test]
 fn a_stop_without_open_calls_completes_although_clients_keep_reconnecting() {
     let exchange_listener = listener();
-    let (mut program, callers, _exchanges) = start(&[&exchange_listener], json!({}));
-    let mut connections: Vec<Line> = (0..5).map(|_| Line::to(callers)).collect();
+    let (mut program, callers, _exchanges) = start_program(&[&exchange_listener], json!({}));
+    let mut connections: Vec<JsonConnection> = (0..5).map(|_| JsonConnection::connect(callers)).collect();
     program.signal("TERM");
     let signalled_at = Instant::now();
-    let status = until("the program ends", || {
+    let status = wait_until("the program ends", || {
         for line in &mut connections {
             line.stream.set_read_timeout(Some(Duration::from_millis(2))).unwrap();
-            if line.ended() {
+            if line.closes_silently() {
                 if let Ok(stream) = std::net::TcpStream::connect(callers) {
-                    *line = Line::on(stream);
+                    *line = JsonConnection::new(stream);
                 }
             }
         }
@@ -168,13 +168,13 @@
 #[test]
 fn requests_sent_until_sigkill_are_answered_while_the_exchange_hangs() {
     let exchange_listener = listener();
-    let (mut program, callers, mut exchanges) = start(&[&exchange_listener], json!({}));
+    let (mut program, callers, mut exchanges) = start_program(&[&exchange_listener], json!({}));
     // An established call keeps the connection in use.
-    let mut caller = Line::to(callers);
-    caller.say(open(&sid(50), 1, 9_000));
-    exchanges[0].about(&sid(50));
-    exchanges[0].say(json!({"msg": "ready", "sid": sid(50), "attrs": {}, "text": TEXT}));
-    assert_eq!(caller.about(&sid(50))["msg"], "ready");
+    let mut caller = JsonConnection::connect(callers);
+    caller.send(open_message(&sid(50), 1, 9_000));
+    exchanges[0].receive_for(&sid(50));
+    exchanges[0].send(json!({"msg": "ready", "sid": sid(50), "attrs": {}, "text": SESSION_DESCRIPTION}));
+    assert_eq!(caller.receive_for(&sid(50))["msg"], "ready");
     program.signal("TERM");
     let kill = Instant::now() + KILL_DELAY;
     let unanswered = send_requests_until(caller, kill);
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use common::lines::*;
-use common::{config, file, Program};
+use common::json_lines::*;
+use common::{config, temp_file, Program};
 use serde_json::json;
 use std::fs;
 use std::io::Write;
@@ -33,19 +33,20 @@
     let (delay, hold) = (Duration::from_millis(1), Duration::from_millis(100));
     let exchange = Exchange::start(None, ExchangeConfig { circuits: 2_000, delay, hold, seed: 7 }).unwrap();
     let member = member("s-1", exchange.address(), 1, "up");
-    let all = config(json!({"known": {"index": 3, "updates": [update(3, true, &[member])]}}));
-    let program = Program::start(&[("--config", &file("config.json", &all.to_string()))], &[]);
-    let callers = program.at("callers");
+    let all = config(json!({"known": {"index": 3, "updates": [list_update(3, true, &[member])]}}));
+    let program = Program::start(&[("--config", &temp_file("config.json", &all.to_string()))], &[]);
+    let callers = program.listen_address("callers");
     let mut rounds = Vec::new();
     for round in 0..ROUNDS {
-        let mut lines: Vec<Line> = (0..CONNECTIONS_PER_ROUND).map(|_| Line::to(callers)).collect();
+        let mut lines: Vec<JsonConnection> =
+            (0..CONNECTIONS_PER_ROUND).map(|_| JsonConnection::connect(callers)).collect();
         let name = |n: usize| sid(1 + round * CONNECTIONS_PER_ROUND + n as u32);
-        lines.iter_mut().enumerate().for_each(|(n, line)| line.say(open(&name(n), 1, 5_000)));
+        lines.iter_mut().enumerate().for_each(|(n, line)| line.send(open_message(&name(n), 1, 5_000)));
         for (n, line) in lines.iter_mut().enumerate() {
             // Either the call ended, or it was refused while the program had not yet learnt how fast the
             // exchange answers.
-            while line.about(&name(n))["msg"] != "close" {}
-            line.say(json!({"msg": "closed", "sid": name(n), "attrs": {}}));
+            while line.receive_for(&name(n))["msg"] != "close" {}
+            line.send(json!({"msg": "closed", "sid": name(n), "attrs": {}}));
         }
         drop(lines);
         thread::sleep(SETTLING_TIME);
