--- a/src/protocol/client/messages.rs
+++ b/src/protocol/client/messages.rs
@@ -95,14 +95,14 @@
         let class = self.classes.iter().position(|c| *c == class)?;
         let remaining_time = message.millis("left").filter(|&p| p <= MAX_REMAINING_TIME)?;
         let extras = message.field("extras").unwrap_or_default();
-        let figures = parse_all_pairs(&extras)?;
-        let flag = |name: &str| figures.get(name).is_some_and(|&v| v != 0.0);
+        let values = parse_all_pairs(&extras)?;
+        let flag = |name: &str| values.get(name).is_some_and(|&v| v != 0.0);
         let exchange = |v: f64| ((0.0..=65_535.0).contains(&v) && v.fract() == 0.0).then_some(v as u16);
-        let width = figures.get("width").copied().unwrap_or(1.0);
-        if !(1.0..=MAX_CIRCUITS).contains(&width) || width.fract() != 0.0 {
+        let circuits = values.get("width").copied().unwrap_or(1.0);
+        if !(1.0..=MAX_CIRCUITS).contains(&circuits) || circuits.fract() != 0.0 {
             return None;
         }
-        let via = match figures.get("via") {
+        let via = match values.get("via") {
             None => None,
             Some(&-1.0) => None,
             Some(&v) => Some(exchange(v)?),
@@ -110,12 +110,12 @@
         let key = message.field("key").filter(|k| !k.is_empty());
         let new_call = NewCall {
             call: CallId(0),
-            destination: ExchangeNumber(figures.get("dest").copied().and_then(exchange)?),
+            destination: ExchangeNumber(values.get("dest").copied().and_then(exchange)?),
             transit: flag("transit"),
             redialled: message.field("retry").is_some_and(|r| r != "0"),
             cut_before: flag("again"),
             number: key.map(|k| number(&k)).filter(|&n| n != 0),
-            circuits: width as u32,
+            circuits: circuits as u32,
             remaining_time,
             class,
             via: via.map(ExchangeNumber),
--- a/src/protocol/client/mod.rs
+++ b/src/protocol/client/mod.rs
@@ -3,7 +3,8 @@
 //!
 //! A connection is either in service or being closed. While it is being closed no new set-up is accepted on it, its
 //! open set-ups are failed, and it is closed once they are answered. A connection is closed because of protocol
-//! errors, when it has been idle for too long, at the connection limit, or when the program stops.
+//! errors, when it has been idle for too long or only had set-ups refused, at the connection limit, or when the program
+//! stops.
 
 mod abandoned;
 mod answers;
@@ -208,7 +209,7 @@
 }
 
 impl ClientConnections {
-    /// Creates a front end without connections, given the names of the classes in the order of their numbers.
+    /// Creates a set without connections, given the names of the classes in the order of their numbers.
     pub fn new(now: Micros, frontend: FrontendId, classes: Vec<String>, max_connections: usize) -> Self {
         ClientConnections {
             frontend,
--- a/src/protocol/client/releases.rs
+++ b/src/protocol/client/releases.rs
@@ -52,7 +52,8 @@
         }
     }
 
-    /// The caller cancelled its set-up or released its call.
+    /// Removes a call that its caller cancelled or released, or whose connection closed before the answer. A set-up
+    /// without an answer is remembered as abandoned.
     pub(super) fn call_cleared(&mut self, now: Micros, call: CallId) {
         if let Some(client_call) = self.remove_call(call).filter(|call| !call.answered) {
             self.abandoned.record(now, client_call.sid);
--- a/src/protocol/json_lines.rs
+++ b/src/protocol/json_lines.rs
@@ -279,7 +279,7 @@
 #[derive(Debug, Default)]
 pub struct LineSplitter {
     buffer: Vec<u8>,
-    /// A line was too long, so that the stream can't be split any further.
+    /// A line was too long, and where the next one begins is unknown.
     failed: bool,
 }
 
--- a/src/protocol/mgcp/agent.rs
+++ b/src/protocol/mgcp/agent.rs
@@ -869,8 +869,8 @@
         ));
     }
 
-    /// Ends an established call if nothing came from its gateway for the lease time. A gateway that disappears does
-    /// not report the end of its calls, so the far end would otherwise keep the call.
+    /// Ends an established call if nothing came from its gateway and the lease would expire before the next check. A
+    /// gateway that disappears does not report the end of its calls, so the far end would otherwise keep the call.
     fn check_lease(&mut self, now: Micros, index: usize) {
         let established = matches!(
             self.endpoints[index].state,
@@ -911,7 +911,8 @@
 
     fn delete_connection(&mut self, now: Micros, index: usize, extra: Params, next_state: EndpointState) {
         self.stop_create(now, index);
-        // An endpoint that did not answer may hold connections of any call.
+        // An endpoint that did not answer may hold connections of any call, as may one that has not been used yet, whose
+        // call identifier is still 0.
         if matches!(self.endpoints[index].state, EndpointState::Unresponsive) {
             self.endpoints[index].mgcp_call_id = 0;
         }
--- a/src/protocol/simulator.rs
+++ b/src/protocol/simulator.rs
@@ -533,7 +533,7 @@
             allowed_pools: pools(&t, &list("extra.allowedPools"), i),
         });
     }
-    let own = t.number("extra.ownExchange", -1.0)?;
+    let own_exchange = t.number("extra.ownExchange", -1.0)?;
     Ok(Settings {
         classes,
         topology: t.read("extra.shape", Topology::Mesh, |v| match v {
@@ -541,7 +541,7 @@
             "groups" => Some(Topology::Pools),
             _ => None,
         })?,
-        own_exchange: exchange(own),
+        own_exchange: exchange(own_exchange),
         zone: t.count("zone")?.min(255) as u8,
         controller_count: t.count("siblings")?.max(1),
         own_peer: PeerNumber(t.count("rank")?),
--- a/src/protocol/upstream/calls.rs
+++ b/src/protocol/upstream/calls.rs
@@ -112,8 +112,8 @@
         self.end_attempts(exchange_id, Ending::Unreachable, |a| a.stage == Stage::Waiting);
     }
 
-    /// Ends the set-ups in progress at an exchange, and releases them on its next connection, since their answers may
-    /// be lost in transit.
+    /// Ends the set-ups in progress at an exchange, and releases them on its next connection: the exchange may have
+    /// answered them, and their circuits would stay occupied.
     pub(super) fn fail_sent(&mut self, now: Micros, exchange_id: ExchangeId, ending: Ending) {
         let sent = |a: &Attempt| a.exchange_id == exchange_id && matches!(a.stage, Stage::Sent(_));
         let mut sids: Vec<Sid> = self.attempts.iter().filter(|(_, a)| sent(a)).map(|(&s, _)| s).collect();
--- a/src/protocol/upstream/messages.rs
+++ b/src/protocol/upstream/messages.rs
@@ -99,7 +99,7 @@
     }
 }
 
-/// The ending and cause that a release from an exchange stands for, before and after the answer.
+/// The ending and the cause that a release from an exchange indicates, before or after the answer.
 fn release_meaning(was_established: bool, code: Option<u16>, note: Option<&str>) -> (Ending, Cause) {
     let cause = match note {
         Some("no_path") => Cause::NoCircuit,
--- a/src/protocol/upstream/mod.rs
+++ b/src/protocol/upstream/mod.rs
@@ -195,9 +195,9 @@
     pub late_answers: u64,
     /// Messages about unknown calls.
     pub unknown_call: u64,
-    /// Established calls cut because their exchange failed, was removed or restarted.
+    /// Established calls cut because their exchange crashed, restarted or was removed, or because their leases expired.
     pub cut_after_failure: u64,
-    /// Those of them whose lease expired.
+    /// Those of them whose leases expired.
     pub lease_expired: u64,
 }
 
@@ -249,7 +249,7 @@
     probed_at: Option<Micros>,
     /// Moving average of the time between messages (µs).
     mean_interarrival: f64,
-    /// Time from the last answered set-up to its answer.
+    /// How long the last answered set-up took (µs).
     last_set_up_time: Micros,
     /// Consecutive connections closed because a probe stayed unanswered.
     consecutive_timeouts: u32,
