--- a/tests/call_agent.rs
+++ b/tests/call_agent.rs
@@ -231,7 +231,8 @@
     let step = prop_oneof![
         8 => (0_usize..3, events).prop_map(|(p, e)| Step::Notify(p, e)),
         2 => Just(Step::Repeat),
-        14 => (0_usize..6, prop::sample::select(vec![200, 250, 200, 100, 403, 500])).prop_map(|(i, c)| Step::Respond(i, c)),
+        14 => (0_usize..6, prop::sample::select(vec![200, 250, 200, 100, 403, 500]))
+            .prop_map(|(i, c)| Step::Respond(i, c)),
         1 => (0_usize..4, methods).prop_map(|(p, m)| Step::Restart(p, m)),
         1 => (0_usize..3).prop_map(Step::Delete),
         1 => prop::collection::vec(any::<u8>(), 0..60).prop_map(Step::Garbage),
--- a/tests/gateways.rs
+++ b/tests/gateways.rs
@@ -115,11 +115,11 @@
         self.send(text);
         let mut sent_at = Instant::now();
         while Instant::now() < deadline {
-            if let Some(command) = self.poll() {
-                if command.as_bytes()[0].is_ascii_digit() && !command.starts_with("000") {
-                    return command;
+            if let Some(datagram) = self.poll() {
+                if datagram.as_bytes()[0].is_ascii_digit() && !datagram.starts_with("000") {
+                    return datagram;
                 }
-                let mut words = command.split(' ');
+                let mut words = datagram.split(' ');
                 let (verb, transaction) =
                     (words.next().unwrap().to_owned(), words.next().unwrap().to_owned());
                 let endpoint = words.next().unwrap().to_owned();
@@ -128,7 +128,7 @@
                         verb,
                         transaction,
                         endpoint,
-                        text: command.clone(),
+                        text: datagram.clone(),
                         received_at: Instant::now(),
                     };
                     self.respond_ok(&command);
@@ -307,7 +307,7 @@
         assert_eq!(a.send_until_answered(&text), first);
     }
     a.expect_no_command(Duration::from_millis(600));
-    assert!(b.try_command(Duration::from_millis(300)).is_none_or(|g| g.verb == "RQNT"));
+    assert!(b.try_command(Duration::from_millis(300)).is_none_or(|command| command.verb == "RQNT"));
 }
 
 #[test]
--- a/tests/models.rs
+++ b/tests/models.rs
@@ -556,16 +556,15 @@
                     ClientOutput::Send(conn, message) => {
                         let c = &self.conns[&conn];
                         assert!(!c.closed, "nothing is sent on a closed connection");
-                        let Some(pending_releases) =
-                            message.sid.and_then(|s| self.pending_releases.get_mut(&s))
+                        let Some(release) = message.sid.and_then(|s| self.pending_releases.get_mut(&s))
                         else {
                             continue;
                         };
                         assert!(
-                            !c.closing && !pending_releases.1.contains(&conn),
+                            !c.closing && !release.1.contains(&conn),
                             "a release is sent once per connection in service"
                         );
-                        pending_releases.1.push(conn);
+                        release.1.push(conn);
                     }
                     ClientOutput::Fail(call) => {
                         let conn = self.calls[&call].1;
@@ -672,7 +671,10 @@
                 self.clients.answer(self.now, id, answer);
                 let expected = if established { Kind::Ready } else { Kind::Close };
                 let outputs = self.clients.take_outputs();
-                let is_answer = |o: &ClientOutput| matches!(o, ClientOutput::Send(c, m) if *c == conn && m.sid == Some(sid) && m.kind == expected);
+                let is_answer = |o: &ClientOutput| {
+                    matches!(o, ClientOutput::Send(c, m)
+                    if *c == conn && m.sid == Some(sid) && m.kind == expected)
+                };
                 assert_eq!(
                     outputs.iter().filter(|o| is_answer(o)).count(),
                     1,
@@ -846,15 +848,15 @@
 #[test]
 fn an_exchange_that_closes_each_connection_at_once_is_retried_with_growing_delays() {
     let mut m = UpstreamModel::new();
-    let mut attempts = 0;
+    let mut connections = 0;
     let end = m.now + 10_000 * MS;
     while m.now < end {
         m.reconnect();
         m.receive_status();
         m.step(UpstreamStep::Closed(CloseReason::ClosedByPeer));
-        attempts += 1;
+        connections += 1;
     }
-    assert!(attempts < 25, "{attempts} connections in 10 s");
+    assert!(connections < 25, "{connections} connections in 10 s");
 }
 
 #[test]
