--- a/src/routing/control/call.rs
+++ b/src/routing/control/call.rs
@@ -5,8 +5,8 @@
 /// Stage of a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Stage {
-    /// Waiting for a circuit, a concurrency limit or the quiet period: no attempt before `earliest`, none after
-    /// `latest`.
+    /// Waiting for a circuit, a concurrency limit or the end of the quiet period. No attempt is made before
+    /// `earliest`; the call is refused if it is still blocked at `latest`, less the own delay.
     Queued { earliest: Micros, latest: Micros },
     /// A set-up is pending at the exchange with this index.
     Pending { index: usize, since: Micros },
@@ -24,6 +24,6 @@
     pub(super) attempts: u32,
     /// Indexes of the tandems tried.
     pub(super) tandems_tried: Vec<usize>,
-    /// Whether an attempt may have run.
+    /// Whether an attempt may have run at its exchange, so that another one could set up the call twice.
     pub(super) may_have_run: bool,
 }
--- a/src/routing/control/call_queue.rs
+++ b/src/routing/control/call_queue.rs
@@ -96,12 +96,12 @@
         let Some(key) = self.calls.get(&id).map(|c| self.priority_key(c)) else { return };
         self.queue.remove(&key);
         // Credit beyond this set-up is kept, up to one more set-up.
-        let spare = self.cold_start_credit(now, &self.exchanges[index]).unwrap_or(0.0).clamp(0.0, 1.0);
+        let spare_credit = self.cold_start_credit(now, &self.exchanges[index]).unwrap_or(0.0).clamp(0.0, 1.0);
         let Some(call) = self.calls.get_mut(&id) else { return };
         let exchange = &mut self.exchanges[index];
         // Without a time-out, a set-up lost at a dead exchange would occupy the single place of a limit on probation.
         let timeout = exchange.concurrency.on_probation().then_some(self.shortest_objective);
-        if exchange.exchange != call.request.destination {
+        if exchange.exchange_number != call.request.destination {
             call.tandems_tried.push(index);
         }
         call.attempts += 1;
@@ -111,7 +111,7 @@
         }
         exchange.pending.insert((now, id));
         self.pending_exchanges.insert(index);
-        exchange.cold_start_debt = (now, 1.0 - spare);
+        exchange.cold_start_debt = (now, 1.0 - spare_credit);
         self.recent_setups.push_back(now);
         while self.recent_setups.front().is_some_and(|&t| now - t >= RATE_WINDOW) {
             self.recent_setups.pop_front();
--- a/src/routing/control/concurrency_limit.rs
+++ b/src/routing/control/concurrency_limit.rs
@@ -4,17 +4,17 @@
 
 /// Time that the circuit breaker stays open after a first failure; doubles up to `MAX_OPEN_TIME` (µs).
 const MIN_OPEN_TIME: Micros = 500_000;
-/// Increase of the limit for each set-up answered in good time.
+/// Increase of the limit for each call established in good time.
 const LIMIT_INCREASE: f64 = 0.5;
 /// Factor applied to the limit when a set-up sent since the last reduction was slow.
 const LIMIT_DECREASE_FACTOR: f64 = 0.6;
 
-/// Limit on pending set-ups, toward one exchange or from the own processor. It rises while set-ups are answered
-/// quickly, falls when they are slow, and a failure opens its circuit breaker for a while, after which it restarts
-/// at 1.
+/// Limit on pending set-ups, toward one exchange or from the own processor. It rises while calls are established
+/// quickly and falls when they are slow. A failure of the exchange opens its circuit breaker for a while, after which
+/// the limit restarts at 1.
 ///
 /// Answers wait behind new set-ups, so a queue longer than the latency objective makes every call late. A breaker
-/// that restored the previous limit when it expires would bring back the full load at once.
+/// that restored the previous limit when it closes would bring back the full load at once.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct ConcurrencyLimit {
     /// The circuit breaker is open, and no set-up is admitted, until then.
@@ -40,12 +40,12 @@
         }
     }
 
-    /// Whether the circuit breaker has tripped and no set-up has been answered since.
+    /// Whether the circuit breaker has tripped and no call has been established since.
     pub(super) fn on_probation(&self) -> bool {
         self.next_open_time > MIN_OPEN_TIME
     }
 
-    /// Adapts the limit to a set-up answered after `setup_time`; `delay` is the resulting estimate of the delay at
+    /// Adapts the limit to a call established after `setup_time`; `delay` is the resulting estimate of the delay at
     /// the limited processor.
     pub(super) fn on_established(
         &mut self,
--- a/src/routing/control/exchange_state.rs
+++ b/src/routing/control/exchange_state.rs
@@ -9,7 +9,7 @@
 const HEADROOM_SHARE: f64 = 0.03;
 /// Minimum number of circuits kept free there.
 const HEADROOM_MIN: f64 = 2.0;
-/// The circuit breaker of an unresponsive exchange trips once the usual loss of answers would leave that many set-ups
+/// The circuit breaker of an unresponsive exchange trips only if its loss rate would leave all pending set-ups
 /// unanswered with less than this probability. An exchange that loses some answers soon looks unresponsive where few
 /// set-ups are sent, and calls that it would answer would be lost.
 const MIN_LOSS_CHANCE: f64 = 0.01;
@@ -18,11 +18,11 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct ExchangeState {
     pub(super) exchange_id: ExchangeId,
-    pub(super) exchange: ExchangeNumber,
+    pub(super) exchange_number: ExchangeNumber,
     pub(super) state: ListState,
-    /// Start of the processor; `None` if it has long been warm.
+    /// Start of the processor; `None` if it was already warm when first listed.
     pub(super) started: Option<Micros>,
-    /// Free circuits and size of the group, less the set-ups sent since the last report.
+    /// Free circuits, less those of set-ups sent since the last report, and size of the group.
     pub(super) group: Option<(f64, f64)>,
     /// Until when the exchange is not used as a tandem.
     pub(super) overloaded_until: Micros,
@@ -30,13 +30,13 @@
     pub(super) pending: BTreeSet<(Micros, CallId)>,
     /// When the exchange last responded.
     pub(super) last_heard: Micros,
-    /// When the latest set-up that was answered was sent.
+    /// When the latest set-up that established a call was sent.
     pub(super) last_established_sent: Micros,
-    /// Time that the last answered or cancelled set-up was pending.
+    /// How long the last set-up that established a call or was cancelled had been pending.
     pub(super) last_setup_time: Micros,
     /// Smoothed share of its set-ups that ended in a signalling fault.
     pub(super) fault_rate: f64,
-    /// Smoothed share of its set-ups that stayed unanswered while later ones were answered.
+    /// Smoothed share of its set-ups that stayed unanswered while later ones established their calls.
     pub(super) loss_rate: f64,
     pub(super) concurrency: ConcurrencyLimit,
     /// During a cold start: since when credit for set-ups accrues, and the debt in set-ups at that time. The first
@@ -50,7 +50,7 @@
     pub(super) fn new(entry: &ListEntry, now: Micros) -> Self {
         let listed = ExchangeState {
             exchange_id: entry.exchange_id,
-            exchange: entry.exchange,
+            exchange_number: entry.exchange,
             state: entry.state,
             ..ExchangeState::default()
         };
--- a/src/routing/control/load.rs
+++ b/src/routing/control/load.rs
@@ -8,7 +8,7 @@
     pub(super) fn accepts_setups(&self, now: Micros, index: usize) -> bool {
         let exchange = &self.exchanges[index];
         // A suspicion may be wrong, and only an answer disproves it: one set-up at a time is still sent.
-        let max_pending = if self.suspected.contains(&exchange.exchange) { 0 } else { usize::MAX };
+        let max_pending = if self.suspected.contains(&exchange.exchange_number) { 0 } else { usize::MAX };
         let pending = exchange.pending_within(now, self.mean_objective);
         exchange.state == ListState::Ready
             && pending <= max_pending
--- a/src/routing/control/membership.rs
+++ b/src/routing/control/membership.rs
@@ -31,8 +31,8 @@
         self.index_by_number.clear();
         for (i, exchange) in self.exchanges.iter().enumerate() {
             let ready = |&j: &usize| self.exchanges[j].state == ListState::Ready;
-            if !self.index_by_number.get(&exchange.exchange).is_some_and(ready) {
-                self.index_by_number.insert(exchange.exchange, i);
+            if !self.index_by_number.get(&exchange.exchange_number).is_some_and(ready) {
+                self.index_by_number.insert(exchange.exchange_number, i);
             }
         }
     }
@@ -61,7 +61,7 @@
         });
         let exchange = &mut self.exchanges[index];
         exchange.state = entry.state;
-        exchange.exchange = entry.exchange;
+        exchange.exchange_number = entry.exchange;
         if entry.last_start.is_some() && entry.last_start != exchange.started {
             // The processor restarted: its previous load and limits no longer apply.
             exchange.started = entry.last_start;
--- a/src/routing/control/mod.rs
+++ b/src/routing/control/mod.rs
@@ -2,7 +2,7 @@
 //! actions are defined in `src/routing/interface.rs`.
 //!
 //! A call takes the direct route while the direct group has a free circuit, then the next tandem in rotation that
-//! accepts set-ups and has headroom on its first leg; otherwise it is refused. See [`Controller::route`].
+//! accepts set-ups and has headroom on its first leg; otherwise it is refused. See `Controller::route`.
 
 mod call;
 mod call_queue;
@@ -59,7 +59,7 @@
 /// and the exchange has answered nothing since it was sent.
 const UNRESPONSIVE_SHARE: f64 = 0.5;
 /// A set-up counts as lost when it has been pending for this share of the mean latency objective and another one,
-/// sent at least half of that time later, has been answered.
+/// sent at least half of that time later, has established its call.
 const OVERTAKEN_SHARE: f64 = 0.45;
 /// Maximum of a concurrency limit when few set-ups are sent; see [`Controller::max_limit`].
 const BASE_LIMIT: f64 = 5.0;
@@ -110,7 +110,7 @@
     recent_setup_times: VecDeque<(Micros, Micros)>,
     /// When any exchange last responded.
     last_heard: Micros,
-    /// When the latest set-up that has been answered was sent.
+    /// When the latest set-up that established a call was sent.
     last_established_sent: Micros,
     /// Longest remaining time seen on a first try, by class.
     max_remaining_time: BTreeMap<usize, Micros>,
@@ -151,9 +151,9 @@
         if self.first_event.is_none() {
             self.first_event = Some(now);
             self.subscribe_at = (self.settings.membership_mode == MembershipMode::OnRequest).then_some(now);
-            let first =
+            let first_message =
                 now + TICK_INTERVAL + (self.random_state % (GROUP_MESSAGE_INTERVAL / 20) as u64) as Micros;
-            self.next_group_message = self.settings.may_message_peers.then_some(first);
+            self.next_group_message = self.settings.may_message_peers.then_some(first_message);
             out.push(Action::SetTimer { after: TICK_INTERVAL, token: 0 });
         }
         // After a stall, exchanges must not be taken for unresponsive, nor answers that waited for this controller
@@ -164,8 +164,8 @@
         self.last_event = now;
         // Retrying all queued calls on every event would cost more with every exchange. They wait for a circuit
         // (the group changes) or for the own concurrency limit; every other change is picked up on a tick.
-        let full = !self.own_concurrency.admits(now, self.own_pending(now));
-        let freed = full && matches!(event, Event::Established { .. } | Event::Ended(_));
+        let at_own_limit = !self.own_concurrency.admits(now, self.own_pending(now));
+        let own_limit_freed = at_own_limit && matches!(event, Event::Established { .. } | Event::Ended(_));
         match event {
             Event::List(update) => self.on_list(now, update),
             Event::Call(request) => self.on_call(now, request, out),
@@ -176,7 +176,7 @@
             Event::GroupReport { exchange_id, report } => {
                 if let Some(&index) = self.index_by_id.get(&exchange_id) {
                     self.record_report(now, index, report);
-                    self.retry_queued(now, Some(index), !full, out);
+                    self.retry_queued(now, Some(index), !at_own_limit, out);
                 }
             }
             Event::PeerMessage { from, body } => self.on_peer(from, &body),
@@ -189,6 +189,6 @@
             Event::CallAbandoned(call) => drop(self.remove_call(call)),
             Event::Timer(_) => self.on_tick(now, out),
         }
-        self.retry_queued(now, None, freed, out);
+        self.retry_queued(now, None, own_limit_freed, out);
     }
 }
--- a/src/routing/control/outcome.rs
+++ b/src/routing/control/outcome.rs
@@ -51,11 +51,11 @@
                 (MIN_OWN_LIMIT, max_limit),
             );
             let destination = self.calls.get(&id).map(|c| c.request.destination);
-            let beyond = destination.filter(|&d| d != self.exchanges[index].exchange);
-            if quick || beyond.is_none() {
+            let onward_destination = destination.filter(|&d| d != self.exchanges[index].exchange_number);
+            if quick || onward_destination.is_none() {
                 self.exchanges[index].note_overload(now, !quick);
             }
-            if let Some(destination) = beyond {
+            if let Some(destination) = onward_destination {
                 self.record_tandem_result(now, destination, index, true);
             }
         }
@@ -102,7 +102,8 @@
                 exchange.trip(now, wait.unwrap_or(0).min(MAX_OPEN_TIME));
             }
             (Ending::Cancelled, _) => exchange.last_setup_time = outcome.elapsed,
-            // An answer was lost, but the exchange works: it has answered set-ups sent later.
+            // Not a failure of the exchange: the caller waited too short a time, or only the answer was lost, since
+            // later set-ups established their calls or the usual loss rate explains it.
             (Ending::TimedOut, _)
                 if !waited || overtaken || exchange.explained_by_loss(exchange.pending.len() + 1) => {}
             (Ending::Unreachable | Ending::TimedOut, _) => exchange.trip(now, 0),
@@ -144,7 +145,7 @@
         if !changed {
             return;
         }
-        let destination = toward.map(|index| self.exchanges[index].exchange);
+        let destination = toward.map(|index| self.exchanges[index].exchange_number);
         let matches = |c: &Call| destination.is_none_or(|d| c.request.destination == d);
         let queued = self.queue.iter().map(|key| key.2).filter(|id| self.calls.get(id).is_some_and(matches));
         for id in queued.collect::<Vec<_>>() {
--- a/src/routing/control/peers.rs
+++ b/src/routing/control/peers.rs
@@ -14,11 +14,11 @@
         let mut body = vec![GROUPS_MESSAGE];
         body.extend(own.0.to_be_bytes());
         let mut any_missing = false;
-        for e in self.exchanges.iter().filter(|e| e.state != ListState::Gone && e.exchange != own) {
-            let byte = 3 + usize::from(e.exchange.0 / 8);
+        for e in self.exchanges.iter().filter(|e| e.state != ListState::Gone && e.exchange_number != own) {
+            let byte = 3 + usize::from(e.exchange_number.0 / 8);
             body.resize(body.len().max(byte + 1), 0);
             let has_group = e.group.is_some_and(|g| g.1 >= 1.0);
-            body[byte] |= u8::from(has_group) << (e.exchange.0 % 8);
+            body[byte] |= u8::from(has_group) << (e.exchange_number.0 % 8);
             any_missing |= !has_group;
         }
         if any_missing && body.len() <= 256 {
--- a/src/routing/control/retry.rs
+++ b/src/routing/control/retry.rs
@@ -19,8 +19,8 @@
         if outcome.call_ended {
             return drop(self.remove_call(id));
         }
-        let unclear = matches!(outcome.ending, Ending::TimedOut | Ending::Reset | Ending::Cancelled);
-        let quiet_period = if unclear && !fault_injected(InjectedFault::RetryInQuietPeriod) {
+        let result_unknown = matches!(outcome.ending, Ending::TimedOut | Ending::Reset | Ending::Cancelled);
+        let quiet_period = if result_unknown && !fault_injected(InjectedFault::RetryInQuietPeriod) {
             self.settings.quiet_period + self.settings.min_batch_interval
         } else {
             0
@@ -29,7 +29,7 @@
             self.calls.get(&id).map_or(self.shortest_objective, |c| self.latency_objective(&c.request));
         let Some(call) = self.calls.get_mut(&id) else { return };
         call.may_have_run |= !matches!(outcome.ending, Ending::Full | Ending::Unreachable | Ending::NotSent);
-        let direct = self.exchanges[index].exchange == call.request.destination;
+        let direct = self.exchanges[index].exchange_number == call.request.destination;
         let fault_rate = self.exchanges[index].fault_rate;
         if outcome.ending == Ending::Fault {
             // A fault says nothing about the path: the same tandem may be tried again.
@@ -42,7 +42,7 @@
             // Without a retry, every set-up that an exchange with a partial fault fails would be refused, and its
             // caller would redial only after a delay.
             (Ending::Fault, _) => (RETRY_FAULT_RATE_MIN..RETRY_FAULT_RATE_MAX).contains(&fault_rate),
-            _ => unclear,
+            _ => result_unknown,
         };
         let queue_limit = call.arrived + (QUEUE_TIME_SHARE * objective as f64) as Micros;
         let latest = queue_limit.max(now + quiet_period + 1).min(call.deadline - ANSWER_MARGIN);
@@ -67,8 +67,9 @@
         let max_age = (OVERTAKEN_SHARE * self.mean_objective) as Micros;
         let exchanges = self.pending_exchanges.iter().map(|&i| &self.exchanges[i]);
         for e in exchanges.filter(|_| self.settings.may_cancel && now - self.resumed_at > max_age) {
-            let any = e.last_setup_time < max_age / 2 && self.overdue_loss_rate >= MIN_OVERDUE_LOSS_RATE;
-            let newest = if any { self.last_established_sent } else { e.last_established_sent };
+            let any_exchange =
+                e.last_setup_time < max_age / 2 && self.overdue_loss_rate >= MIN_OVERDUE_LOSS_RATE;
+            let newest = if any_exchange { self.last_established_sent } else { e.last_established_sent };
             let lost = |p: &&(Micros, CallId)| now - p.0 > max_age && newest - p.0 > max_age / 2;
             for call in e.pending.iter().take_while(lost).filter_map(|p| self.calls.get(&p.1)) {
                 if !call.request.transit && !self.at_most_once(call) {
--- a/src/routing/control/route.rs
+++ b/src/routing/control/route.rs
@@ -45,12 +45,13 @@
         }
         // While another session controller restarts, calls of its subscribers arrive here, some of them for this
         // exchange. No set-up may be sent to the own exchange, but a tandem has a group back to it.
-        let own = Some(request.destination) == self.settings.own_exchange;
-        if own && (request.transit || request.redialled) || !self.class_may_use(request, request.destination)
+        let to_own_exchange = Some(request.destination) == self.settings.own_exchange;
+        if to_own_exchange && (request.transit || request.redialled)
+            || !self.class_may_use(request, request.destination)
         {
             return Route::Closed;
         }
-        let open = !own && self.accepts_setups(now, direct);
+        let open = !to_own_exchange && self.accepts_setups(now, direct);
         let exchange = &self.exchanges[direct];
         if request.transit {
             let room =
@@ -60,45 +61,45 @@
             return if open && room && !overloaded { Route::Via(direct) } else { Route::Closed };
         }
         // Reserves a place for first tries: redials, which are past their latency objective, would fill the limit.
-        let spare = usize::from(request.redialled);
-        if !self.own_concurrency.admits(now, self.own_pending(now) + spare) {
+        let reserved = usize::from(request.redialled);
+        if !self.own_concurrency.admits(now, self.own_pending(now) + reserved) {
             return Route::Blocked;
         }
         let room = open
             && exchange.free_circuits()
                 >= circuits + if request.redialled { exchange.headroom() } else { 0.0 };
-        // Where most set-ups meet a fault, a call has too few attempts. The last one goes through a tandem, whose
+        // Where many set-ups meet a fault, a call may run out of attempts. The last one goes through a tandem, whose
         // session controller makes as many attempts again.
-        let last = call.attempts + 1 == self.settings.max_attempts
+        let last_attempt = call.attempts + 1 == self.settings.max_attempts
             && exchange.fault_rate >= RETRY_FAULT_RATE_MIN
             && !request.redialled;
-        if room && !last {
+        if room && !last_attempt {
             return Route::Via(direct);
         }
-        if self.settings.topology == Topology::Mesh && (!open && !own || request.redialled) {
+        if self.settings.topology == Topology::Mesh && (!open && !to_own_exchange || request.redialled) {
             return Route::Blocked;
         }
         let start = self.next_tandem % self.exchanges.len();
         let mut rotation = (start..self.exchanges.len()).chain(0..start);
-        let found = if self.untested_success_rate >= MIN_UNTESTED_SUCCESS_RATE {
+        let tandem = if self.untested_success_rate >= MIN_UNTESTED_SUCCESS_RATE {
             let reliable = |e: &ExchangeState| {
-                e.fault_rate < MAX_TANDEM_FAULT_RATE && !self.suspected.contains(&e.exchange)
+                e.fault_rate < MAX_TANDEM_FAULT_RATE && !self.suspected.contains(&e.exchange_number)
             };
             let preferred = |&i: &usize| reliable(&self.exchanges[i]) && self.can_use_tandem(now, i, call);
             let any = rotation.clone();
             rotation
                 .find(preferred)
-                .or_else(|| any.into_iter().find(|&i| !last && self.can_use_tandem(now, i, call)))
+                .or_else(|| any.into_iter().find(|&i| !last_attempt && self.can_use_tandem(now, i, call)))
         } else {
             // Where few untested paths succeed, each failure costs the work of two processors. The rotation is then
             // limited to paths known to be open; others are tried only by a first attempt while none is known.
             let destination = request.destination;
-            let (on, before) = (
+            let (from_start, before_start) = (
                 self.tandem_paths.range((destination, start)..=(destination, usize::MAX)),
                 self.tandem_paths.range((destination, 0)..(destination, start)),
             );
-            let mut known = on
-                .chain(before)
+            let mut known = from_start
+                .chain(before_start)
                 .filter(|path| now - path.1.last_open < PATH_OPEN_TIME)
                 .map(|path| path.0 .1)
                 .peekable();
@@ -108,7 +109,7 @@
                 known.find(|&i| self.can_use_tandem(now, i, call))
             }
         };
-        match found {
+        match tandem {
             Some(i) => {
                 self.next_tandem = i + 1;
                 Route::Via(i)
@@ -121,9 +122,9 @@
     /// Whether the call may use a tandem (or a pool other than its destination) now.
     pub(super) fn can_use_tandem(&self, now: Micros, index: usize, call: &Call) -> bool {
         let (request, tandem) = (&call.request, &self.exchanges[index]);
-        tandem.exchange != request.destination
-            && Some(tandem.exchange) != self.settings.own_exchange
-            && self.class_may_use(request, tandem.exchange)
+        tandem.exchange_number != request.destination
+            && Some(tandem.exchange_number) != self.settings.own_exchange
+            && self.class_may_use(request, tandem.exchange_number)
             && tandem.group.is_some_and(|g| g.0 >= self.required_circuits(request, g.1) + tandem.headroom())
             && !call.tandems_tried.contains(&index)
             && tandem.may_reach(request.destination)
@@ -140,8 +141,8 @@
     /// `ACCEPT_LOAD`.
     pub(super) fn required_circuits(&self, request: &NewCall, size: f64) -> f64 {
         let circuits = f64::from(request.circuits);
-        let back = Some(request.destination) == self.settings.own_exchange;
-        circuits + if back { circuits + (1.0 - ACCEPT_LOAD) * size } else { 0.0 }
+        let to_own_exchange = Some(request.destination) == self.settings.own_exchange;
+        circuits + if to_own_exchange { circuits + (1.0 - ACCEPT_LOAD) * size } else { 0.0 }
     }
 
     /// Whether the class of a call may use a pool; always true between exchanges.
