--- a/src/routing/administrative_state.rs
+++ b/src/routing/administrative_state.rs
@@ -52,8 +52,8 @@
     }
 
     /// The entry that the decision module sees: the worse of the listed and the administrative state.
-    fn effective(&self, base: &ListEntry) -> ListEntry {
-        let mut e = base.clone();
+    fn effective(&self, listed: &ListEntry) -> ListEntry {
+        let mut e = listed.clone();
         if self.out_of_service.exchanges.contains(&e.exchange) && e.state == ListState::Ready {
             e.state = ListState::Draining;
         }
@@ -65,12 +65,12 @@
     }
 
     /// Records a list update and returns it with the administrative state applied.
-    pub fn apply_list(&mut self, news: ListUpdate) -> ListUpdate {
-        let is_complete = matches!(news, ListUpdate::Complete(_) | ListUpdate::Cached(_));
+    pub fn apply_list(&mut self, update: ListUpdate) -> ListUpdate {
+        let is_complete = matches!(update, ListUpdate::Complete(_) | ListUpdate::Cached(_));
         let (ListUpdate::Changes(entries) | ListUpdate::Complete(entries) | ListUpdate::Cached(entries)) =
-            &news
+            &update
         else {
-            return news;
+            return update;
         };
         if is_complete {
             self.listed.clear();
@@ -84,10 +84,10 @@
         let listed = &self.listed;
         self.circuits.retain(|exchange_id, _| listed.contains_key(exchange_id));
         if self.out_of_service.exchanges.is_empty() && self.restored_exchanges.is_empty() {
-            return news;
+            return update;
         }
         let effective = entries.iter().map(|e| self.effective(e)).collect();
-        match news {
+        match update {
             ListUpdate::Changes(_) => ListUpdate::Changes(effective),
             ListUpdate::Complete(_) => ListUpdate::Complete(effective),
             _ => ListUpdate::Cached(effective),
@@ -152,17 +152,22 @@
                 old.groups.contains(&e.exchange) != self.out_of_service.groups.contains(&e.exchange)
             })
         };
-        let changed_groups = self.circuits.iter().filter(|f| group_changed(f.0));
+        let changed_groups = self.circuits.iter().filter(|entry| group_changed(entry.0));
         let groups = changed_groups
-            .map(|(&exchange_id, &f)| (exchange_id, self.group_report(now, exchange_id, f)))
+            .map(|(&exchange_id, &circuits)| (exchange_id, self.group_report(now, exchange_id, circuits)))
             .collect();
         Changes { entries, groups }
     }
 
-    fn group_report(&self, now: Micros, exchange_id: ExchangeId, f: (f64, f64, Micros)) -> LoadReport {
+    fn group_report(
+        &self,
+        now: Micros,
+        exchange_id: ExchangeId,
+        (free, size, _): (f64, f64, Micros),
+    ) -> LoadReport {
         LoadReport {
-            free: Some(self.free_circuits(now, exchange_id, (f.0, f.1))),
-            size: Some(f.1),
+            free: Some(self.free_circuits(now, exchange_id, (free, size))),
+            size: Some(size),
             ..LoadReport::default()
         }
     }
@@ -173,11 +178,11 @@
         if self.restored_groups.is_empty() {
             return Vec::new();
         }
-        let report_of = |(&exchange_id, &f): (&ExchangeId, &(f64, f64, Micros))| {
+        let report_of = |(&exchange_id, &circuits): (&ExchangeId, &(f64, f64, Micros))| {
             let exchange = self.listed.get(&exchange_id)?.exchange;
             self.restored_groups
                 .contains_key(&exchange)
-                .then(|| (exchange_id, self.group_report(now, exchange_id, f)))
+                .then(|| (exchange_id, self.group_report(now, exchange_id, circuits)))
         };
         let reports = self.circuits.iter().filter_map(report_of).collect();
         let ramp_period = self.ramp_period;
@@ -207,7 +212,7 @@
 
     /// Free circuits and size of each group as reported, and when.
     pub fn group_circuits(&self) -> impl Iterator<Item = (ExchangeId, (f64, f64, Micros))> + '_ {
-        self.circuits.iter().map(|(&exchange_id, &f)| (exchange_id, f))
+        self.circuits.iter().map(|(&exchange_id, &circuits)| (exchange_id, circuits))
     }
 }
 
@@ -234,8 +239,8 @@
     #[test]
     fn lists_and_reports_are_unchanged_while_everything_is_in_service() {
         let mut administration = AdministrativeState::new(RAMP_PERIOD);
-        let news = ListUpdate::Complete([entry(1, ListState::Ready), entry(2, ListState::Draining)].into());
-        assert_eq!(administration.apply_list(news.clone()), news);
+        let update = ListUpdate::Complete([entry(1, ListState::Ready), entry(2, ListState::Draining)].into());
+        assert_eq!(administration.apply_list(update.clone()), update);
         assert_eq!(
             administration.apply_report(5, entry(1, ListState::Ready).exchange_id, report(7.0)),
             report(7.0)
--- a/src/routing/interface.rs
+++ b/src/routing/interface.rs
@@ -413,6 +413,6 @@
     FetchList,
     /// Subscribe to list changes.
     Subscribe,
-    /// Write a line to the report.
+    /// Write a line to the log.
     Log(String),
 }
--- a/src/routing/ledger.rs
+++ b/src/routing/ledger.rs
@@ -1,8 +1,8 @@
 //! The call ledger: holds every call from its offer to its one final answer and, if it is established, to its
 //! release. It runs the decision module and enforces the call-handling rules for every front end.
 //!
-//! Each rule is enforced in one place: a single final answer per call ([`Ledger::finish_call`]); at most one attempt
-//! in progress, the drain grace and the quiet period ([`Ledger::send_set_up`]).
+//! Each rule is enforced in one place: a single final answer per call (`Ledger::finish_call`); at most one attempt
+//! in progress, the drain grace and the quiet period (`Ledger::send_set_up`).
 
 use super::administrative_state::AdministrativeState;
 use super::control::Controller;
@@ -439,7 +439,7 @@
             });
             self.outputs.push(Output::AttemptEnded { call, exchange: entry.exchange, ending, cause });
         }
-        let took = now - since;
+        let elapsed = now - since;
         let report = self.administrative_state.apply_report(now, exchange_id, report);
         let outcome = Outcome {
             call,
@@ -447,7 +447,7 @@
             exchange_id,
             ending,
             cause,
-            elapsed: took,
+            elapsed,
             call_ended: was_established,
             report,
         };
@@ -491,19 +491,23 @@
         }
     }
 
-    /// Releases, towards both sides, the established calls for which `which` returns true, given the exchange
-    /// that the call was set up through and its destination.
-    pub fn cut_calls(&mut self, now: Micros, which: impl Fn(Option<ExchangeNumber>, ExchangeNumber) -> bool) {
+    /// Releases, towards both sides, the established calls for which `should_cut` returns true, given the
+    /// exchange that the call was set up through and its destination.
+    pub fn cut_calls(
+        &mut self,
+        now: Micros,
+        should_cut: impl Fn(Option<ExchangeNumber>, ExchangeNumber) -> bool,
+    ) {
         let selected = |(&call, e): (&CallId, &CallEntry)| match e.stage {
             Stage::Established { attempt, exchange_id, .. }
-                if which(e.exchange, e.offered.new_call.destination) =>
+                if should_cut(e.exchange, e.offered.new_call.destination) =>
             {
                 Some((call, attempt, exchange_id))
             }
             _ => None,
         };
-        let found: Vec<_> = self.calls.iter().filter_map(selected).collect();
-        for (call, attempt, exchange_id) in found {
+        let calls_to_cut: Vec<_> = self.calls.iter().filter_map(selected).collect();
+        for (call, attempt, exchange_id) in calls_to_cut {
             self.outputs.push(Output::Clear { call, attempt, exchange_id });
             self.attempt_ended(now, call, attempt, (Ending::Reset, Cause::None), LoadReport::default());
         }
@@ -520,9 +524,9 @@
     }
 
     /// An update of the exchange list.
-    pub fn list_update(&mut self, now: Micros, news: ListUpdate) {
-        let news = self.administrative_state.apply_list(news);
-        match &news {
+    pub fn list_update(&mut self, now: Micros, update: ListUpdate) {
+        let update = self.administrative_state.apply_list(update);
+        match &update {
             ListUpdate::Failed => {}
             ListUpdate::Changes(entries) => self.update_availability(now, entries),
             ListUpdate::Complete(entries) | ListUpdate::Cached(entries) => {
@@ -539,7 +543,7 @@
         self.exchanges.retain(|_, availability| {
             !(availability.gone && availability.draining_since.is_some_and(|t| now - t > grace))
         });
-        self.dispatch(now, Event::List(news));
+        self.dispatch(now, Event::List(update));
     }
 
     /// A timer of the ledger expired.
@@ -621,10 +625,10 @@
         let mut loads: BTreeMap<_, (u32, u32)> = BTreeMap::new();
         for e in self.calls.values() {
             let Some(exchange) = e.exchange else { continue };
-            let at = (exchange, e.offered.new_call.destination);
+            let route = (exchange, e.offered.new_call.destination);
             match e.stage {
-                Stage::SettingUp { .. } => loads.entry(at).or_default().0 += 1,
-                Stage::Established { .. } => loads.entry(at).or_default().1 += 1,
+                Stage::SettingUp { .. } => loads.entry(route).or_default().0 += 1,
+                Stage::Established { .. } => loads.entry(route).or_default().1 += 1,
                 Stage::Deciding => {}
             }
         }
@@ -663,8 +667,8 @@
                 Action::SetTimer { after, token } => {
                     self.outputs.push(Output::SetTimer(now + after, LedgerTimer::Controller(token)));
                 }
-                Action::Refuse { call, retry_after: pause } => {
-                    self.finish_call(call, Answer::Refused { retry_after: pause }, AnswerReason::Decided);
+                Action::Refuse { call, retry_after } => {
+                    self.finish_call(call, Answer::Refused { retry_after }, AnswerReason::Decided);
                 }
                 Action::Fail(call) => {
                     self.finish_call(call, Answer::Failed, AnswerReason::Decided);
@@ -746,7 +750,7 @@
     }
 
     /// Gives an open call its final answer, other than established; the only place that does so. Returns
-    /// false if the call has been answered already.
+    /// false if the call has been answered or has ended already.
     fn finish_call(&mut self, call: CallId, answer: Answer, reason: AnswerReason) -> bool {
         let Some(entry) = self.calls.get(&call) else { return false };
         match entry.stage {
