--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -51,7 +51,7 @@
         thread::sleep(SETTLING_TIME);
         rounds.push(resource_usage(&program));
     }
-    // Written to the real stderr, which the test harness does not capture.
+    // Written to the real stderr, which the test harness does not capture, so that the figures are always shown.
     writeln!(std::io::stderr(), "memory (KiB) and descriptors after each round: {rounds:?}").unwrap();
     let (early, late) = (rounds[4], rounds[rounds.len() - 1]);
     assert_eq!(late.1, early.1, "descriptors");
--- a/tests/out_of_service.rs
+++ b/tests/out_of_service.rs
@@ -54,10 +54,10 @@
     ledger
 }
 
-fn offer(ledger: &mut Ledger, now: Micros, to: u16) -> (CallId, Vec<Output>) {
+fn offer(ledger: &mut Ledger, now: Micros, destination: u16) -> (CallId, Vec<Output>) {
     let new_call = NewCall {
         call: CallId(0),
-        destination: ExchangeNumber(to),
+        destination: ExchangeNumber(destination),
         transit: false,
         redialled: false,
         cut_before: false,
@@ -88,9 +88,9 @@
     })
 }
 
-fn out_of_service(exchanges: &[u16], groups: &[u16], all: bool) -> OutOfService {
+fn out_of_service(exchanges: &[u16], groups: &[u16], controller: bool) -> OutOfService {
     let set = |numbers: &[u16]| numbers.iter().map(|&n| ExchangeNumber(n)).collect();
-    OutOfService { exchanges: set(exchanges), groups: set(groups), controller: all }
+    OutOfService { exchanges: set(exchanges), groups: set(groups), controller }
 }
 
 #[test]
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn calls_avoid_a_group_out_of_service_by_a_tandem() {
+fn calls_bypass_a_group_out_of_service_through_a_tandem() {
     let mut ledger = new_ledger();
     ledger.out_of_service_changed(T0, out_of_service(&[], &[1], false));
     ledger.take_outputs();
@@ -126,13 +126,13 @@
     // Once put back into service, it regains its circuits gradually.
     ledger.out_of_service_changed(T0 + 1000 * MS, out_of_service(&[], &[], false));
     ledger.take_outputs();
-    let direct = |ledger: &mut Ledger, now| {
+    let direct_calls = |ledger: &mut Ledger, now| {
         let targets = (0..20).map(|_| set_up_target(&offer(ledger, now, 1).1));
         targets.filter(|o| *o == Some(exchange_id(1))).count()
     };
-    assert_eq!(direct(&mut ledger, T0 + 1001 * MS), 0);
+    assert_eq!(direct_calls(&mut ledger, T0 + 1001 * MS), 0);
     ledger.ramp_restored_groups(T0 + 1000 * MS + 3_000_000);
-    let regained = direct(&mut ledger, T0 + 1001 * MS + 3_000_000);
+    let regained = direct_calls(&mut ledger, T0 + 1001 * MS + 3_000_000);
     assert!(
         (1..=4).contains(&regained),
         "after a fifth of the ramp period, at most a fifth of the circuits: {regained}"
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -10,11 +10,11 @@
 const S: Micros = 1_000_000;
 
 fn settings() -> Settings {
-    let class = |aim, worth| Class {
-        latency_objective: aim,
+    let class = |latency_objective, value| Class {
+        latency_objective,
         client_timeout: 9 * S,
         late_value: 0.1,
-        value: worth,
+        value,
         retry_policy: RetryPolicy::Retryable,
         mean_hold_time: 10 * S,
         allowed_pools: Vec::new(),
@@ -58,10 +58,10 @@
     Event::GroupReport { exchange_id: exchange_id(n), report }
 }
 
-fn call(id: u32, to: u16) -> NewCall {
+fn call(id: u32, destination: u16) -> NewCall {
     NewCall {
         call: CallId(id),
-        destination: ExchangeNumber(to),
+        destination: ExchangeNumber(destination),
         transit: false,
         redialled: false,
         cut_before: false,
@@ -74,11 +74,11 @@
     }
 }
 
-fn outcome(id: u32, attempt: u8, at: u16, ending: Ending, cause: Cause) -> Outcome {
+fn outcome(id: u32, attempt: u8, exchange: u16, ending: Ending, cause: Cause) -> Outcome {
     Outcome {
         call: CallId(id),
         attempt: AttemptNumber(attempt),
-        exchange_id: exchange_id(at),
+        exchange_id: exchange_id(exchange),
         ending,
         cause,
         elapsed: 20 * MS,
@@ -87,8 +87,8 @@
     }
 }
 
-fn ended(id: u32, attempt: u8, at: u16, ending: Ending, cause: Cause) -> Event {
-    Event::Ended(outcome(id, attempt, at, ending, cause))
+fn ended(id: u32, attempt: u8, exchange: u16, ending: Ending, cause: Cause) -> Event {
+    Event::Ended(outcome(id, attempt, exchange, ending, cause))
 }
 
 /// A controller at exchange 0, with exchanges 1 to 4 and twenty free circuits toward each of them.
@@ -116,8 +116,8 @@
         out
     }
 
-    fn call(&mut self, id: u32, to: u16) -> Vec<Action> {
-        self.handle(Event::Call(call(id, to)))
+    fn call(&mut self, id: u32, destination: u16) -> Vec<Action> {
+        self.handle(Event::Call(call(id, destination)))
     }
 
     /// Advances the clock by `span` with regular ticks and returns all actions.
@@ -133,11 +133,11 @@
 }
 
 fn setups(actions: &[Action]) -> Vec<ExchangeId> {
-    let to = |a: &Action| match a {
+    let target = |action: &Action| match action {
         Action::SetUp { exchange_id, .. } => Some(*exchange_id),
         _ => None,
     };
-    actions.iter().filter_map(to).collect()
+    actions.iter().filter_map(target).collect()
 }
 
 fn final_answers(actions: &[Action]) -> usize {
@@ -199,8 +199,8 @@
     let transit = |id| NewCall { transit: true, via: Some(ExchangeNumber(3)), ..call(id, 1) };
     assert_eq!(setups(&bed.handle(Event::Call(transit(1)))), [exchange_id(1)]);
     bed.handle(group_report(1, 1.0));
-    let back = bed.handle(Event::Call(transit(2)));
-    assert_eq!((setups(&back).len(), final_answers(&back)), (0, 1));
+    let turned_back = bed.handle(Event::Call(transit(2)));
+    assert_eq!((setups(&turned_back).len(), final_answers(&turned_back)), (0, 1));
 }
 
 #[test]
@@ -263,13 +263,13 @@
         let transit = id % 2 == 0;
         let mut done = bed.handle(group_report(1, 20.0));
         done.extend(bed.handle(Event::Call(NewCall { transit, ..call(id, 1) })));
-        for a in done {
-            if let Action::SetUp { call, exchange_id: o, .. } = a {
-                got += usize::from(o == exchange_id(1));
+        for action in done {
+            if let Action::SetUp { call, exchange_id: target, .. } = action {
+                got += usize::from(target == exchange_id(1));
                 bed.handle(Event::Established {
                     call,
                     attempt: AttemptNumber(0),
-                    exchange_id: o,
+                    exchange_id: target,
                     setup_time: 20 * MS,
                 });
             }
@@ -283,8 +283,8 @@
     let mut bed = Testbed::new();
     bed.handle(Event::List(ListUpdate::Changes([entry(9)].into())));
     bed.handle(group_report(9, 20.0));
-    let out: usize = (0..10).map(|id| setups(&bed.call(id, 9)).len()).sum();
-    assert!(out <= 1);
+    let sent: usize = (0..10).map(|id| setups(&bed.call(id, 9)).len()).sum();
+    assert!(sent <= 1);
 }
 
 #[test]
@@ -305,17 +305,17 @@
     // Most tandems have no group to the destination and turn every call back.
     for id in 1..20u16 {
         bed.handle(group_report(id, 0.0));
-        let mut at = setups(&bed.call(u32::from(id), id));
+        let mut targets = setups(&bed.call(u32::from(id), id));
         for attempt in 0..6 {
-            let Some(n) = at.first().map(|o| u16::from(o.addr[3])) else { break };
-            at = setups(&bed.handle(ended(u32::from(id), attempt, n, Ending::Full, Cause::TurnedBack)));
+            let Some(n) = targets.first().map(|target| u16::from(target.addr[3])) else { break };
+            targets = setups(&bed.handle(ended(u32::from(id), attempt, n, Ending::Full, Cause::TurnedBack)));
         }
         bed.now += 200 * MS;
     }
     bed.handle(group_report(38, 0.0));
     let first = setups(&bed.call(500, 38))[0];
-    let back = ended(500, 0, u16::from(first.addr[3]), Ending::Full, Cause::TurnedBack);
-    assert!(setups(&bed.handle(back)).is_empty(), "no further attempt over an untested path");
+    let turned_back = ended(500, 0, u16::from(first.addr[3]), Ending::Full, Cause::TurnedBack);
+    assert!(setups(&bed.handle(turned_back)).is_empty(), "no further attempt over an untested path");
     // Another call suggests a tandem: the path through it is known to be open.
     bed.handle(Event::Call(NewCall { via: Some(ExchangeNumber(39)), ..call(501, 38) }));
     assert!(setups(&bed.advance(100 * MS)).contains(&exchange_id(39)));
@@ -366,8 +366,8 @@
     bed.handle(ended(1, 0, 1, Ending::Full, Cause::ProcessorFull(Some(200 * MS))));
     assert!(setups(&bed.call(2, 1)).is_empty());
     bed.now += 600 * MS;
-    let out: usize = (3..9).map(|id| setups(&bed.call(id, 1)).len()).sum();
-    assert_eq!(out, 1);
+    let sent: usize = (3..9).map(|id| setups(&bed.call(id, 1)).len()).sum();
+    assert_eq!(sent, 1);
 }
 
 #[test]
@@ -384,8 +384,8 @@
             setup_time: 900 * MS,
         });
     }
-    let out: usize = (100..110).map(|id| setups(&bed.call(id, 1)).len()).sum();
-    assert!(out <= 2, "{out} set-ups to a slow exchange");
+    let sent: usize = (100..110).map(|id| setups(&bed.call(id, 1)).len()).sum();
+    assert!(sent <= 2, "{sent} set-ups to a slow exchange");
 }
 
 #[test]
@@ -430,7 +430,7 @@
 }
 
 /// Feeds random events to a controller and checks the invariants on every action.
-fn check_rules(steps: &[(u8, u8, u8)]) -> Result<(), TestCaseError> {
+fn check_invariants(steps: &[(u8, u8, u8)]) -> Result<(), TestCaseError> {
     let s = settings();
     let mut c = Controller::new(s.clone(), 3);
     let mut now = 50 * S;
@@ -551,7 +551,7 @@
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[42; 32]);
     let config = Config { cases: 300, failure_persistence: None, ..Config::default() };
     let steps = prop::collection::vec(any::<(u8, u8, u8)>(), 0..600);
-    TestRunner::new_with_rng(config, rng).run(&steps, |s| check_rules(&s)).unwrap();
+    TestRunner::new_with_rng(config, rng).run(&steps, |s| check_invariants(&s)).unwrap();
 }
 
 #[test]
@@ -623,8 +623,8 @@
     assert!(bed.advance(600 * MS).is_empty());
     let (call, exchange_id) = (CallId(99), exchange_id(1));
     bed.handle(Event::Established { call, attempt: AttemptNumber(0), exchange_id, setup_time: 50 * MS });
-    let off = Action::Cancel { call: CallId(1), attempt: AttemptNumber(0) };
-    assert_eq!(bed.handle(Event::Timer(0)), [off]);
+    let cancel = Action::Cancel { call: CallId(1), attempt: AttemptNumber(0) };
+    assert_eq!(bed.handle(Event::Timer(0)), [cancel]);
     assert!(setups(&bed.handle(ended(1, 0, 1, Ending::Cancelled, Cause::None))).is_empty());
     assert!(setups(&bed.advance(300 * MS)).is_empty());
     assert_eq!(setups(&bed.advance(200 * MS)), [exchange_id]);
@@ -644,14 +644,14 @@
     let s = Settings { controller_count: SENDERS as u32, ..settings() };
     let mut beds: Vec<Testbed> = (0..SENDERS).map(|k| testbed_of(86, s.clone(), k << 20)).collect();
     // Each sends twelve set-ups per second, to the others in rotation, so each exchange receives as many.
-    let usual = 12.0;
+    let usual_rate = 12.0;
     let mut id = 0;
     let mut send = |bed: &mut Testbed, to: u16| {
         id += 1;
         let done = bed.call(id, to);
-        for &o in &setups(&done) {
+        for &target in &setups(&done) {
             let (call, attempt) = (CallId(id), AttemptNumber(0));
-            bed.handle(Event::Established { call, attempt, exchange_id: o, setup_time: 20 * MS });
+            bed.handle(Event::Established { call, attempt, exchange_id: target, setup_time: 20 * MS });
         }
         setups(&done).len()
     };
@@ -665,7 +665,7 @@
     let restarted = ListEntry { last_start: Some(started), ..entry(1) };
     beds.iter_mut()
         .for_each(|bed| drop(bed.handle(Event::List(ListUpdate::Changes([restarted.clone()].into())))));
-    // Every sender has calls to it all the time.
+    // From its restart on, every sender has a call to it in each tick.
     let mut reached = Vec::new();
     for tick in 0..100i64 {
         let got = beds.iter_mut().fold(0, |sum, bed| {
@@ -678,18 +678,18 @@
     for (at, span) in reached.windows(20).enumerate() {
         // The usual set-ups load the processor to 80 %, half of that for its own calls.
         let share = s.cold_start_capacity + (1.0 - s.cold_start_capacity) * at as f64 * 0.05 / 15.0;
-        let limit = s.overload_factor * share * usual * 2.0 / 0.8;
+        let limit = s.overload_factor * share * usual_rate * 2.0 / 0.8;
         let got: f64 = span.iter().sum();
         assert!(got < limit, "{got} set-ups in the second from {at}, limit {limit}");
     }
-    assert!(reached.iter().sum::<f64>() > 2.0 * usual, "its calls still get through");
+    assert!(reached.iter().sum::<f64>() > 2.0 * usual_rate, "its calls still get through");
 }
 
-fn established(id: u32, at: u16, setup_time: Micros) -> Event {
+fn established(id: u32, exchange: u16, setup_time: Micros) -> Event {
     Event::Established {
         call: CallId(id),
         attempt: AttemptNumber(0),
-        exchange_id: exchange_id(at),
+        exchange_id: exchange_id(exchange),
         setup_time,
     }
 }
@@ -699,24 +699,24 @@
     const N: u16 = 8;
     let mut bed = testbed_of(N, settings(), 7);
     let mut free = [20.0; N as usize];
-    let mut turn = 0;
+    let mut next_tandem = 0;
     for id in 0..500u32 {
         bed.now += 100 * MS;
-        let mixed = id.wrapping_mul(2_654_435_761) >> 8;
-        let (reported, to) = (1 + (mixed % 7) as u16, 1 + (mixed / 7 % 7) as u16);
-        free[usize::from(reported)] = f64::from(mixed / 49 % 6);
+        let hash = id.wrapping_mul(2_654_435_761) >> 8;
+        let (reported, to) = (1 + (hash % 7) as u16, 1 + (hash / 7 % 7) as u16);
+        free[usize::from(reported)] = f64::from(hash / 49 % 6);
         bed.handle(group_report(reported, free[usize::from(reported)]));
         // The basic design: direct, else the next tandem in rotation with headroom, else none.
         let room = |n: u16, least: f64| free[usize::from(n)] >= least;
-        let mut turns = (turn..N).chain(0..turn);
+        let mut rotation = (next_tandem..N).chain(0..next_tandem);
         let expected =
-            if room(to, 1.0) { Some(to) } else { turns.find(|&t| t != 0 && t != to && room(t, 3.0)) };
+            if room(to, 1.0) { Some(to) } else { rotation.find(|&t| t != 0 && t != to && room(t, 3.0)) };
         let got = setups(&bed.call(id, to));
         assert_eq!(got, expected.map(exchange_id).into_iter().collect::<Vec<_>>(), "call {id}");
         match expected {
             Some(t) => {
                 free[usize::from(t)] -= 1.0;
-                turn = if t == to { turn } else { t + 1 };
+                next_tandem = if t == to { next_tandem } else { t + 1 };
                 bed.handle(established(id, t, 20 * MS));
             }
             None => drop(bed.handle(Event::CallAbandoned(CallId(id)))),
@@ -740,12 +740,12 @@
 
 #[test]
 fn set_ups_overtaken_at_other_exchanges_are_cancelled_only_if_overdue_ones_prove_lost() {
-    let called_off = |proofs: u32| {
+    let cancelled = |losses: u32| {
         let mut bed = Testbed::new();
-        for id in 0..proofs {
+        for id in 0..losses {
             bed.call(id, 2);
-            let out = outcome(id, 0, 2, Ending::TimedOut, Cause::None);
-            bed.handle(Event::Ended(Outcome { call_ended: true, elapsed: 3 * S, ..out }));
+            let lost = outcome(id, 0, 2, Ending::TimedOut, Cause::None);
+            bed.handle(Event::Ended(Outcome { call_ended: true, elapsed: 3 * S, ..lost }));
             bed.advance(10 * S);
         }
         // Exchange 1 was quick the last time; then it answers nothing while exchange 3 does.
@@ -757,8 +757,8 @@
         bed.handle(established(52, 3, 20 * MS));
         bed.advance(100 * MS).contains(&Action::Cancel { call: CallId(51), attempt: AttemptNumber(0) })
     };
-    assert!(!called_off(0), "the set-up may only be slow");
-    assert!(called_off(10));
+    assert!(!cancelled(0), "the set-up may only be slow");
+    assert!(cancelled(10));
 }
 
 #[test]
@@ -807,7 +807,7 @@
 
 #[test]
 fn transit_is_turned_back_only_if_the_own_delay_is_long() {
-    let after = |setup_time: Micros| {
+    let transit_setups_after = |setup_time: Micros| {
         let mut bed = Testbed::new();
         for id in 0..12 {
             bed.call(id, 1 + (id % 4) as u16);
@@ -816,7 +816,7 @@
         }
         setups(&bed.handle(Event::Call(NewCall { transit: true, ..call(90, 1) }))).len()
     };
-    assert_eq!((after(600 * MS), after(1_000 * MS)), (1, 0));
+    assert_eq!((transit_setups_after(600 * MS), transit_setups_after(1_000 * MS)), (1, 0));
 }
 
 #[test]
@@ -825,8 +825,8 @@
     let mut size_after = |rounds: u32| {
         for k in 0..rounds {
             let fresh = ExchangeId { addr: [10, 1, (k >> 8) as u8, k as u8], port: 1 + (k >> 16) as u16 };
-            let come = ListEntry { exchange_id: fresh, ..entry(4) };
-            bed.handle(Event::List(ListUpdate::Changes([come.clone()].into())));
+            let added = ListEntry { exchange_id: fresh, ..entry(4) };
+            bed.handle(Event::List(ListUpdate::Changes([added.clone()].into())));
             bed.handle(Event::Call(NewCall {
                 number: Some(k.into()),
                 ..call(10_000 + k, 1 + (k % 4) as u16)
@@ -834,7 +834,7 @@
             bed.handle(ended(10_000 + k, 0, 1, Ending::Fault, Cause::LinesBusy));
             bed.handle(Event::CallAbandoned(CallId(10_000 + k)));
             bed.handle(Event::List(ListUpdate::Changes(
-                [ListEntry { state: ListState::Gone, ..come }].into(),
+                [ListEntry { state: ListState::Gone, ..added }].into(),
             )));
             bed.now += 40 * MS;
             bed.handle(Event::Timer(0));
@@ -1016,19 +1016,19 @@
 
 #[test]
 fn breaker_does_not_trip_for_each_loss_at_an_exchange_that_loses_some_answers() {
-    let after_silence = |mut bed: Testbed, unanswered: u32| {
+    let setups_after_losses = |mut bed: Testbed, unanswered: u32| {
         (500..500 + unanswered).for_each(|id| drop(bed.call(id, 1)));
         bed.advance(650 * MS);
         setups(&bed.call(600, 1)).len()
     };
     assert_eq!(
-        after_silence(Testbed::new(), 1),
+        setups_after_losses(Testbed::new(), 1),
         0,
         "the breaker of one that answers all trips for the first loss"
     );
-    assert_eq!(after_silence(lossy(20), 1), 1);
-    assert_eq!(after_silence(lossy(20), 4), 0, "four losses in a row are improbable");
-    // The breaker does not trip again either for a set-up lost on probation.
+    assert_eq!(setups_after_losses(lossy(20), 1), 1);
+    assert_eq!(setups_after_losses(lossy(20), 4), 0, "four losses in a row are improbable");
+    // A set-up lost on probation trips the breaker again, but not at an exchange that loses some answers anyway.
     for (mut bed, sends) in [(Testbed::new(), 0), (lossy(20), 1)] {
         bed.call(500, 1);
         bed.handle(ended(500, 0, 1, Ending::Unreachable, Cause::None));
@@ -1114,9 +1114,9 @@
 
 #[test]
 fn suspected_exchange_gets_one_set_up_at_a_time_and_is_a_tandem_of_last_resort() {
-    let suspect = |of: &[u16]| Event::Suspected(of.iter().map(|n| ExchangeNumber(*n)).collect());
+    let suspected = |numbers: &[u16]| Event::Suspected(numbers.iter().map(|n| ExchangeNumber(*n)).collect());
     let mut bed = Testbed::new();
-    bed.handle(suspect(&[1]));
+    bed.handle(suspected(&[1]));
     assert_eq!(setups(&bed.call(1, 1)), [exchange_id(1)], "only an answer shows whether it works");
     assert!(setups(&bed.call(2, 1)).is_empty());
     // The answer admits the next set-up, and the end of the suspicion admits all.
@@ -1127,13 +1127,13 @@
         setup_time: 10 * MS,
     });
     assert_eq!(setups(&bed.advance(40 * MS)).len(), 1);
-    bed.handle(suspect(&[]));
+    bed.handle(suspected(&[]));
     assert_eq!((setups(&bed.call(3, 1)).len(), setups(&bed.call(4, 1)).len()), (1, 1));
     // As a tandem it is skipped while another is available, and used where none is.
     let mut bed = Testbed::new();
     bed.handle(group_report(1, 0.0));
-    bed.handle(suspect(&[2, 3]));
+    bed.handle(suspected(&[2, 3]));
     assert!((0..3).all(|id| setups(&bed.call(id, 1)) == [exchange_id(4)]));
-    bed.handle(suspect(&[2, 3, 4]));
+    bed.handle(suspected(&[2, 3, 4]));
     assert_eq!(setups(&bed.call(9, 1)).len(), 1);
 }
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -8,7 +8,7 @@
 /// The platform sends SIGKILL this long after the longest client deadline.
 const KILL_DELAY: Micros = 700 * MS;
 
-fn offer(patience: Micros) -> OfferedCall {
+fn offer(remaining_time: Micros) -> OfferedCall {
     let new_call = NewCall {
         call: CallId(0),
         destination: ExchangeNumber(1),
@@ -17,7 +17,7 @@
         cut_before: false,
         number: None,
         circuits: 1,
-        remaining_time: patience,
+        remaining_time,
         class: 0,
         via: None,
         earliest_attempt: 0,
@@ -68,7 +68,10 @@
     ledger.take_outputs();
     for n in 0..50 {
         let call = ledger.offer(20 * MS + n, offer(3_000 * MS));
-        let refused = |o: &Output| matches!(o, Output::Answer { call: c, answer: Answer::Refused { retry_after }, reason: AnswerReason::Shutdown, .. } if *c == call && *retry_after == 2_000 * MS);
+        let refused = |o: &Output| {
+            matches!(o, Output::Answer { call: c, answer: Answer::Refused { retry_after }, reason: AnswerReason::Shutdown, .. }
+                if *c == call && *retry_after == 2_000 * MS)
+        };
         let outputs = ledger.take_outputs();
         assert_eq!(outputs.iter().filter(|o| refused(o)).count(), 1);
         assert!(!outputs.iter().any(|o| matches!(o, Output::SetUp { .. })));
