--- a/src/routing/ledger.rs
+++ b/src/routing/ledger.rs
@@ -2,7 +2,7 @@
 //! release. It runs the decision module and enforces the call-handling rules for every front end.
 //!
 //! Each rule is enforced in one place: a single final answer per call (`Ledger::finish_call`); at most one attempt
-//! in progress, the drain grace and the quiet period (`Ledger::send_set_up`).
+//! in progress, the drain grace and the quiet period (`Ledger::send_setup`).
 
 use super::administrative_state::AdministrativeState;
 use super::control::Controller;
@@ -662,7 +662,7 @@
         for action in actions {
             match action {
                 Action::SetUp { call, exchange_id, timeout } => {
-                    self.send_set_up(now, call, exchange_id, timeout)
+                    self.send_setup(now, call, exchange_id, timeout)
                 }
                 Action::SetTimer { after, token } => {
                     self.outputs.push(Output::SetTimer(now + after, LedgerTimer::Controller(token)));
@@ -686,7 +686,7 @@
 
     /// Sends a set-up unless a rule forbids it. One blocked by the drain grace or the quiet period is reported
     /// to the decision module as not sent.
-    fn send_set_up(&mut self, now: Micros, call: CallId, exchange_id: ExchangeId, timeout: Option<Micros>) {
+    fn send_setup(&mut self, now: Micros, call: CallId, exchange_id: ExchangeId, timeout: Option<Micros>) {
         let Some(entry) = self.calls.get_mut(&call) else {
             *self.counts.blocked.entry(BlockReason::SecondAttempt).or_default() += 1;
             return;
--- a/src/routing/shutdown.rs
+++ b/src/routing/shutdown.rs
@@ -18,7 +18,7 @@
 /// Time for connections to close after that (µs).
 const CLOSING_PERIOD: Micros = 1_500_000;
 
-/// A phase of a shutdown. The rules of the earlier phases stay in force in the later ones.
+/// A phase of a shutdown. Each phase adds to the restrictions of the earlier ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
     /// Health probes are answered negatively, so that callers move to another instance; new calls are still accepted.
--- a/tests/out_of_service.rs
+++ b/tests/out_of_service.rs
@@ -149,7 +149,7 @@
             ledger.out_of_service_changed(restored_at, out_of_service(&[], &[], false));
         }
         ledger.take_outputs();
-        // In a burst, an exchange in its cold start gets only the calls its capacity allows so far, a warm one its
+        // In a burst, an exchange in its cold start gets only as many calls as it has accrued credit for, a warm one its
         // full share.
         (0..10)
             .filter(|n| set_up_target(&offer(&mut ledger, restored_at + n * MS, 1).1) == Some(exchange_id(1)))
