--- a/examples/console_cost.rs
+++ b/examples/console_cost.rs
@@ -126,9 +126,10 @@
 fn run(args: &Args, rate: f64, consoles: usize) -> Result<(), Failure> {
     let folder = std::env::temp_dir().join(format!("wh-cost-{}", std::process::id()));
     let hold = Duration::from_secs(1);
-    let traits =
+    let exchange_config =
         |seed| ExchangeConfig { circuits: (rate * 2.0) as u32, delay: Duration::from_millis(5), hold, seed };
-    let exchanges = (0..4).map(|n| Exchange::start(None, traits(n))).collect::<Result<Vec<_>, _>>()?;
+    let exchanges =
+        (0..4).map(|n| Exchange::start(None, exchange_config(n))).collect::<Result<Vec<_>, _>>()?;
     let (child, caller_address) = start(args, &folder, &exchanges)?;
     std::thread::sleep(Duration::from_millis(1500));
     let mut stalled = Vec::new();
--- a/examples/gossip_tables.rs
+++ b/examples/gossip_tables.rs
@@ -169,13 +169,13 @@
 
 struct Site {
     ledger: Ledger,
-    deadlines: TimerQueue<LedgerTimer>,
+    timers: TimerQueue<LedgerTimer>,
     /// Outstanding set-ups and established calls.
     calls: BTreeMap<CallId, (AttemptNumber, ExchangeId, usize)>,
     sent_to_hung: Vec<Micros>,
 }
 
-fn office(i: usize) -> ExchangeId {
+fn exchange_id(i: usize) -> ExchangeId {
     ExchangeId { addr: [10, 0, 0, i as u8], port: 5060 }
 }
 
@@ -209,15 +209,15 @@
         exchange: ExchangeNumber(j as u16),
         zone: 0,
         state: ListState::Ready,
-        exchange_id: office(j),
+        exchange_id: exchange_id(j),
         last_start: None,
     };
     ledger.list_update(0, ListUpdate::Cached((0..SITES).map(entry).collect()));
     for j in (0..SITES).filter(|j| *j != i) {
         let report = LoadReport { free: Some(60.0), size: Some(60.0), ..LoadReport::default() };
-        ledger.group_report(0, office(j), report);
+        ledger.group_report(0, exchange_id(j), report);
     }
-    Site { ledger, deadlines: TimerQueue::default(), calls: BTreeMap::new(), sent_to_hung: Vec::new() }
+    Site { ledger, timers: TimerQueue::default(), calls: BTreeMap::new(), sent_to_hung: Vec::new() }
 }
 
 enum Scheduled {
@@ -299,8 +299,8 @@
             Output::Clear { call, exchange_id, .. } if self.sites[i].calls.remove(&call).is_some() => {
                 self.release_circuit(i, usize::from(exchange_id.addr[3]));
             }
-            Output::AttemptEnded { call, exchange: Some(leg), ending, .. } => {
-                let e = Exchange(leg.0);
+            Output::AttemptEnded { call, exchange: Some(first_hop), ending, .. } => {
+                let e = Exchange(first_hop.0);
                 let call = u64::from(call.0);
                 self.with_node(i, |n, now| match ending {
                     Ending::TimedOut | Ending::Cancelled => n.set_up_timed_out(now, e, call),
@@ -308,17 +308,17 @@
                     _ => n.set_up_abandoned(now, e, call),
                 });
             }
-            Output::Answer { call, answer, offered_at: taken, destination, last_attempt: last, .. } => {
+            Output::Answer { call, answer, offered_at, destination, last_attempt, .. } => {
                 let other = usize::from(usize::from(destination.0) != HUNG_SITE);
                 if let Answer::Established(_) = answer {
-                    self.within_objective[other] += u32::from(now - taken <= 1_200_000);
-                    if let Some(last) = last {
-                        let (e, took) = (Exchange(last.exchange.map_or(0, |l| l.0)), last.setup_time);
-                        self.with_node(i, |n, now| n.set_up_answered(now, e, u64::from(call.0), took));
+                    self.within_objective[other] += u32::from(now - offered_at <= 1_200_000);
+                    if let Some(last) = last_attempt {
+                        let (e, setup_time) = (Exchange(last.exchange.map_or(0, |e| e.0)), last.setup_time);
+                        self.with_node(i, |n, now| n.set_up_answered(now, e, u64::from(call.0), setup_time));
                     }
                 }
             }
-            Output::SetTimer(at, due) => self.sites[i].deadlines.add(at, due),
+            Output::SetTimer(at, timer) => self.sites[i].timers.add(at, timer),
             _ => {}
         }
     }
@@ -329,7 +329,7 @@
         let free = f64::from(60u32.saturating_sub(*in_use));
         for (a, b) in [(i, j), (j, i)] {
             let report = LoadReport { free: Some(free), size: Some(60.0), ..LoadReport::default() };
-            self.sites[a].ledger.group_report(self.now, office(b), report);
+            self.sites[a].ledger.group_report(self.now, exchange_id(b), report);
         }
     }
 
@@ -337,7 +337,7 @@
         let mut to = self.rng.usize(0..SITES - 1);
         to += usize::from(to >= i);
         self.offered[usize::from(to != HUNG_SITE)] += 1;
-        let ask = NewCall {
+        let new_call = NewCall {
             call: CallId(0),
             destination: ExchangeNumber(to as u16),
             transit: false,
@@ -352,7 +352,7 @@
         };
         self.sites[i]
             .ledger
-            .offer(self.now, OfferedCall { frontend: FrontendId(0), new_call: ask, description: None });
+            .offer(self.now, OfferedCall { frontend: FrontendId(0), new_call, description: None });
         self.process_outputs(i);
     }
 
@@ -382,8 +382,8 @@
                 }
                 Scheduled::Release(i, call, attempt) => {
                     if let Some((_, _, j)) = self.sites[i].calls.remove(&call) {
-                        let how = (Ending::Completed, Cause::None);
-                        self.sites[i].ledger.attempt_ended(now, call, attempt, how, LoadReport::default());
+                        let ending = (Ending::Completed, Cause::None);
+                        self.sites[i].ledger.attempt_ended(now, call, attempt, ending, LoadReport::default());
                         self.release_circuit(i, j);
                         self.process_outputs(i);
                     }
@@ -391,8 +391,8 @@
             }
         }
         for i in 0..SITES {
-            while let Some(due) = self.sites[i].deadlines.pop_expired(now) {
-                self.sites[i].ledger.timer_expired(now, due);
+            while let Some(timer) = self.sites[i].timers.pop_expired(now) {
+                self.sites[i].ledger.timer_expired(now, timer);
                 self.process_outputs(i);
             }
         }
--- a/src/program/alarms.rs
+++ b/src/program/alarms.rs
@@ -110,9 +110,15 @@
         add("window", w.name.clone(), f64::from(u8::from(denied)), immediate(Severity::Warning), text);
     }
     if let Some(Stage::Halted(reason)) = registry.plan().map(|p| &p.stage) {
-        // A round that an operator halted needs no alarm.
-        let halted_itself = f64::from(u8::from(!reason.starts_with("halted by")));
-        add("round", String::new(), halted_itself, immediate(Severity::Warning), format!("halted: {reason}"));
+        // A round that an operator halted raises no alarm: the operators know of it.
+        let halted_automatically = f64::from(u8::from(!reason.starts_with("halted by")));
+        add(
+            "round",
+            String::new(),
+            halted_automatically,
+            immediate(Severity::Warning),
+            format!("halted: {reason}"),
+        );
     }
     let text = "drains that are in force would not survive a restart".to_owned();
     add(
--- a/src/program/appliance.rs
+++ b/src/program/appliance.rs
@@ -65,7 +65,7 @@
     /// Configured trunk groups between other exchanges.
     links: BTreeSet<(ExchangeNumber, ExchangeNumber)>,
     sessions: Sessions,
-    /// The queue to each client's connection; it holds at most one piece of data.
+    /// The queue to each client's connection; it holds at most one batch of messages.
     write_queues: HashMap<ClientId, Sender<Vec<u8>>>,
     /// Clients that wait for the answer to an order, with the id of their request.
     waiters: BTreeMap<WaiterId, (ClientId, String)>,
@@ -454,7 +454,7 @@
         }
     }
 
-    /// Passes the pending messages of a client to its connection, if that has taken the previous piece.
+    /// Passes a batch of the pending messages of a client to its connection, if that has taken the previous batch.
     fn send_pending(&mut self, client: ClientId) {
         let Some(queue) = self.write_queues.get(&client).filter(|q| q.is_empty()) else { return };
         let mut bytes = Vec::new();
@@ -582,7 +582,7 @@
     }
 
     fn set_log(&mut self, now: Now, operator: &str, filter: Option<String>) -> Result<Body, String> {
-        let log = self.log.clone().ok_or("log: none is kept here")?;
+        let log = self.log.clone().ok_or("log: the filter of this process cannot be changed")?;
         if let Some(filter) = filter {
             log.set_filter(&filter).map_err(|e| e.to_string())?;
             self.publish_event(now, "program", format!("{operator} sets the log to {filter}"));
--- a/src/program/cli.rs
+++ b/src/program/cli.rs
@@ -66,7 +66,7 @@
     /// Check or print the configuration
     Config {
         #[command(subcommand)]
-        what: ConfigCommand,
+        command: ConfigCommand,
     },
     /// Run a controller with simulated exchanges and callers on this machine, and open its console
     Demo(demo::Args),
@@ -100,11 +100,11 @@
         Some(Command::Console { socket, appliance }) => console(socket, appliance),
         Some(Command::Ctl(args)) => ctl::main(args),
         Some(Command::Demo(args)) => demo::main(&args),
-        Some(Command::Config { what: ConfigCommand::Check(a) }) => print_result(check(&a)),
-        Some(Command::Config { what: ConfigCommand::Show(a) }) => {
+        Some(Command::Config { command: ConfigCommand::Check(a) }) => print_result(check(&a)),
+        Some(Command::Config { command: ConfigCommand::Show(a) }) => {
             print_result(config::load(&a, run::environment).map(|c| c.summary()))
         }
-        Some(Command::Config { what: ConfigCommand::Schema }) => {
+        Some(Command::Config { command: ConfigCommand::Schema }) => {
             print(&serde_json::to_string_pretty(&appliance_file::schema()).unwrap_or_default())
         }
         Some(Command::Completions { shell }) => {
--- a/src/program/config.rs
+++ b/src/program/config.rs
@@ -14,7 +14,7 @@
 /// An error in the configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// A file can't be read.
+    /// A file cannot be read.
     #[error("{key}: cannot read {path}: {reason}")]
     File {
         /// The key or file name that the error is reported under.
@@ -286,9 +286,9 @@
     let class = position.ok_or_else(|| {
         invalid("mgcp.class", format!("found {class:?}, expected a name in settings.classes"))
     })?;
-    let patience = file.patience_ms.unwrap_or(3_000);
-    if !(200..=600_000).contains(&patience) {
-        return Err(invalid("mgcp.patience_ms", format!("found {patience}, expected 200 to 600000")));
+    let patience_ms = file.patience_ms.unwrap_or(3_000);
+    if !(200..=600_000).contains(&patience_ms) {
+        return Err(invalid("mgcp.patience_ms", format!("found {patience_ms}, expected 200 to 600000")));
     }
     let digits = file.digits.unwrap_or(4);
     if !(1..=32).contains(&digits) {
@@ -321,7 +321,10 @@
         if endpoints.is_empty() || endpoints.len() != g.endpoints.len() || endpoints.iter().any(malformed) {
             return Err(invalid(
                 &key("endpoints"),
-                format!("found {:?}, expected distinct names without @, *, $ and spaces", g.endpoints),
+                format!(
+                    "found {:?}, expected one or more distinct names without @, *, $ and spaces",
+                    g.endpoints
+                ),
             ));
         }
         let answered_by = match g.answered_by.as_deref() {
@@ -341,8 +344,8 @@
         return Err(ConfigError::Missing("mgcp.gateway".to_owned()));
     }
     let routes = file.route.into_iter().map(|r| (r.prefix, ExchangeNumber(r.exchange))).collect();
-    let patience = Micros::from(patience) * 1000;
-    let agent = AgentConfig { gateways, routes, number_length: digits, class, client_timeout: patience };
+    let client_timeout = Micros::from(patience_ms) * 1000;
+    let agent = AgentConfig { gateways, routes, number_length: digits, class, client_timeout };
     Ok(Some(MgcpConfig { listen, agent }))
 }
 
--- a/src/program/console.rs
+++ b/src/program/console.rs
@@ -32,7 +32,7 @@
 }
 
 /// Executes a command. Returns its answer and its effect, if any.
-pub fn execute(scene: &Snapshot<'_>, line: &str) -> (String, Option<Action>) {
+pub fn execute(snapshot: &Snapshot<'_>, line: &str) -> (String, Option<Action>) {
     let mut words = line.split_whitespace();
     let (mut out, mut action) = (String::new(), None);
     // Writing to a string cannot fail.
@@ -40,7 +40,7 @@
         (None, _) => {}
         (Some("help"), None) => out.push_str(HELP),
         (Some("status"), None) => {
-            let s = scene.status();
+            let s = snapshot.status();
             let _ = write!(
                 out,
                 "state {}, up {} s\ncalls.open {}\ncalls.standing {}\nconnections {}\ndeadlines {}\n",
@@ -48,7 +48,7 @@
             );
         }
         (Some("exchanges"), None) => {
-            for e in scene.exchanges() {
+            for e in snapshot.exchanges() {
                 let connection = if e.connected { "connected" } else { "not connected" };
                 let (free, size) = (e.free.unwrap_or(-1.0), e.size.unwrap_or(-1.0));
                 let _ = writeln!(
@@ -59,7 +59,7 @@
             }
         }
         (Some("calls"), None) => {
-            let (calls, total) = scene.calls("", MAX_LISTED_CALLS);
+            let (calls, total) = snapshot.calls("", MAX_LISTED_CALLS);
             for c in &calls {
                 let _ = writeln!(out, "{}", call_line(c));
             }
@@ -68,11 +68,11 @@
             }
         }
         (Some("counters"), None) => {
-            for (name, value) in (scene.counters)() {
+            for (name, value) in (snapshot.counters)() {
                 let _ = writeln!(out, "{name:28} {value}");
             }
         }
-        (Some("config"), None) => out = scene.config.summary(),
+        (Some("config"), None) => out = snapshot.config.summary(),
         (Some("drain"), word @ (None | Some("off"))) => {
             action = Some(Action::Drain(word.is_none()));
             out =
--- a/src/program/ctl.rs
+++ b/src/program/ctl.rs
@@ -30,7 +30,7 @@
     #[arg(long, global = true, value_name = "SECONDS", num_args = 0..=1, default_missing_value = "1")]
     watch: Option<f64>,
     #[command(subcommand)]
-    what: Command,
+    command: Command,
 }
 
 /// Action at the time limit of a drain.
@@ -137,7 +137,7 @@
     Log {
         /// New filter, for example info,walnuthatch::drains=debug
         #[arg(value_name = "FILTER")]
-        level: Option<String>,
+        filter: Option<String>,
     },
     /// Stop the controller after all accepted calls have been answered
     Stop,
@@ -147,7 +147,7 @@
 
 /// Runs a `ctl` command.
 pub fn main(args: Args) -> Exit {
-    if matches!(args.what, Command::Schema) {
+    if matches!(args.command, Command::Schema) {
         return print(&serde_json::to_string_pretty(&schema()).unwrap_or_default());
     }
     let path = match control_socket(args.socket.clone(), args.appliance.clone()) {
@@ -185,7 +185,7 @@
 
 fn run(connection: &mut Connection, args: &Args) -> Result<Exit, ClientError> {
     let show = |topic| Operation::Show { topic, search: String::new() };
-    let operation = match args.what.clone() {
+    let operation = match args.command.clone() {
         Command::Status => show(Topic::Status),
         Command::Exchanges => show(Topic::Exchanges),
         Command::Calls { search } => Operation::Show { topic: Topic::Calls, search },
@@ -199,7 +199,7 @@
         Command::Suspicions => show(Topic::Suspicions),
         Command::Audit => Operation::Audit,
         Command::Config => Operation::Config,
-        Command::Log { level } => Operation::Log { filter: level },
+        Command::Log { filter } => Operation::Log { filter },
         Command::Seen { alarm } => Operation::Seen { alarm: alarm.join(" ") },
         Command::Stop => Operation::Stop,
         Command::Round { targets, reason, pause } => {
--- a/src/program/demo.rs
+++ b/src/program/demo.rs
@@ -119,7 +119,7 @@
         .clone()
         .unwrap_or_else(|| std::env::temp_dir().join(format!("walnuthatch-demo-{}", std::process::id())));
     std::fs::create_dir_all(&folder).map_err(io_error("creating the working directory"))?;
-    // 1.5 times the circuits that the load needs, so that the others can carry the calls of a drained exchange.
+    // 1.5 times the circuits that the load needs, and 10 more, so that the others can carry the calls of a drained exchange.
     let busy_circuits = args.rate * MEAN_HOLD_TIME.as_secs_f64() / f64::from(args.exchanges);
     let circuits = (busy_circuits * 1.5).ceil() as u32 + 10;
     let exchanges = (1..=args.exchanges)
--- a/src/program/event_loop.rs
+++ b/src/program/event_loop.rs
@@ -230,9 +230,7 @@
                 }
             }
             Inbound::Control(event) => {
-                self.with_appliance(now, |a, clocks, snapshot| {
-                    a.handle_control_event(clocks, event, snapshot)
-                });
+                self.with_appliance(now, |a, times, snapshot| a.handle_control_event(times, event, snapshot));
             }
             Inbound::Stop => self.stop(now),
             Inbound::ListenerClosed => {
@@ -367,10 +365,14 @@
                     self.callers.reading_stopped(conn);
                 }
             }
-            (Side::Exchanges, ConnEvent::PartialLine(half)) => self.upstream.partial_message(now, conn, half),
-            (Side::Callers, ConnEvent::PartialLine(half)) => self.callers.partial_message(now, conn, half),
-            (side, ConnEvent::Closed(closing)) => {
-                tracing::debug!(target: CONNECTIONS_TARGET, ?side, conn = conn.0, "closed: {closing:?}");
+            (Side::Exchanges, ConnEvent::PartialLine(partial)) => {
+                self.upstream.partial_message(now, conn, partial)
+            }
+            (Side::Callers, ConnEvent::PartialLine(partial)) => {
+                self.callers.partial_message(now, conn, partial)
+            }
+            (side, ConnEvent::Closed(reason)) => {
+                tracing::debug!(target: CONNECTIONS_TARGET, ?side, conn = conn.0, "closed: {reason:?}");
                 // The only place that removes an outbox.
                 self.outboxes.remove(&(side, conn));
                 match side {
@@ -378,7 +380,7 @@
                         let abandoned = self.callers.closed(now, conn);
                         abandoned.into_iter().for_each(|call| self.ledger.caller_left(now, call));
                     }
-                    Side::Exchanges => self.upstream.closed(now, conn, closing),
+                    Side::Exchanges => self.upstream.closed(now, conn, reason),
                 }
             }
             (Side::Callers, ConnEvent::Connected) | (Side::Exchanges, ConnEvent::Accepted(_)) => {}
@@ -447,8 +449,8 @@
             ListUpdate::Cached(_) => ListUpdate::Cached(with_gateways()),
             other => other,
         };
-        for (entry, place) in entries.iter().zip(&update.addresses) {
-            let (member, state) = (&place.member, entry.state);
+        for (entry, address) in entries.iter().zip(&update.addresses) {
+            let (member, state) = (&address.member, entry.state);
             tracing::debug!(target: "walnuthatch::list", index = update.index, %member, "{state:?}");
         }
         // The ledger first: its drain check must know the new states before anything else is done.
--- a/src/program/event_loop/stop.rs
+++ b/src/program/event_loop/stop.rs
@@ -44,7 +44,7 @@
             && (established_done || phase >= Phase::Closing)
     }
 
-    /// Starts a shutdown: new calls are accepted for a short time yet, and every accepted call is answered.
+    /// Starts a shutdown: new calls are still accepted for a short time, and every accepted call is answered.
     pub fn stop(&mut self, now: Micros) {
         if self.stopping.is_none() {
             let longest_deadline =
--- a/src/program/gossip.rs
+++ b/src/program/gossip.rs
@@ -71,8 +71,8 @@
         self.node.set_key_ring(config.key_ring.clone());
     }
 
-    /// Reports an output of the ledger to the node. Only a timeout on a direct route counts as evidence against the
-    /// exchange: a set-up that times out over a tandem may have been lost beyond it.
+    /// Reports an output of the ledger to the node. A set-up that ends without an answer counts as evidence against the
+    /// exchange only on the direct route: over a tandem it may have been lost beyond the tandem.
     pub fn observe(&mut self, now: Micros, output: &LedgerOutput, ledger: &Ledger) {
         match output {
             LedgerOutput::SetUp { call, exchange_id, .. } => {
--- a/src/program/log.rs
+++ b/src/program/log.rs
@@ -129,19 +129,21 @@
 pub fn log_call_output(output: &Output, sid: Option<Sid>) {
     let sid = sid.map(tracing::field::display);
     match output {
-        Output::Answer { call, answer, reason, destination, last_attempt: last, .. } => {
+        Output::Answer { call, answer, reason, destination, last_attempt, .. } => {
             let answer = match answer {
                 Answer::Established(_) => "stands",
                 Answer::Refused { .. } => "refused",
                 Answer::Failed => "failed",
             };
             let exchange = destination.0;
-            let last = last.and_then(|l| l.failure);
-            tracing::debug!(target: CALLS_TARGET, sid, call = call.0, exchange, ?reason, ?last, "{answer}");
+            let failure = last_attempt.and_then(|a| a.failure);
+            tracing::debug!(target: CALLS_TARGET, sid, call = call.0, exchange, ?reason, last = ?failure, "{answer}");
         }
-        Output::SetUp { call, attempt, timeout: wait, exchange_id } => {
-            let (attempt, office) = (attempt.0, u32::from_be_bytes(exchange_id.addr));
-            tracing::debug!(target: CALLS_TARGET, sid, call = call.0, attempt, office, wait, "set-up sent");
+        Output::SetUp { call, attempt, timeout, exchange_id } => {
+            let (attempt, address) = (attempt.0, u32::from_be_bytes(exchange_id.addr));
+            tracing::debug!(
+                target: CALLS_TARGET, sid, call = call.0, attempt, office = address, wait = timeout, "set-up sent"
+            );
         }
         Output::Clear { call, attempt, .. } => {
             let attempt = attempt.0;
--- a/src/program/telemetry.rs
+++ b/src/program/telemetry.rs
@@ -76,11 +76,11 @@
                 (Signal::Spans, encoder.spans(&spans[..span_count]), span_count)
             }
         };
-        let verdict = match http::post(collector, signal.path(), &body).await {
+        let result = match http::post(collector, signal.path(), &body).await {
             Ok(r) => interpret_response(signal, r.status, r.retry_after.as_deref(), &r.body),
             Err(_) => ExportResult::Retry(None),
         };
-        match verdict {
+        match result {
             ExportResult::Accepted { rejected } => {
                 add(&counters.accepted, 1);
                 add(&counters.rejected, rejected);
--- a/src/program/views.rs
+++ b/src/program/views.rs
@@ -71,7 +71,7 @@
     pub fn status(&self) -> Status {
         let count = |state: Option<ListState>| {
             let exchanges = self.ledger.administrative_state().exchanges();
-            exchanges.filter(|o| state.is_none_or(|s| o.0.state == s)).count()
+            exchanges.filter(|(e, _)| state.is_none_or(|s| e.state == s)).count()
         };
         Status {
             name: self.config.name.clone(),
@@ -100,27 +100,26 @@
                     address: String,
                     state,
                     connected| {
-            let known = circuits.get(exchange_id);
-            let Load { pending_setups: out, established: standing } =
-                loads.load(Target::Group(target::Exchange(exchange.0)));
+            let group = circuits.get(exchange_id);
+            let load = loads.load(Target::Group(target::Exchange(exchange.0)));
             Exchange {
                 exchange: exchange.0,
                 member: name.to_owned(),
                 address,
                 listed: list_state_name(state).to_owned(),
                 connected,
-                free: known.map(|f| f.0),
-                size: known.map(|f| f.1),
-                out,
-                standing,
-                report_age_ms: known.map(|f| ms(self.now - f.2)),
+                free: group.map(|g| g.0),
+                size: group.map(|g| g.1),
+                out: load.pending_setups,
+                standing: load.established,
+                report_age_ms: group.map(|g| ms(self.now - g.2)),
                 ..Exchange::default()
             }
         };
         let list = self.ledger.administrative_state();
-        let machines = self.upstream.views().filter_map(|(exchange_id, place, state, connected)| {
+        let machines = self.upstream.views().filter_map(|(exchange_id, address, state, connected)| {
             let exchange = list.exchange_of(exchange_id)?;
-            Some(view(&exchange_id, exchange, &place.member, place.address.to_string(), state, connected))
+            Some(view(&exchange_id, exchange, &address.member, address.address.to_string(), state, connected))
         });
         let gateways = self.agent.iter().flat_map(|a| a.gateway_summaries().zip(a.list_entries()));
         let gateways = gateways.map(|((name, state, free, total), e)| {
@@ -226,7 +225,7 @@
         let own = self.snapshot.config.settings.own_exchange;
         let mut all: BTreeMap<ExchangeNumber, Neighbour> = BTreeMap::new();
         for (e, group) in
-            self.snapshot.ledger.administrative_state().exchanges().filter(|o| Some(o.0.exchange) != own)
+            self.snapshot.ledger.administrative_state().exchanges().filter(|(e, _)| Some(e.exchange) != own)
         {
             let ready = e.state == ListState::Ready;
             let n = Neighbour { exchange: target::Exchange(e.exchange.0), ready, group };
--- a/src/transport/control.rs
+++ b/src/transport/control.rs
@@ -124,9 +124,9 @@
         };
         let client = ClientId(next_id);
         next_id += 1;
-        // One message at a time: the next one is created when this one has been written.
-        let (frames, queue) = bounded(1);
-        if inbox.send(Inbound::Control(ControlEvent::Connected(client, frames))).await.is_err() {
+        // One batch of messages at a time: the next one is made when this one has been written.
+        let (batches, queue) = bounded(1);
+        if inbox.send(Inbound::Control(ControlEvent::Connected(client, batches))).await.is_err() {
             return;
         }
         let inbox = inbox.clone();
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -51,11 +51,11 @@
 /// An event of the control socket or of the state folder.
 #[derive(Debug)]
 pub enum ControlEvent {
-    /// A client connected; data for it goes into this queue, one message at a time.
+    /// A client connected; messages for it go into this queue, one batch at a time.
     Connected(ClientId, async_channel::Sender<Vec<u8>>),
     /// Data was received from a client.
     Received(ClientId, Vec<u8>),
-    /// The queued message was written to the client.
+    /// The queued batch of messages was written to the client.
     Written(ClientId),
     /// The connection of a client has ended.
     Disconnected(ClientId),
--- a/src/transport/streams.rs
+++ b/src/transport/streams.rs
@@ -118,7 +118,7 @@
         outbox.wait_for_abort().await;
         None
     };
-    let closing = match future::or(connect, aborted).await {
+    let reason = match future::or(connect, aborted).await {
         Some(Ok(stream)) => {
             set_socket_options(&stream);
             if inbox.send(to_inbound(ConnEvent::Connected)).await.is_ok() {
@@ -131,7 +131,7 @@
         None => CloseReason::ClosedLocally,
     };
     // Sending fails only when the event loop has ended, and the event is not needed then.
-    drop(inbox.send(to_inbound(ConnEvent::Closed(closing))).await);
+    drop(inbox.send(to_inbound(ConnEvent::Closed(reason))).await);
 }
 
 fn set_socket_options(stream: &Async<TcpStream>) {
@@ -140,7 +140,7 @@
         .with_time(KEEPALIVE_INTERVAL)
         .with_interval(KEEPALIVE_INTERVAL)
         .with_retries(3);
-    // Both options are optimisations; the connection also works without them.
+    // Errors are ignored: without these options answers are slower and a dead remote end is noticed later.
     drop(socket.set_tcp_nodelay(true));
     drop(socket.set_tcp_keepalive(&keepalive));
 }
@@ -148,7 +148,7 @@
 /// Serves a connection until it ends. The descriptor is closed when this returns.
 async fn serve(stream: Async<TcpStream>, side: Side, conn: ConnId, outbox: Outbox, inbox: Sender<Inbound>) {
     let invalid_line = Cell::new(false);
-    let closing = future::or(write(&stream, &outbox), async {
+    let reason = future::or(write(&stream, &outbox), async {
         future::or(read(&stream, side, conn, &inbox, &outbox, &invalid_line), async {
             outbox.wait_for_abort().await;
             CloseReason::ClosedLocally
@@ -156,14 +156,14 @@
         .await
     })
     .await;
-    if side == Side::Callers && closing == CloseReason::ClosedLocally {
+    if side == Side::Callers && reason == CloseReason::ClosedLocally {
         future::or(outbox.wait_for_abort(), close_gracefully(&stream, invalid_line.get())).await;
     }
     if fault_injected(InjectedFault::LeakedConnection) {
         std::mem::forget(stream.get_ref().try_clone());
     }
     drop(stream);
-    drop(inbox.send(Inbound::Conn(side, conn, ConnEvent::Closed(closing))).await);
+    drop(inbox.send(Inbound::Conn(side, conn, ConnEvent::Closed(reason))).await);
 }
 
 /// Closes the connection of a caller that may still be sending. Closing a socket with unread data would reset the
