--- a/src/program/appliance.rs
+++ b/src/program/appliance.rs
@@ -63,7 +63,7 @@
     alarms: Alarms,
     thresholds: Thresholds,
     /// Configured trunk groups between other exchanges.
-    links: BTreeSet<(ExchangeNumber, ExchangeNumber)>,
+    trunk_groups: BTreeSet<(ExchangeNumber, ExchangeNumber)>,
     sessions: Sessions,
     /// The queue to each client's connection; it holds at most one batch of messages.
     write_queues: HashMap<ClientId, Sender<Vec<u8>>>,
@@ -131,7 +131,7 @@
             exchange_metrics: MetricsByExchange::default(),
             alarms: Alarms::default(),
             thresholds: config.alarms,
-            links: config.trunk_groups.clone(),
+            trunk_groups: config.trunk_groups.clone(),
             sessions: Sessions::default(),
             write_queues: HashMap::new(),
             waiters: BTreeMap::new(),
@@ -155,7 +155,7 @@
         let policy = walnuthatch_drains::policy::Policy { grace: drain_grace, ..config.policy.clone() };
         self.registry.reload(policy, config.windows.clone());
         self.thresholds = config.alarms;
-        self.links.clone_from(&config.trunk_groups);
+        self.trunk_groups.clone_from(&config.trunk_groups);
         if let (Some(log), Some(filter)) = (&self.log, &config.log_filter) {
             // The filter was validated when the file was read.
             let _ = log.set_filter(filter);
@@ -301,14 +301,14 @@
         }
         let second_elapsed = now.steady - self.last_second >= SECOND;
         if second_elapsed || !self.is_idle() {
-            let links = std::mem::take(&mut self.links);
-            let site = snapshot.site_load().with_links_and_health(&links, self.health());
+            let trunk_groups = std::mem::take(&mut self.trunk_groups);
+            let site = snapshot.site_load().with_trunk_groups_and_health(&trunk_groups, self.health());
             self.registry.evaluate(now, &self.traffic, &site);
             if second_elapsed {
                 self.run_each_second(now, snapshot, &site);
             }
             drop(site);
-            self.links = links;
+            self.trunk_groups = trunk_groups;
             self.process_registry_outputs(now);
         }
         let mut sessions = std::mem::take(&mut self.sessions);
@@ -573,11 +573,11 @@
         let waiter = self.next_waiter;
         self.waiters.insert(waiter, (client, id.clone()));
         let request = registry::OrderRequest { request_id: id, requested_by: operator, command };
-        let links = std::mem::take(&mut self.links);
-        let site = snapshot.site_load().with_links_and_health(&links, self.health());
+        let trunk_groups = std::mem::take(&mut self.trunk_groups);
+        let site = snapshot.site_load().with_trunk_groups_and_health(&trunk_groups, self.health());
         self.registry.submit(now, request, Some(waiter), &self.traffic, &site);
         drop(site);
-        self.links = links;
+        self.trunk_groups = trunk_groups;
         self.process_registry_outputs(now);
     }
 
@@ -718,7 +718,7 @@
     }
 
     fn cost(&self, now: Now, target: Target, snapshot: &Snapshot<'_>) -> Body {
-        let site = snapshot.site_load().with_links_and_health(&self.links, self.health());
+        let site = snapshot.site_load().with_trunk_groups_and_health(&self.trunk_groups, self.health());
         let c = self.registry.cost(now, target, &self.traffic, &site);
         let denied = self.registry.dry_run(now, target, false, &self.traffic, &site).err();
         Body::Cost(views::Cost {
--- a/src/program/views.rs
+++ b/src/program/views.rs
@@ -156,7 +156,12 @@
 
     /// The calls at each exchange.
     pub fn site_load(&self) -> SiteLoad<'_> {
-        SiteLoad { snapshot: self, loads: self.ledger.call_loads(), links: None, health: Health::default() }
+        SiteLoad {
+            snapshot: self,
+            loads: self.ledger.call_loads(),
+            trunk_groups: None,
+            health: Health::default(),
+        }
     }
 }
 
@@ -176,18 +181,18 @@
 pub struct SiteLoad<'a> {
     snapshot: &'a Snapshot<'a>,
     loads: BTreeMap<(ExchangeNumber, ExchangeNumber), (u32, u32)>,
-    links: Option<&'a BTreeSet<(ExchangeNumber, ExchangeNumber)>>,
+    trunk_groups: Option<&'a BTreeSet<(ExchangeNumber, ExchangeNumber)>>,
     health: Health,
 }
 
 impl<'a> SiteLoad<'a> {
     /// Adds the known trunk groups between other exchanges, and the current health of calls.
-    pub fn with_links_and_health(
+    pub fn with_trunk_groups_and_health(
         self,
-        links: &'a BTreeSet<(ExchangeNumber, ExchangeNumber)>,
+        trunk_groups: &'a BTreeSet<(ExchangeNumber, ExchangeNumber)>,
         health: Health,
     ) -> Self {
-        SiteLoad { links: Some(links), health, ..self }
+        SiteLoad { trunk_groups: Some(trunk_groups), health, ..self }
     }
 
     /// Established calls, by first hop and destination.
@@ -242,7 +247,7 @@
     }
 
     fn linked(&self, tandem: target::Exchange, to: target::Exchange) -> Option<bool> {
-        let links = self.links.filter(|l| !l.is_empty())?;
-        Some(links.contains(&(ExchangeNumber(tandem.0), ExchangeNumber(to.0))))
+        let trunk_groups = self.trunk_groups.filter(|l| !l.is_empty())?;
+        Some(trunk_groups.contains(&(ExchangeNumber(tandem.0), ExchangeNumber(to.0))))
     }
 }
