--- a/src/program/appliance_file.rs
+++ b/src/program/appliance_file.rs
@@ -184,7 +184,7 @@
     /// Name of this controller.
     #[schemars(length(min = 1, max = 64))]
     pub name: String,
-    /// Address on which client connections are accepted.
+    /// Address on which callers' connections are accepted.
     pub listen: String,
     /// Number of the exchange that this controller belongs to.
     pub own_exchange: u16,
--- a/src/program/config.rs
+++ b/src/program/config.rs
@@ -93,7 +93,7 @@
 pub struct Config {
     /// Name of this controller.
     pub name: String,
-    /// Address on which client connections are accepted.
+    /// Address on which callers' connections are accepted.
     pub listen: SocketAddr,
     /// Seed of the random number generators.
     pub seed: u64,
@@ -388,14 +388,14 @@
         Some(PlatformPeers { listen: self.peer_listen?, address, peers: self.peers.clone() })
     }
 
-    /// Number of client connections above which the least needed ones are closed: half of the descriptors.
-    pub fn soft_client_limit(&self) -> usize {
+    /// Number of callers' connections above which the least needed ones are closed: half of the descriptors.
+    pub fn soft_caller_limit(&self) -> usize {
         self.max_descriptors / 2
     }
 
-    /// Maximum number of client connections, including those that are closing. The remaining descriptors are
+    /// Maximum number of callers' connections, including those that are closing. The remaining descriptors are
     /// reserved for exchanges, the coordinator and the program itself.
-    pub fn hard_client_limit(&self) -> usize {
+    pub fn hard_caller_limit(&self) -> usize {
         self.max_descriptors * 5 / 8
     }
 
--- a/src/program/demo.rs
+++ b/src/program/demo.rs
@@ -155,7 +155,7 @@
 }
 
 /// Writes the appliance file and starts this executable with it. Returns the controller and the address on which it
-/// accepts client connections.
+/// accepts callers' connections.
 fn start_controller(
     folder: &Path,
     temporary: bool,
--- a/src/program/event_loop.rs
+++ b/src/program/event_loop.rs
@@ -149,7 +149,7 @@
                 now,
                 JSON_LINES_FRONTEND,
                 config.classes.clone(),
-                config.soft_client_limit(),
+                config.soft_caller_limit(),
             )
             .with_quiet_period(s.quiet_period + s.min_batch_interval),
             upstream: UpstreamConnections::new(now, config.connect_timeout, config.settings.own_exchange),
--- a/src/transport/streams.rs
+++ b/src/transport/streams.rs
@@ -23,8 +23,9 @@
 const CHUNK_BYTES: usize = 16 * 1024;
 /// Maximum number of bytes read and discarded from a caller while its connection is being closed.
 const MAX_DISCARDED_BYTES: usize = 16 * CHUNK_BYTES;
-/// How long a connection stays open after its last byte was sent, so that the remote end can read it. Closing a socket
-/// with unread data resets the connection, and the remote end would lose answers that it has not read.
+/// How long a caller's connection that this side closes stays open after its last byte was sent, so that the remote
+/// end can read it. Closing a socket with unread data resets the connection, and the remote end would lose answers that
+/// it has not read.
 const LINGER: Duration = Duration::from_millis(200);
 /// Maximum number of connections waiting to be accepted.
 const BACKLOG: i32 = 1024;
