--- a/src/program/alarms.rs
+++ b/src/program/alarms.rs
@@ -54,10 +54,7 @@
         .filter(|_| minute.answered() >= MIN_CALLS)
         .map_or(0.0, |share| 1.0 - share);
     let threshold = 1.0 - thresholds.min_within_objective;
-    let text = format!(
-        "{:.0}% of the last minute's calls were established within the latency objective",
-        (1.0 - missed) * 100.0
-    );
+    let text = format!("{:.0}% of the last minute's calls stand within the aim", (1.0 - missed) * 100.0);
     add(
         "service",
         String::new(),
@@ -69,7 +66,7 @@
         n if n >= MIN_CALLS => f64::from(short.refused()) / f64::from(n),
         _ => 0.0,
     };
-    let text = format!("{:.0}% of the calls of the last 10 s were refused", refused * 100.0);
+    let text = format!("{:.0}% of the last 10 s's calls are refused", refused * 100.0);
     let threshold = thresholds.max_refused_share.max(0.001);
     add("refusals", String::new(), refused, rule(threshold, threshold * 0.7, Severity::Warning), text);
     for e in snapshot.exchanges() {
@@ -103,13 +100,13 @@
     }
     for d in registry.drains() {
         let stuck = matches!(d.state, State::Failed | State::Expired);
-        let text = format!("{}: {} calls are still established", d.state.name(), d.load.established);
+        let text = format!("{}: {} calls still stand there", d.state.name(), d.load.established);
         add("drain", d.target.to_string(), f64::from(u8::from(stuck)), immediate(Severity::Warning), text);
     }
     for w in registry.windows() {
         let started = registry.drains().iter().any(|d| d.window.as_ref().is_some_and(|x| x.0 == w.name));
         let denied = w.open_at(wall).is_some() && !started && registry.window_denied(&w.name);
-        let text = "the window is open, but its drain was rejected; see the events".to_owned();
+        let text = "it is open, and its drain was turned down: see the events".to_owned();
         add("window", w.name.clone(), f64::from(u8::from(denied)), immediate(Severity::Warning), text);
     }
     if let Some(Stage::Halted(reason)) = registry.plan().map(|p| &p.stage) {
@@ -123,7 +120,7 @@
             format!("halted: {reason}"),
         );
     }
-    let text = "active drains would not survive a restart".to_owned();
+    let text = "drains that are in force would not survive a restart".to_owned();
     add(
         "unsaved",
         String::new(),
--- a/src/program/appliance.rs
+++ b/src/program/appliance.rs
@@ -422,7 +422,7 @@
                     }))
                 }
                 registry::Output::Cut(target) => {
-                    self.publish_event(now, "drain", format!("{target}: cutting the remaining calls"));
+                    self.publish_event(now, "drain", format!("{target}: the calls that are left are cut"));
                     self.outputs.push(Output::CutCalls(target));
                 }
                 registry::Output::Event(event) => {
@@ -506,13 +506,13 @@
             Operation::Log { filter } => self.set_log(now, &operator, filter),
             Operation::Seen { alarm } => match self.alarms.acknowledge(&alarm, &operator) {
                 true => {
-                    self.publish_event(now, "alarm", format!("acknowledged by {operator}: {alarm}"));
-                    Ok(Body::Text { text: format!("{alarm}: acknowledged by {operator}") })
+                    self.publish_event(now, "alarm", format!("seen by {operator}: {alarm}"));
+                    Ok(Body::Text { text: format!("{alarm}: seen by {operator}") })
                 }
                 false => Err(format!("alarm: {alarm:?} is not raised")),
             },
             Operation::Stop => {
-                self.publish_event(now, "program", format!("{operator} requested a shutdown"));
+                self.publish_event(now, "program", format!("{operator} stops the controller"));
                 self.outputs.push(Output::Stop);
                 Ok(Body::Text { text: "stopping".to_owned() })
             }
@@ -585,7 +585,7 @@
         let log = self.log.clone().ok_or("log: the filter of this process cannot be changed")?;
         if let Some(filter) = filter {
             log.set_filter(&filter).map_err(|e| e.to_string())?;
-            self.publish_event(now, "program", format!("{operator} set the log filter to {filter}"));
+            self.publish_event(now, "program", format!("{operator} sets the log to {filter}"));
         }
         Ok(Body::Text { text: log.filter() })
     }
@@ -795,7 +795,7 @@
         DrainEvent::StateChanged { order, target, state, load, requested_by } => (
             "drain",
             format!(
-                "{target}: {} ({} established, {} pending; order {order} of {requested_by})",
+                "{target}: {} ({} stand, {} out; order {order} of {requested_by})",
                 state.name(),
                 load.established,
                 load.pending_setups
@@ -804,7 +804,7 @@
         DrainEvent::GuardTripped { target, before, now } => (
             "drain",
             format!(
-                "{target}: restored by the guard: {:.0}% of calls are well served, down from {:.0}%",
+                "{target}: put back by its guard: {:.0}% of calls are well served, where it was {:.0}%",
                 now * 100.0,
                 before * 100.0
             ),
@@ -816,7 +816,7 @@
             ("round", format!("{}{at}{reason}", stage.name()))
         }
         DrainEvent::WindowDenied { window, reason } => {
-            ("window", format!("{window} could not start: {reason}"))
+            ("window", format!("{window} could not begin: {reason}"))
         }
         DrainEvent::SaveFailed(reason) => ("state", format!("not saved: {reason}")),
         DrainEvent::SaveRecovered => ("state", "saved again".to_owned()),
--- a/src/program/gossip.rs
+++ b/src/program/gossip.rs
@@ -259,11 +259,11 @@
 fn event_text(event: &Event) -> (&'static str, String) {
     match event {
         Event::Member(u) => ("peer", format!("{} at {}: {:?}", u.id, u.address, u.claim).to_lowercase()),
-        Event::NameTaken(at) => ("peer", format!("another instance, at {at}, has the name of this one")),
-        Event::Conflict(id, at) => ("peer", format!("{id}: ignored a conflicting claim from {at}")),
+        Event::NameTaken(at) => ("peer", format!("another instance has this one's name, at {at}")),
+        Event::Conflict(id, at) => ("peer", format!("{id}: claimed from {at} too, and not believed")),
         Event::ExchangeSuspicion(Change::Suspected(e, s)) => {
             let accusers: Vec<String> = s.accusers.iter().map(ToString::to_string).collect();
-            let own = if s.observed_locally { "; this instance also misses answers" } else { "" };
+            let own = if s.observed_locally { ", and this instance misses answers itself" } else { "" };
             let text = format!(
                 "exchange:{} is suspected: weight {:.2} against {:.2}, accused by {}{own}",
                 e.0,
@@ -276,14 +276,14 @@
         Event::ExchangeSuspicion(Change::Cleared(e, reason)) => {
             let reason = match reason {
                 EndReason::Answered => "it answered",
-                EndReason::InsufficientEvidence => "the evidence against it is too weak",
-                EndReason::Displaced => "other suspicions have more weight",
+                EndReason::InsufficientEvidence => "too little speaks against it",
+                EndReason::Displaced => "others are suspected with more weight",
             };
-            ("belief", format!("exchange:{} is no longer suspected: {reason}", e.0))
+            ("belief", format!("exchange:{} is suspected no more: {reason}", e.0))
         }
         Event::ExchangeSuspicion(Change::TrustUpdated(id, e, right, trust)) => {
             let word = if *right { "right" } else { "wrong" };
-            ("belief", format!("{id} was {word} about exchange:{}: its trust is {trust:.2}", e.0))
+            ("belief", format!("{id} was {word} of exchange:{}: its word is worth {trust:.2}", e.0))
         }
     }
 }
