--- a/crates/console/src/command.rs
+++ b/crates/console/src/command.rs
@@ -26,7 +26,7 @@
     ("cost", "cost TARGET: what a drain would cost"),
     ("round", "round TARGET... [pause=5m]: drain one after the other, each restored first"),
     ("next", "next: continue the round"),
-    ("halt", "halt: end the round; drained targets stay drained"),
+    ("halt", "halt: halt the round until next; drained targets stay drained"),
     ("seen", "seen ALARM: acknowledge it"),
     ("log", "log FILTER: set the log filter, such as info,walnuthatch::drains=debug"),
     ("search", "search TEXT: only calls with this text; all if empty"),
--- a/crates/control/src/frames.rs
+++ b/crates/control/src/frames.rs
@@ -136,7 +136,7 @@
     },
     /// Continue the round of maintenance.
     Next,
-    /// End the round; targets that are drained stay drained.
+    /// Halt the round until `next`; targets that are drained stay drained.
     Halt,
     /// Return the audit log of orders.
     Audit,
--- a/crates/control/src/views.rs
+++ b/crates/control/src/views.rs
@@ -43,7 +43,7 @@
         drains: usize,
         /// Whether the active drains would survive a restart: `saved`, `unsaved`, or `off` if no folder is configured.
         state_folder: String,
-        /// Log lines lost because the log was not read in time.
+        /// Log lines lost because they were not written fast enough.
         log_lost: u64,
         /// Connected clients of the control socket.
         clients: usize,
@@ -151,7 +151,7 @@
         for_s: u64,
         /// Reason given with the order.
         reason: String,
-        /// Operator who gave the order.
+        /// Operator or maintenance window that gave the order.
         who: String,
         /// When the order was given (Unix time).
         asked_at_ms: i64,
@@ -165,7 +165,7 @@
         out: u32,
         /// Calls established there.
         standing: u32,
-        /// Share of the initial load that has gone.
+        /// Share of the highest load since the drain came into force that has gone.
         progress: f64,
     }
 }
@@ -279,7 +279,7 @@
     Audit {
         /// When the order was given.
         at_ms: i64,
-        /// Operator who gave the order.
+        /// Operator or maintenance window that gave the order.
         who: String,
         /// The order.
         what: String,
--- a/crates/drains/src/drain.rs
+++ b/crates/drains/src/drain.rs
@@ -94,7 +94,7 @@
     pub since: Micros,
     /// The reason given by the operator.
     pub reason: String,
-    /// The operator, window or round that requested the drain.
+    /// The operator or maintenance window that requested the drain; for a drain of a round, the operator of the round.
     pub requested_by: String,
     /// When the drain was requested (wall clock).
     pub requested_wall: Micros,
--- a/crates/drains/src/plan.rs
+++ b/crates/drains/src/plan.rs
@@ -4,7 +4,7 @@
 //! ```text
 //! draining --empty--> working --next, or pause passed--> settling --warm and healthy--> next target, or done
 //!     |                  |                                   |
-//!     +--- denied, expired, failed, ended by an operator, service degraded: halted (nothing more is drained)
+//!     +--- denied, expired, failed, ended by operator or guard, service degraded: halted (nothing more is drained)
 //! ```
 //!
 //! A halted round leaves a drained target as it is, reports the reason and continues when an operator says so.
--- a/crates/drains/src/policy.rs
+++ b/crates/drains/src/policy.rs
@@ -55,7 +55,7 @@
         target: Target,
         /// The order in force.
         order: u64,
-        /// The operator, window or round that requested it.
+        /// The operator or maintenance window that requested it.
         requested_by: String,
     },
     /// The target is not drained.
--- a/crates/drains/src/saved.rs
+++ b/crates/drains/src/saved.rs
@@ -57,7 +57,7 @@
     pub state: State,
     /// The reason given by the operator.
     pub reason: String,
-    /// The operator, window or round that requested the drain.
+    /// The operator or maintenance window that requested the drain.
     pub who: String,
     /// When the drain was requested (wall clock).
     pub asked_wall: Micros,
@@ -116,7 +116,7 @@
 pub struct AuditEntry {
     /// Time of the order (wall clock).
     pub wall: Micros,
-    /// The operator, window or round that gave the order.
+    /// The operator or maintenance window that gave the order.
     pub who: String,
     /// The text of the command.
     pub what: String,
