--- a/crates/gossip/tests/members.rs
+++ b/crates/gossip/tests/members.rs
@@ -157,7 +157,7 @@
         Item::Member(Update { id: MemberId::of("n2"), address, incarnation: inc, claim: Claim::Dead })
     };
     let counts = |s: &Simulation| s.node(0).unwrap().counts();
-    // An unknown key, a flipped bit, an earlier run, and a known name from another address.
+    // Another secret with the same key id, a flipped bit, an earlier run, and a known name from another address.
     let mut take = |from, bytes: Vec<u8>| {
         simulation.with_node(0, |n, now| n.handle_datagram(now, from, &bytes));
     };
--- a/crates/metrics/src/service.rs
+++ b/crates/metrics/src/service.rs
@@ -26,7 +26,7 @@
     Fault,
     /// Refused without an attempt: no route was available.
     NoRoute,
-    /// Failed because of an error rather than a refusal.
+    /// Failed: neither established nor refused.
     Failed,
     /// The caller left before the answer.
     Abandoned,
--- a/crates/standin/src/faulty/client.rs
+++ b/crates/standin/src/faulty/client.rs
@@ -395,7 +395,8 @@
     Ok(())
 }
 
-/// Starts `size` clients at once, each with one connection and one request.
+/// Starts `size` clients at once. Each sends a request as soon as it is connected and closes its connection after
+/// `IDLE_TIMEOUT`; some send a second request before that.
 pub fn start_flash_crowd(testbed: &Testbed, server: &Server, size: usize) -> Vec<Rc<Client>> {
     let behavior =
         ClientBehavior { rate: 0.2, class: "call", client_timeout_ms: 2_500, ..ClientBehavior::default() };
--- a/crates/standin/src/faulty/coordinator.rs
+++ b/crates/standin/src/faulty/coordinator.rs
@@ -28,7 +28,8 @@
     Up,
     /// Refuses connections; open streams are closed.
     Refuses,
-    /// Accepts connections and never answers them; open streams are closed.
+    /// Accepts connections and never answers them; connections stay open without data and are closed when the mode
+    /// changes.
     Hangs,
     /// Keeps streams open without sending anything; new requests are not answered.
     Silent,
--- a/crates/trials/src/trial.rs
+++ b/crates/trials/src/trial.rs
@@ -35,7 +35,7 @@
 const LISTING_DELAY: Millis = 400;
 /// Time within which all requests and calls must end after the clients' last request.
 const SETTLE_LIMIT: Millis = 14_000;
-/// Time within which a signalled controller without calls must exit.
+/// Time for which the trial waits for a signalled controller to exit.
 const STOP_LIMIT: Millis = 6_000;
 /// Interval at which the delay of the trial's own timers is measured.
 const CLOCK_INTERVAL: Duration = Duration::from_millis(10);
