--- a/crates/drains/src/drain.rs
+++ b/crates/drains/src/drain.rs
@@ -7,7 +7,7 @@
 //!     |                  |                    +---------> expired -------+
 //!     |                  |                    |  limit passed, cut, and calls still there
 //!     |                  |                    +---------> failed
-//!     +------------------+--------------------+------------- undrain, or limit passed, restore --> restored
+//!     +------------------+--------------------+------------- undrain, guard, or limit passed, restore --> restored
 //! ```
 //!
 //! The target is out of service in every state except asked and restored. A drain that expires or fails keeps its
--- a/crates/drains/src/saved.rs
+++ b/crates/drains/src/saved.rs
@@ -53,7 +53,7 @@
     pub order: OrderNumber,
     /// The target of the drain.
     pub target: Target,
-    /// The state at the time of the save. A drain in state asked is in force once it has been restored.
+    /// The state at the time of the save. A drain in state asked is in force once it is loaded.
     pub state: State,
     /// The reason given by the operator.
     pub reason: String,
