--- a/crates/trials/src/main.rs
+++ b/crates/trials/src/main.rs
@@ -138,27 +138,27 @@
             return Err(TrialError::Jobs(jobs));
         }
         let mut table = Table::default();
-        let mut waiting = first..first + seeds;
-        let mut playing = BTreeMap::new();
+        let mut remaining_seeds = first..first + seeds;
+        let mut running = BTreeMap::new();
         loop {
             for job in (1..=jobs as u8).map(|job| row * 10 + job) {
-                if let std::collections::btree_map::Entry::Vacant(free) = playing.entry(job) {
-                    let Some(seed) = waiting.next() else { break };
-                    free.insert((seed, self.spawn(seed, job)?));
+                if let std::collections::btree_map::Entry::Vacant(slot) = running.entry(job) {
+                    let Some(seed) = remaining_seeds.next() else { break };
+                    slot.insert((seed, self.spawn(seed, job)?));
                 }
             }
-            if playing.is_empty() {
+            if running.is_empty() {
                 break;
             }
             std::thread::sleep(std::time::Duration::from_millis(50));
             let mut ended = Vec::new();
-            for (&job, (seed, child)) in &mut playing {
+            for (&job, (seed, child)) in &mut running {
                 if let Ok(Some(status)) = child.try_wait() {
                     ended.push((job, *seed, status.success()));
                 }
             }
             for (job, seed, succeeded) in ended {
-                playing.remove(&job);
+                running.remove(&job);
                 self.add_result(seed, succeeded, &mut table);
             }
         }
