--- a/crates/console/src/screen.rs
+++ b/crates/console/src/screen.rs
@@ -186,7 +186,7 @@
             s.answered
         )));
     }
-    let reason: Vec<String> = app.service.spans.get(1).map_or(Vec::new(), |s| {
+    let reasons: Vec<String> = app.service.spans.get(1).map_or(Vec::new(), |s| {
         let named =
             ["drained", "no_circuit", "turned_back", "processor_full", "unanswered", "fault", "no_way"];
         let of =
@@ -197,8 +197,8 @@
         "answers p50 {:.1} ms  p99 {:.1} ms  p99.9 {:.1} ms",
         app.service.p50_ms, app.service.p99_ms, app.service.p999_ms
     )));
-    let reason = if reason.is_empty() { "none".to_owned() } else { reason.join(", ") };
-    lines.push(Line::raw(format!("refused in the last minute: {reason}")));
+    let reasons = if reasons.is_empty() { "none".to_owned() } else { reasons.join(", ") };
+    lines.push(Line::raw(format!("refused in the last minute: {reasons}")));
     let width = usize::from(area.width).saturating_sub(18).min(app.service.history.len());
     let last = &app.service.history[app.service.history.len() - width..];
     lines.push(Line::raw(format!("calls a second   {}", sparkline(last.iter().copied(), theme))));
--- a/crates/gossip/src/exchange_suspicion.rs
+++ b/crates/gossip/src/exchange_suspicion.rs
@@ -371,99 +371,99 @@
 
     #[test]
     fn one_accuser_is_not_enough_and_three_without_reputation_are() {
-        let mut b = Fixture::new();
-        b.accuse(1, X, 500);
-        assert!(!b.evaluate());
-        b.accuse(2, X, 1);
-        b.accuse(3, X, 1);
-        assert!(b.evaluate());
+        let mut fixture = Fixture::new();
+        fixture.accuse(1, X, 500);
+        assert!(!fixture.evaluate());
+        fixture.accuse(2, X, 1);
+        fixture.accuse(3, X, 1);
+        assert!(fixture.evaluate());
     }
 
     #[test]
     fn an_own_answer_after_the_silence_began_clears_the_suspicion() {
-        let mut b = Fixture::new();
-        (1..=5).for_each(|n| b.accuse(n, X, 5));
-        assert!(b.evaluate());
-        b.own_answer(X);
-        assert_eq!(b.suspicions.clear(X), Some(Change::Cleared(X, EndReason::Answered)));
-        assert!(!b.evaluate());
-        b.now += SECOND;
-        assert!(!b.evaluate(), "the reported silence began before the answer");
+        let mut fixture = Fixture::new();
+        (1..=5).for_each(|n| fixture.accuse(n, X, 5));
+        assert!(fixture.evaluate());
+        fixture.own_answer(X);
+        assert_eq!(fixture.suspicions.clear(X), Some(Change::Cleared(X, EndReason::Answered)));
+        assert!(!fixture.evaluate());
+        fixture.now += SECOND;
+        assert!(!fixture.evaluate(), "the reported silence began before the answer");
         // A silence that began after the answer counts again.
-        b.now += SECOND;
-        (1..=5).for_each(|n| b.accuse(n, X, 5));
-        assert!(b.evaluate());
+        fixture.now += SECOND;
+        (1..=5).for_each(|n| fixture.accuse(n, X, 5));
+        assert!(fixture.evaluate());
     }
 
     #[test]
     fn a_suspicion_expires_and_vouching_members_outweigh_fewer_accusers() {
-        let mut b = Fixture::new();
-        (1..=3).for_each(|n| b.accuse(n, X, 3));
-        assert!(b.evaluate());
-        b.now += crate::evidence::EVIDENCE_LIFETIME;
-        assert!(!b.evaluate());
-        let mut b = Fixture::new();
-        (1..=2).for_each(|n| b.accuse(n, X, 90));
-        (3..=5).for_each(|n| b.vouch(n, X));
-        assert!(!b.evaluate(), "a colluding minority");
+        let mut fixture = Fixture::new();
+        (1..=3).for_each(|n| fixture.accuse(n, X, 3));
+        assert!(fixture.evaluate());
+        fixture.now += crate::evidence::EVIDENCE_LIFETIME;
+        assert!(!fixture.evaluate());
+        let mut fixture = Fixture::new();
+        (1..=2).for_each(|n| fixture.accuse(n, X, 90));
+        (3..=5).for_each(|n| fixture.vouch(n, X));
+        assert!(!fixture.evaluate(), "a colluding minority");
     }
 
     #[test]
     fn false_accusations_soon_reduce_trust_after_a_long_honest_history() {
-        let mut b = Fixture::new();
+        let mut fixture = Fixture::new();
         for _ in 0..100 {
-            b.suspicions.reputations.entry(MemberId(1)).or_default().record(b.now, true);
+            fixture.suspicions.reputations.entry(MemberId(1)).or_default().record(fixture.now, true);
         }
-        let before = b.suspicions.trust(MemberId(1));
+        let before = fixture.suspicions.trust(MemberId(1));
         let mut lies = 0;
-        while b.suspicions.trust(MemberId(1)) > 0.5 {
+        while fixture.suspicions.trust(MemberId(1)) > 0.5 {
             lies += 1;
-            b.accuse(1, X, 50);
-            b.now += 100 * MILLI;
-            b.own_answer(X);
-            b.evaluate();
-            b.now += SECOND;
+            fixture.accuse(1, X, 50);
+            fixture.now += 100 * MILLI;
+            fixture.own_answer(X);
+            fixture.evaluate();
+            fixture.now += SECOND;
         }
         assert!(before > 0.9 && lies <= 6, "{before} {lies}");
         // The reputation recovers with time.
-        let low = b.suspicions.trust(MemberId(1));
-        b.suspicions.reputations.get_mut(&MemberId(1)).unwrap().decay(b.now + 10 * HALF_LIFE);
-        assert!(b.suspicions.trust(MemberId(1)) > low);
+        let low = fixture.suspicions.trust(MemberId(1));
+        fixture.suspicions.reputations.get_mut(&MemberId(1)).unwrap().decay(fixture.now + 10 * HALF_LIFE);
+        assert!(fixture.suspicions.trust(MemberId(1)) > low);
     }
 
     #[test]
     fn at_most_a_share_of_the_exchanges_is_suspected() {
-        let mut b = Fixture::new();
+        let mut fixture = Fixture::new();
         for n in 0..8 {
-            (1..=6).for_each(|from| b.accuse(from, Exchange(n), 9));
+            (1..=6).for_each(|from| fixture.accuse(from, Exchange(n), 9));
         }
-        b.evaluate();
-        assert_eq!(b.suspicions.suspected().len(), 2);
-        let held = b.suspicions.suspected();
-        b.now += 100 * MILLI;
-        b.evaluate();
-        assert_eq!(b.suspicions.suspected(), held, "the selection is stable between evaluations");
+        fixture.evaluate();
+        assert_eq!(fixture.suspicions.suspected().len(), 2);
+        let held = fixture.suspicions.suspected();
+        fixture.now += 100 * MILLI;
+        fixture.evaluate();
+        assert_eq!(fixture.suspicions.suspected(), held, "the selection is stable between evaluations");
     }
 
     #[test]
     fn vouching_does_not_outweigh_own_missing_answers() {
-        let mut b = Fixture::new();
-        let m = b.meters.get_or_create(b.now, X).unwrap();
-        (0..5).for_each(|call| m.set_up_sent(b.now, call));
-        b.now += 600 * MILLI;
-        b.vouch(1, X);
-        b.accuse(2, X, 5);
-        assert!(b.evaluate());
+        let mut fixture = Fixture::new();
+        let m = fixture.meters.get_or_create(fixture.now, X).unwrap();
+        (0..5).for_each(|call| m.set_up_sent(fixture.now, call));
+        fixture.now += 600 * MILLI;
+        fixture.vouch(1, X);
+        fixture.accuse(2, X, 5);
+        assert!(fixture.evaluate());
     }
 
     #[test]
     fn a_broken_link_of_one_accuser_causes_no_suspicion() {
-        let mut b = Fixture::new();
+        let mut fixture = Fixture::new();
         for _ in 0..20 {
-            b.accuse(1, X, 3);
-            (2..=5).for_each(|n| b.vouch(n, X));
-            b.now += 500 * MILLI;
-            assert!(!b.evaluate());
+            fixture.accuse(1, X, 3);
+            (2..=5).for_each(|n| fixture.vouch(n, X));
+            fixture.now += 500 * MILLI;
+            assert!(!fixture.evaluate());
         }
     }
 }
--- a/crates/gossip/src/node.rs
+++ b/crates/gossip/src/node.rs
@@ -529,9 +529,9 @@
             if active { now + EVALUATION_INTERVAL * factor } else { now + 20 * EVALUATION_INTERVAL };
         let changes =
             self.exchange_suspicions.evaluate(now, &self.meters, &self.reports, self.exchange_count);
-        let changes_set =
+        let affects_suspicions =
             |c: &exchange_suspicion::Change| !matches!(c, exchange_suspicion::Change::TrustUpdated(..));
-        if changes.iter().any(changes_set) {
+        if changes.iter().any(affects_suspicions) {
             self.outputs.push(Output::Suspected(self.exchange_suspicions.suspected()));
         }
         self.outputs.extend(changes.into_iter().map(|c| Output::Event(Event::ExchangeSuspicion(c))));
