--- a/crates/control/src/views.rs
+++ b/crates/control/src/views.rs
@@ -61,7 +61,7 @@
         address: String,
         /// State in the coordinator's list: `ready`, `draining` or `gone`.
         listed: String,
-        /// State of the drain of the exchange or of the group toward it; empty if there is none.
+        /// State of the drain of the exchange, or of the group toward it after the word `group`; empty if there is none.
         drain: String,
         /// Whether a connection to the exchange is up.
         connected: bool,
@@ -73,7 +73,7 @@
         out: u32,
         /// Established calls.
         standing: u32,
-        /// Set-ups that led to an established call in the last minute.
+        /// Set-ups that led to an established call in the last 30 to 60 s.
         stood: u64,
         /// Median of their set-up times.
         p50_ms: f64,
@@ -125,7 +125,7 @@
     Service {
         /// Windows of the last 10 s, minute and hour.
         spans: Vec<Span>,
-        /// Answers of the last minute.
+        /// Answers of the last 30 to 60 s.
         answers: u64,
         /// Median answer time.
         p50_ms: f64,
--- a/crates/gossip/src/node.rs
+++ b/crates/gossip/src/node.rs
@@ -337,7 +337,7 @@
         }
     }
 
-    /// Announces that this instance leaves; it sends no more pings afterwards.
+    /// Announces that this instance leaves; it starts no more probes and answers no pings afterwards.
     pub fn leave(&mut self, now: Micros) {
         self.leaving = true;
         let item = Item::Member(self.members.own_update(Claim::Left));
--- a/crates/trials/src/trial.rs
+++ b/crates/trials/src/trial.rs
@@ -374,10 +374,10 @@
         self.record_paths(number, true);
     }
 
-    async fn inject_set_up_faults(&self, number: usize, habit: ExchangeFault, span: Millis) {
+    async fn inject_set_up_faults(&self, number: usize, fault: ExchangeFault, span: Millis) {
         let exchange = &self.exchanges[number].exchange;
         let mut fault_rates = exchange.fault_rates.get();
-        match habit {
+        match fault {
             ExchangeFault::Loses(share) => fault_rates.lost = share,
             ExchangeFault::Doubles(share) => fault_rates.duplicated = share,
             ExchangeFault::Spoils(share) => fault_rates.garbled = share,
