--- a/crates/control/src/views.rs
+++ b/crates/control/src/views.rs
@@ -61,7 +61,7 @@
         address: String,
         /// State in the coordinator's list: `ready`, `draining` or `gone`.
         listed: String,
-        /// State of the drain of the exchange, or of the group toward it after the word `group`; empty if there is none.
+        /// State of the drain of the exchange, or of the group toward it after the word `group`; empty without one.
         drain: String,
         /// Whether a connection to the exchange is up.
         connected: bool,
