--- a/crates/control/src/views.rs
+++ b/crates/control/src/views.rs
@@ -43,7 +43,7 @@
         drains: usize,
         /// Whether the active drains would survive a restart: `saved`, `unsaved`, or `off` if no folder is configured.
         state_folder: String,
-        /// Log lines lost because the log was not read in time.
+        /// Log lines lost because they were not written fast enough.
         log_lost: u64,
         /// Connected clients of the control socket.
         clients: usize,
@@ -61,7 +61,7 @@
         address: String,
         /// State in the coordinator's list: `ready`, `draining` or `gone`.
         listed: String,
-        /// State of the drain of the exchange or of the group toward it; empty if there is none.
+        /// State of the drain of the exchange, or of the group toward it after the word `group`; empty without one.
         drain: String,
         /// Whether a connection to the exchange is up.
         connected: bool,
@@ -73,7 +73,7 @@
         out: u32,
         /// Established calls.
         standing: u32,
-        /// Set-ups that led to an established call in the last minute.
+        /// Set-ups that led to an established call in the last 30 to 60 s.
         stood: u64,
         /// Median of their set-up times.
         p50_ms: f64,
@@ -125,7 +125,7 @@
     Service {
         /// Windows of the last 10 s, minute and hour.
         spans: Vec<Span>,
-        /// Answers of the last minute.
+        /// Answers of the last 30 to 60 s.
         answers: u64,
         /// Median answer time.
         p50_ms: f64,
@@ -151,7 +151,7 @@
         for_s: u64,
         /// Reason given with the order.
         reason: String,
-        /// Operator who gave the order.
+        /// Operator or maintenance window that gave the order.
         who: String,
         /// When the order was given (Unix time).
         asked_at_ms: i64,
@@ -165,7 +165,7 @@
         out: u32,
         /// Calls established there.
         standing: u32,
-        /// Share of the initial load that has gone.
+        /// Share of the highest load since the drain came into force that has gone.
         progress: f64,
     }
 }
@@ -279,7 +279,7 @@
     Audit {
         /// When the order was given.
         at_ms: i64,
-        /// Operator who gave the order.
+        /// Operator or maintenance window that gave the order.
         who: String,
         /// The order.
         what: String,
--- a/crates/drains/src/drain.rs
+++ b/crates/drains/src/drain.rs
@@ -7,7 +7,7 @@
 //!     |                  |                    +---------> expired -------+
 //!     |                  |                    |  limit passed, cut, and calls still there
 //!     |                  |                    +---------> failed
-//!     +------------------+--------------------+------------- undrain, or limit passed, restore --> restored
+//!     +------------------+--------------------+------------- undrain, guard, or limit passed, restore --> restored
 //! ```
 //!
 //! The target is out of service in every state except asked and restored. A drain that expires or fails keeps its
@@ -94,7 +94,7 @@
     pub since: Micros,
     /// The reason given by the operator.
     pub reason: String,
-    /// The operator, window or round that requested the drain.
+    /// The operator or maintenance window that requested the drain; for a drain of a round, the operator of the round.
     pub requested_by: String,
     /// When the drain was requested (wall clock).
     pub requested_wall: Micros,
--- a/crates/drains/src/saved.rs
+++ b/crates/drains/src/saved.rs
@@ -53,11 +53,11 @@
     pub order: OrderNumber,
     /// The target of the drain.
     pub target: Target,
-    /// The state at the time of the save. A drain in state asked is in force once it has been restored.
+    /// The state at the time of the save. A drain in state asked is in force once it is loaded.
     pub state: State,
     /// The reason given by the operator.
     pub reason: String,
-    /// The operator, window or round that requested the drain.
+    /// The operator or maintenance window that requested the drain.
     pub who: String,
     /// When the drain was requested (wall clock).
     pub asked_wall: Micros,
@@ -116,7 +116,7 @@
 pub struct AuditEntry {
     /// Time of the order (wall clock).
     pub wall: Micros,
-    /// The operator, window or round that gave the order.
+    /// The operator or maintenance window that gave the order.
     pub who: String,
     /// The text of the command.
     pub what: String,
--- a/crates/trials/src/trial.rs
+++ b/crates/trials/src/trial.rs
@@ -35,7 +35,7 @@
 const LISTING_DELAY: Millis = 400;
 /// Time within which all requests and calls must end after the clients' last request.
 const SETTLE_LIMIT: Millis = 14_000;
-/// Time within which a signalled controller without calls must exit.
+/// Time for which the trial waits for a signalled controller to exit.
 const STOP_LIMIT: Millis = 6_000;
 /// Interval at which the delay of the trial's own timers is measured.
 const CLOCK_INTERVAL: Duration = Duration::from_millis(10);
@@ -374,10 +374,10 @@
         self.record_paths(number, true);
     }
 
-    async fn inject_set_up_faults(&self, number: usize, habit: ExchangeFault, span: Millis) {
+    async fn inject_set_up_faults(&self, number: usize, fault: ExchangeFault, span: Millis) {
         let exchange = &self.exchanges[number].exchange;
         let mut fault_rates = exchange.fault_rates.get();
-        match habit {
+        match fault {
             ExchangeFault::Loses(share) => fault_rates.lost = share,
             ExchangeFault::Doubles(share) => fault_rates.duplicated = share,
             ExchangeFault::Spoils(share) => fault_rates.garbled = share,
