--- a/crates/control/src/client.rs
+++ b/crates/control/src/client.rs
@@ -18,13 +18,13 @@
         error: io::Error,
     },
     /// Reading from or writing to the connection failed.
-    #[error("connection to the controller failed: {0}")]
+    #[error("the connection broke: {0}")]
     Io(#[from] io::Error),
     /// The controller closed the connection before the reply.
-    #[error("the controller closed the connection before replying")]
+    #[error("the controller ended the connection before its answer")]
     Closed,
     /// The controller sent something other than a valid message.
-    #[error("invalid message from the controller: {0}")]
+    #[error("what came is no message: {0}")]
     InvalidMessage(String),
     /// The controller rejected the request.
     #[error("{0}")]
@@ -95,7 +95,7 @@
                 }
                 return match (ok, body) {
                     (true, Some(body)) => Ok(body),
-                    (true, None) => Err(ClientError::InvalidMessage("reply without a body".into())),
+                    (true, None) => Err(ClientError::InvalidMessage("an answer without contents".into())),
                     (false, _) => Err(ClientError::Rejected(error.unwrap_or_default())),
                 };
             }
--- a/crates/control/src/sessions.rs
+++ b/crates/control/src/sessions.rs
@@ -103,13 +103,11 @@
                 .min_by_key(|(_, session)| session.last_activity)
                 .map(|(id, _)| *id);
             match longest_idle {
-                Some(idle_client) => {
-                    self.close(idle_client, "idle connection closed to admit another program")
-                }
+                Some(idle_client) => self.close(idle_client, "made room for another program"),
                 None => {
                     self.counts.rejected += 1;
                     self.add(now, client);
-                    return self.close(client, &format!("{MAX_CLIENTS} programs are already connected"));
+                    return self.close(client, &format!("{MAX_CLIENTS} programs are connected already"));
                 }
             }
         }
@@ -197,7 +195,7 @@
         session.invalid_lines += 1;
         // After an overlong line the connection is closed at once: its end may never come.
         if session.invalid_lines >= MAX_INVALID_LINES || reason == BadRequest::Long {
-            self.close(client, "too many invalid lines, or a line too long");
+            self.close(client, "too much that is no message");
         }
     }
 
@@ -224,7 +222,7 @@
                 None
             }
             _ if session.pending >= MAX_PENDING => {
-                let reason = format!("{MAX_PENDING} requests are already waiting for replies");
+                let reason = format!("{MAX_PENDING} requests wait for their answers already");
                 self.send_reply(client, request.id, Err(reason), false);
                 None
             }
--- a/crates/drains/src/plan.rs
+++ b/crates/drains/src/plan.rs
@@ -120,7 +120,7 @@
                 self.halt(
                     now,
                     format!(
-                        "service is worse than before the round: {:.0}% of calls within the latency objective",
+                        "calls fare worse than before the round: {:.0}% well served",
                         health.good_share * 100.0
                     ),
                 );
@@ -155,7 +155,7 @@
                     let last = self.target_index >= self.targets.len();
                     self.enter_stage(now, if last { Stage::Done } else { Stage::Next });
                 } else if timed_out {
-                    self.halt(now, format!("service did not recover after {target} came back"));
+                    self.halt(now, format!("calls did not fare well again after {target} came back"));
                 }
                 None
             }
--- a/crates/trials/src/check/calls.rs
+++ b/crates/trials/src/check/calls.rs
@@ -56,7 +56,7 @@
     let describe =
         |description: &str| format!("{description}: x{} then x{}", first.exchange, second.exchange);
     if pending_until.is_none_or(|end| end > second.received_at + SLACK) {
-        return Some((Rule::TwoAttempts, describe("two attempts pending")));
+        return Some((Rule::TwoAttempts, describe("two attempts out")));
     }
     let (at, end) = first.ended?;
     let unknown_outcome =
@@ -89,5 +89,5 @@
     let received = request
         .release_received
         .map_or("never".to_owned(), |t| format!("{:.3} s after", (t - ended) as f64 / 1e6));
-    Some((due, format!("n{controller}: call at x{exchange} ended ({end:?}), released {received}")))
+    Some((due, format!("n{controller}: call at x{exchange} ended ({end:?}), told {received}")))
 }
--- a/crates/trials/src/check/exchanges.rs
+++ b/crates/trials/src/check/exchanges.rs
@@ -65,7 +65,7 @@
         {
             let delay_ms = (attempt.received_at - notified) / 1000;
             let description = format!(
-                "n{controller} sent to x{exchange} ({}) {delay_ms} ms after it was notified",
+                "n{controller} sent to x{exchange} ({}) {delay_ms} ms after it was told",
                 first.phase
             );
             violations.push(Violation {
@@ -117,7 +117,7 @@
                 * (OVERLOAD_WINDOW as f64 / 1e6);
             let limit = allowed + 2.0 * allowed.sqrt() + 2.0;
             if total as f64 > limit && 3 * from_notified > 2 * total {
-                let description = format!("x{exchange} received {total} set-ups in 2 s, limit {limit:.0}");
+                let description = format!("x{exchange} got {total} set-ups in 2 s, {limit:.0} at most");
                 violations.push(Violation { rule: Rule::ColdOverload, at: from, description, sid: None });
                 break;
             }
--- a/crates/trials/src/check/history.rs
+++ b/crates/trials/src/check/history.rs
@@ -148,9 +148,7 @@
             }
             EventKind::AnsweredTwice { message, .. } => request.extra_answers.push((at, message.clone())),
             EventKind::GivenUp { .. } => request.cancelled = Some(at),
-            EventKind::Unanswered { .. } => {
-                request.no_answer = Some((at, "no answer within the client timeout"))
-            }
+            EventKind::Unanswered { .. } => request.no_answer = Some((at, "no answer in its time")),
             EventKind::Broken { .. } => request.no_answer = Some((at, "its connection ended")),
             EventKind::Told { .. } => request.release_received = Some(at),
             EventKind::ClientReleased { .. } => request.released = Some(at),
--- a/crates/trials/src/check/processes.rs
+++ b/crates/trials/src/check/processes.rs
@@ -28,7 +28,7 @@
     }
     for &(at, controller, memory, descriptors) in &history.resources {
         if memory > RESOURCE_LIMITS.0 || descriptors > RESOURCE_LIMITS.1 {
-            let description = format!("n{controller} uses {memory} KiB and {descriptors} descriptors");
+            let description = format!("n{controller} holds {memory} KiB and {descriptors} descriptors");
             add(Rule::Resources, at, description);
         }
     }
@@ -45,7 +45,7 @@
     let (at, code) = run.exited?;
     match (run.term, run.kill, code) {
         (_, Some(_), None) | (Some(_), _, Some(0)) => None,
-        (None, _, code) => Some((at, format!("exited unexpectedly ({code:?})"))),
+        (None, _, code) => Some((at, format!("ended unasked ({code:?})"))),
         (_, _, code) => Some((at, format!("ended with {code:?}"))),
     }
 }
--- a/crates/trials/src/check/requests.rs
+++ b/crates/trials/src/check/requests.rs
@@ -29,7 +29,7 @@
         }
     }
     let unreadable = |(at, line): &(u64, String)| {
-        let description = format!("a client received {line:?}");
+        let description = format!("a client got {line:?}");
         Violation { rule: Rule::Unreadable, at: *at, description, sid: None }
     };
     violations.extend(history.unreadable.iter().map(unreadable));
--- a/crates/trials/src/table.rs
+++ b/crates/trials/src/table.rs
@@ -70,7 +70,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (judged, lost) = (self.trials - self.not_judged.len(), self.not_run.len());
         writeln!(f, "{} trials: {} of {judged} judged kept all rules", self.trials, self.passed)?;
-        writeln!(f, "not judged (the machine stalled): {:?}; not run: {lost}", self.not_judged)?;
+        writeln!(f, "not judged (the machine stood still): {:?}; not run: {lost}", self.not_judged)?;
         for (seed, error) in &self.not_run {
             writeln!(f, "  seed {seed} not run: {error}")?;
         }
--- a/src/program/appliance.rs
+++ b/src/program/appliance.rs
@@ -582,7 +582,7 @@
     }
 
     fn set_log(&mut self, now: Now, operator: &str, filter: Option<String>) -> Result<Body, String> {
-        let log = self.log.clone().ok_or("log: the filter of this process cannot be changed")?;
+        let log = self.log.clone().ok_or("log: none is kept here")?;
         if let Some(filter) = filter {
             log.set_filter(&filter).map_err(|e| e.to_string())?;
             self.publish_event(now, "program", format!("{operator} sets the log to {filter}"));
--- a/src/program/cli.rs
+++ b/src/program/cli.rs
@@ -144,7 +144,7 @@
 
 fn check(arguments: &Arguments) -> Result<String, ConfigError> {
     let config = config::load(arguments, run::environment)?;
-    Ok(format!("the configuration of {} is valid", config.name))
+    Ok(format!("the configuration of {} is good", config.name))
 }
 
 fn print_result(result: Result<String, ConfigError>) -> Exit {
--- a/src/program/config.rs
+++ b/src/program/config.rs
@@ -42,7 +42,7 @@
 
 fn fault_count(n: usize) -> String {
     if n == 1 {
-        "1 fault".to_owned()
+        "a fault".to_owned()
     } else {
         format!("{n} faults")
     }
--- a/src/program/console.rs
+++ b/src/program/console.rs
@@ -12,14 +12,14 @@
 /// Capacity of the queues of commands and of answers.
 const QUEUE_CAPACITY: usize = 16;
 
-const HELP: &str = "help       print this list
-status     print the state of the program
-exchanges  list the exchanges and gateways
-calls      list the open and established calls, oldest first
-counters   print all counters
-config     print the configuration
-drain      fail the platform's health checks, so that no new calls arrive; 'drain off' ends it
-quit       stop after all accepted calls have been answered
+const HELP: &str = "help       this list
+status     the state of the program in a few lines
+exchanges  the exchanges on the list, and the gateways
+calls      the calls that are open or stand, oldest first
+counters   what was taken in, sent and answered
+config     what the program was told
+drain      fail the platform's tests, so that no new calls come; 'drain off' ends it
+quit       stop, once all calls that were taken have their answer
 ";
 
 /// Effect of a command besides its answer.
@@ -75,15 +75,14 @@
         (Some("config"), None) => out = snapshot.config.summary(),
         (Some("drain"), word @ (None | Some("off"))) => {
             action = Some(Action::Drain(word.is_none()));
-            out =
-                format!("health checks {}\n", if word.is_none() { "fail from now on" } else { "pass again" });
+            out = format!("tests {}\n", if word.is_none() { "fail from now on" } else { "pass again" });
         }
         (Some("quit"), None) => {
             action = Some(Action::Stop);
             out.push_str("stopping\n");
         }
         (Some(other), _) => {
-            let _ = writeln!(out, "no command {other:?} with these arguments; 'help' lists the commands");
+            let _ = writeln!(out, "{other:?} is no command, or not in this form; 'help' lists them");
         }
     }
     (out, action)
--- a/src/program/ctl.rs
+++ b/src/program/ctl.rs
@@ -259,7 +259,7 @@
                 print_body(&body, json);
             }
             Frame::Lost { lost, .. } => {
-                fail(&format!("{lost} events were lost because they were not read in time"));
+                fail(&format!("{lost} events were lost: they were not read in time"));
             }
             Frame::Reply { .. } => {}
         }
@@ -273,18 +273,15 @@
         let body = connection
             .request(&unique_id(), Operation::Show { topic: Topic::Drains, search: String::new() })?;
         let Body::Drains { drains, .. } = &body else {
-            return Err(ClientError::InvalidMessage("the response contains no drains".into()));
+            return Err(ClientError::InvalidMessage("no drains".into()));
         };
         let Some(d) = drains.iter().find(|d| d.target == target) else {
-            fail(&format!("{target}: the drain was ended before the target was empty"));
+            fail(&format!("{target}: its drain was ended"));
             return Ok(Exit::Failed);
         };
         let line = match json {
             true => serde_json::to_string(d).unwrap_or_default(),
-            false => format!(
-                "{}: {}, {} calls established, {} set-ups pending",
-                d.target, d.state, d.standing, d.out
-            ),
+            false => format!("{}: {}, {} stand, {} out", d.target, d.state, d.standing, d.out),
         };
         if line != last {
             print(&line);
@@ -333,10 +330,10 @@
 fn format_body(body: &Body) -> String {
     match body {
         Body::Status(s) => {
-            let worst = if s.worst.is_empty() { "none".to_owned() } else { s.worst.clone() };
+            let worst = if s.worst.is_empty() { "nothing".to_owned() } else { s.worst.clone() };
             format!(
-                "{}: {}, up {} s (version {})\nworst alarm: {worst} ({} alarms)\ncalls: {} open, {} established\n\
-                 exchanges: {} of {} in service, {} drains\nstate folder: {}, log lines lost: {}, clients: {}",
+                "{} is {}, for {} s (version {})\nwrong: {worst} ({} alarms)\ncalls: {} open, {} stand\n\
+                 exchanges: {} of {} in service, {} drains\nstate folder: {}, log lines lost: {}, programs: {}",
                 s.name, s.state, s.up_s, s.version, s.alarms, s.open, s.standing, s.ready, s.listed, s.drains,
                 s.state_folder, s.log_lost, s.clients
             )
@@ -380,10 +377,10 @@
             };
             let [a, b, c] = total(&|span| span.answered.to_string());
             let [d, e, f] = total(&|span| percent(span.in_aim_share));
-            let totals = [["answered".to_owned(), a, b, c], ["within objective".to_owned(), d, e, f]];
+            let totals = [["answered".to_owned(), a, b, c], ["within the aim".to_owned(), d, e, f]];
             let table = format_table(["", "10 S", "1 MIN", "1 H"], totals.into_iter().chain(rows));
             format!(
-                "{table}\nanswer time in the last minute: p50 {} ms, p99 {} ms, p99.9 {} ms",
+                "{table}\nanswers of the last minute: p50 {} ms, p99 {} ms, p99.9 {} ms",
                 s.p50_ms, s.p99_ms, s.p999_ms
             )
         }
@@ -394,7 +391,7 @@
                     d.target.clone(),
                     format!("{} {} s", d.state, d.for_s),
                     format!("{:.0}%", d.progress * 100.0),
-                    format!("{} established, {} pending", d.standing, d.out),
+                    format!("{} stand, {} out", d.standing, d.out),
                     d.limit_left_s.map_or("-".to_owned(), |s| format!("{s} s, {}", d.at_limit)),
                     d.who.clone(),
                     d.reason.clone(),
@@ -406,7 +403,7 @@
                 out += &format!("\n{}", format_round(r));
             }
             for w in windows {
-                let next = w.next_at_ms.map_or("never".to_owned(), format_time);
+                let next = w.next_at_ms.map_or("never again".to_owned(), format_time);
                 let state = if w.open { "open" } else { "closed" };
                 out +=
                     &format!("\nwindow {}: {} for {} s, {state}, next {next}", w.name, w.target, w.length_s);
@@ -460,22 +457,21 @@
 }
 
 fn format_cost(c: &walnuthatch_control::views::Cost) -> String {
-    let mut out =
-        format!("estimated impact of draining {}, from the traffic of the last {} s:\n", c.target, c.over_s);
-    out += &format!("  {:.1} calls per minute would lose their destination\n", c.lost_per_minute);
+    let mut out = format!("{} would cost, by the traffic of the last {} s:\n", c.target, c.over_s);
+    out += &format!("  {:.1} calls a minute lose their destination\n", c.lost_per_minute);
     out += &format!(
-        "  {:.1} calls per minute go direct to it now, {:.1} use it as a tandem\n",
+        "  {:.1} a minute go direct to it now, {:.1} use it as a tandem\n",
         c.direct_per_minute, c.tandem_per_minute
     );
-    out += &format!("  {} calls are established on it, {} set-ups are pending\n", c.standing, c.out);
+    out += &format!("  {} calls stand there, {} set-ups are out\n", c.standing, c.out);
     for d in &c.displaced {
         let routes: Vec<String> = d.ways.iter().map(ToString::to_string).collect();
         out += &format!(
-            "  {:.1} calls per minute for exchange {} ({:.1} erlangs) would be routed over {}\n",
+            "  {:.1} calls a minute for exchange {} ({:.1} erlangs) would go over {}\n",
             d.per_minute,
             d.destination,
             d.erlangs,
-            if routes.is_empty() { "no other exchange".to_owned() } else { routes.join(", ") }
+            if routes.is_empty() { "nothing".to_owned() } else { routes.join(", ") }
         );
     }
     for g in &c.groups {
@@ -490,19 +486,19 @@
         );
     }
     for e in &c.no_way {
-        out += &format!("  exchange {e} would have no route left\n");
+        out += &format!("  exchange {e} would be left without a way\n");
     }
     out + &c
         .denied
         .as_ref()
-        .map_or("the drain would be accepted".to_owned(), |d| format!("the drain would be rejected: {d}"))
+        .map_or("it would be taken".to_owned(), |d| format!("it would be turned down: {d}"))
 }
 
 /// Formats a round as one line.
 fn format_round(r: &walnuthatch_control::views::Round) -> String {
     let reason = if r.halted.is_empty() { String::new() } else { format!(" ({})", r.halted) };
     format!(
-        "round {} by {}: {} of {} done, {}{reason} for {} s: {}",
+        "round {} of {}: {} of {} done, {}{reason} for {} s: {}",
         r.order,
         r.who,
         r.done,
--- a/tests/fault_trials.rs
+++ b/tests/fault_trials.rs
@@ -41,7 +41,7 @@
     let threads: Vec<_> = SEEDS.iter().map(spawn_trial).collect();
     let verdicts: Vec<(u64, Verdict)> = threads.into_iter().map(|t| t.join().unwrap()).collect();
     for (seed, verdict) in &verdicts {
-        let outcome = if verdict.judged { "judged" } else { "NOT JUDGED: the machine stalled" };
+        let outcome = if verdict.judged { "judged" } else { "NOT JUDGED: the machine stood still" };
         // Written to stderr directly, since the test harness captures the output of `eprintln!`.
         writeln!(std::io::stderr(), "fault trial {seed}: {outcome}, {} requests", verdict.requests).unwrap();
     }
