--- a/crates/drains/src/target.rs
+++ b/crates/drains/src/target.rs
@@ -35,7 +35,7 @@
 
 /// The error for a text that does not name a target.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{0:?} is not a drain target: expected exchange:NUMBER, group:NUMBER or controller")]
+#[error("{0:?} is no target: expected exchange:NUMBER, group:NUMBER or controller")]
 pub struct ParseTargetError(pub String);
 
 impl FromStr for Target {
--- a/crates/trials/src/record_file.rs
+++ b/crates/trials/src/record_file.rs
@@ -38,7 +38,7 @@
         cause: serde_json::Error,
     },
     /// The last event, which marks a complete record, is missing.
-    #[error("{path}: the record is truncated after {events} events")]
+    #[error("{path}: the record was cut short after {events} events")]
     Truncated {
         /// Path of the file.
         path: PathBuf,
