--- a/tests/gateways.rs
+++ b/tests/gateways.rs
@@ -389,8 +389,17 @@
     let mut stream = TcpStream::connect(program.callers).unwrap();
     stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     let sid = "9b1f03aa5c7e2d41";
-    let open = serde_json::json!({"msg": "open", "sid": sid, "text": SDP_A, "attrs":
-        {"class": "status-report", "left": "9000", "key": "7f3a9c21e0b4d655", "extras": "dest:2;width:1;via:-1"}});
+    let open = serde_json::json!({
+        "msg": "open",
+        "sid": sid,
+        "text": SDP_A,
+        "attrs": {
+            "class": "status-report",
+            "left": "9000",
+            "key": "7f3a9c21e0b4d655",
+            "extras": "dest:2;width:1;via:-1",
+        },
+    });
     writeln!(stream, "{open}").unwrap();
     let crcx = b.command("CRCX");
     assert_eq!(crcx.sdp(), Some(SDP_A));
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -69,8 +69,15 @@
     for n in 0..50 {
         let call = ledger.offer(20 * MS + n, offer(3_000 * MS));
         let refused = |o: &Output| {
-            matches!(o, Output::Answer { call: c, answer: Answer::Refused { retry_after }, reason: AnswerReason::Shutdown, .. }
-                if *c == call && *retry_after == 2_000 * MS)
+            matches!(
+                o,
+                Output::Answer {
+                    call: c,
+                    answer: Answer::Refused { retry_after },
+                    reason: AnswerReason::Shutdown,
+                    ..
+                } if *c == call && *retry_after == 2_000 * MS
+            )
         };
         let outputs = ledger.take_outputs();
         assert_eq!(outputs.iter().filter(|o| refused(o)).count(), 1);
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -1,5 +1,5 @@
 //! Calls over JSON lines on loopback sockets: the program as a process, with stand-in callers, exchanges and a
-//! coordinator. To tolerate a busy machine, most times are checked against one bound only.
+//! coordinator. To tolerate a busy machine, each time is checked against one bound only.
 
 mod common;
 
@@ -147,7 +147,12 @@
     let mut caller = JsonConnection::connect(callers);
     caller.send(open_message(&sid(8), 1, 9000));
     exchanges[0].receive_for(&sid(8));
-    let refusal = json!({"msg": "close", "sid": sid(8), "attrs": {"note": "queue_long", "load": "x0:3;x1:20"}, "code": 34});
+    let refusal = json!({
+        "msg": "close",
+        "sid": sid(8),
+        "attrs": {"note": "queue_long", "load": "x0:3;x1:20"},
+        "code": 34,
+    });
     let start = Instant::now();
     exchanges[0].send(refusal);
     let answer = caller.receive();
@@ -409,8 +414,8 @@
     assert_eq!(caller.receive_for(&sid(80))["msg"], "ready");
 }
 
-/// Callers keep sending calls for a moment after SIGTERM. The program must answer them and
-/// exit only when no call is open.
+/// Callers keep sending calls for a moment after SIGTERM. The program must answer them and exit only when no call is
+/// open.
 #[test]
 fn after_sigterm_new_calls_are_accepted_for_a_while_and_every_call_is_answered() {
     let exchange_listener = listener();
