--- a/tests/appliance.rs
+++ b/tests/appliance.rs
@@ -34,9 +34,10 @@
         let folder = std::env::temp_dir().join(format!("wha-{}-{number}", std::process::id()));
         drop(fs::remove_dir_all(&folder));
         fs::create_dir_all(&folder).unwrap();
-        let traits = |seed| ExchangeConfig { circuits: 400, delay: Duration::from_millis(5), hold, seed };
+        let exchange_config =
+            |seed| ExchangeConfig { circuits: 400, delay: Duration::from_millis(5), hold, seed };
         let exchanges: Vec<Exchange> =
-            (1..=exchanges).map(|n| Exchange::start(None, traits(n.into())).unwrap()).collect();
+            (1..=exchanges).map(|n| Exchange::start(None, exchange_config(n.into())).unwrap()).collect();
         let path = |name: &str| folder.join(name).display().to_string();
         let mut text = format!(
             "enabled = true\n[control]\nsocket = {:?}\n[state]\nfolder = {:?}\n[site]\nname = \"t\"\n\
@@ -137,8 +138,8 @@
 }
 
 /// Asserts that every call got exactly one answer before its client timed out, and that none failed.
-fn assert_all_answered(table: &LoadReport) {
-    assert!(table.unanswered == 0 && table.duplicate_answers == 0 && table.failed == 0, "{table}");
+fn assert_all_answered(report: &LoadReport) {
+    assert!(report.unanswered == 0 && report.duplicate_answers == 0 && report.failed == 0, "{report}");
 }
 
 /// Resident memory (KiB).
@@ -154,7 +155,7 @@
     let site = Site::new(3, Duration::from_millis(500), "");
     let (program, callers_address) = site.start_and_wait();
     // Clients that watch every topic ten times a second and read nothing.
-    let frozen: Vec<Connection> = (0..4)
+    let watchers: Vec<Connection> = (0..4)
         .map(|n| {
             let mut operator = site.operator();
             let watch = Operation::Watch { topics: TOPICS.to_vec(), every_ms: 100, search: String::new() };
@@ -165,12 +166,12 @@
     let callers = Callers::start(callers_address, load(100.0, 10, &[1, 2, 3])).unwrap();
     std::thread::sleep(Duration::from_secs(3));
     let before = resident_memory_kib(&program);
-    let table = callers.finish();
-    assert_all_answered(&table);
-    assert!(table.late == 0 && table.established == 1000, "{table}");
+    let report = callers.finish();
+    assert_all_answered(&report);
+    assert!(report.late == 0 && report.established == 1000, "{report}");
     let after = resident_memory_kib(&program);
     assert!(after < before + 4096, "{before} KiB, then {after} KiB");
-    drop(frozen);
+    drop(watchers);
 }
 
 /// The connection that ordered the drain breaks. The drain must continue, send the exchange no set-up once it is in
@@ -206,13 +207,13 @@
     let answer = operator.request("u1", undrain("exchange:1")).unwrap();
     assert!(matches!(answer, Body::Done { order: 2, .. }), "{answer:?}");
     wait_until("the exchange gets set-ups again", || (site.exchanges[0].set_ups() > before).then_some(()));
-    let table = callers.finish();
-    assert_all_answered(&table);
-    assert!(table.late == 0 && table.refused > 0, "{table}");
-    let kinds: Vec<String> =
+    let report = callers.finish();
+    assert_all_answered(&report);
+    assert!(report.late == 0 && report.refused > 0, "{report}");
+    let texts: Vec<String> =
         events(&mut operator).into_iter().filter(|e| e.kind == "drain").map(|e| e.text).collect();
     let steps = ["shedding", "emptying", "empty", "restored"];
-    assert!(steps.iter().zip(&kinds).all(|(s, k)| k.contains(s)), "{kinds:?}");
+    assert!(steps.iter().zip(&texts).all(|(step, text)| text.contains(step)), "{texts:?}");
 }
 
 /// An operator that repeats a request after a lost answer must not change the drain twice. A drain and an undrain at
@@ -281,7 +282,8 @@
     assert_eq!(drains(&mut operator).len(), 1);
     assert_eq!(operator.request("k1", drain("exchange:1")).unwrap(), first);
     assert!(site.exchanges[0].set_ups() == 0 && drains(&mut operator).len() == 1);
-    // Killed when the exchange is empty; the drain must be there after the restart.
+    // Killed when the exchange is empty. After the restart the drain must be there at once, although its state is
+    // determined anew over time.
     for stage in ["shedding", "emptying", "empty"] {
         wait_until(stage, || {
             let current = drain_state(&mut operator, "exchange:1");
@@ -298,7 +300,8 @@
     let (program, _) = site.start_and_wait();
     let mut operator = site.operator();
     assert!(drains(&mut operator).is_empty());
-    // Killed before the answer: whether or not the drain was saved, repeating the request leaves one in force.
+    // Killed before the answer: whether or not the drain was saved, the drain that is shown must be the one in force,
+    // and repeating the request must leave exactly one.
     operator.send("k3", drain("exchange:2")).unwrap();
     kill(program);
     let (_program, callers_address) = site.start_and_wait();
@@ -306,9 +309,9 @@
     let saved = drain_state(&mut operator, "exchange:2") != "none";
     operator.request("k3", drain("exchange:2")).unwrap();
     assert_eq!(drains(&mut operator).len(), 1, "drained before the repeated request: {saved}");
-    let table = Callers::start(callers_address, load(50.0, 1, &[2])).unwrap().finish();
-    assert_all_answered(&table);
-    assert!(table.refused > 0, "{table}");
+    let report = Callers::start(callers_address, load(50.0, 1, &[2])).unwrap().finish();
+    assert_all_answered(&report);
+    assert!(report.refused > 0, "{report}");
 }
 
 /// A reload, with valid or faulty rules, must not end a drain; a stop must not lose calls or leave the socket behind.
@@ -339,8 +342,8 @@
     wait_until("the exchange is empty", || {
         (drain_state(&mut operator, "exchange:1") == "empty").then_some(())
     });
-    let table = callers.finish();
-    assert_all_answered(&table);
+    let report = callers.finish();
+    assert_all_answered(&report);
     program.signal("TERM");
     assert!(program.wait_for_exit().success());
     assert!(!site.socket().exists(), "the socket is removed at exit");
@@ -353,8 +356,8 @@
     let (_program, callers_address) = site.start_and_wait();
     let callers = Callers::start(callers_address, load(40.0, 1, &[1])).unwrap();
     wait_until("calls are established at the exchange", || (callers.established_calls() > 20).then_some(()));
-    let table = callers.report();
-    assert_eq!(table.failed, 0);
+    let report = callers.report();
+    assert_eq!(report.failed, 0);
     let mut operator = site.operator();
     operator.request("d", drain("exchange:1")).unwrap();
     wait_until("the exchange is emptying", || {
@@ -453,9 +456,9 @@
     wait_until("the alarm is raised", || {
         status(&mut operator).worst.contains("would not survive").then_some(())
     });
-    let table = Callers::start(callers_address, load(50.0, 1, &[2])).unwrap().finish();
-    assert_all_answered(&table);
-    assert_eq!(table.established, table.offered, "{table}");
+    let report = Callers::start(callers_address, load(50.0, 1, &[2])).unwrap().finish();
+    assert_all_answered(&report);
+    assert_eq!(report.established, report.offered, "{report}");
     drop(program);
 }
 
@@ -520,9 +523,9 @@
             .then_some(operator)
     });
     operator.request("d", drain("exchange:1")).unwrap();
-    let table = callers.finish();
-    assert_all_answered(&table);
-    assert_eq!(table.late, 0, "{table}");
+    let report = callers.finish();
+    assert_all_answered(&report);
+    assert_eq!(report.late, 0, "{report}");
     drop(idle);
     line_flood.join().unwrap();
     request_flood.join().unwrap();
--- a/tests/common/json_lines.rs
+++ b/tests/common/json_lines.rs
@@ -141,7 +141,7 @@
     start_program_with(accept_reporting, exchanges, overrides)
 }
 
-/// [`start_program`] with a function of its own that accepts the exchanges' connections.
+/// Like [`start_program`], but accepts each exchange's connection with `accept`.
 pub fn start_program_with(
     accept: fn(&TcpListener) -> JsonConnection,
     exchanges: &[&TcpListener],
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -59,7 +59,7 @@
 impl Drop for Program {
     fn drop(&mut self) {
         if std::thread::panicking() {
-            // Show the program's log together with the failed assertion.
+            // Print the program's log: it is the first place to look for the cause of a failure.
             self.log_lines.lock().unwrap().iter().for_each(|line| println!("{line}"));
         }
         drop(self.child.kill());
--- a/tests/gossip.rs
+++ b/tests/gossip.rs
@@ -18,7 +18,7 @@
 use walnuthatch_gossip::{Exchange as GossipExchange, MemberId};
 use walnuthatch_standin::{Callers, Exchange, ExchangeConfig, Load, LoadReport};
 
-/// A key file with one key of this repeated hexadecimal digit, which signs.
+/// A key file with one signing key, whose secret repeats this hexadecimal digit.
 fn key_file(digit: char) -> String {
     format!("[[key]]\nid = 1\nsecret = \"{}\"\nseals = true\n", digit.to_string().repeat(64))
 }
@@ -96,13 +96,13 @@
 
 /// Starts this many stand-in exchanges.
 fn start_exchanges(count: u64) -> Vec<Exchange> {
-    let traits = |seed| ExchangeConfig {
+    let exchange_config = |seed| ExchangeConfig {
         circuits: 500,
         delay: Duration::from_millis(5),
         hold: Duration::from_millis(300),
         seed,
     };
-    (0..count).map(|seed| Exchange::start(None, traits(seed)).unwrap()).collect()
+    (0..count).map(|seed| Exchange::start(None, exchange_config(seed)).unwrap()).collect()
 }
 
 /// Starts this many instances and waits until each has every other as a member.
@@ -147,14 +147,14 @@
     wait_until("the third instance suspects exchange 1", || {
         (instances[2].suspected_exchanges() == [1]).then_some(())
     });
-    // An instance sends a suspected exchange at most one set-up; the bound covers all three instances.
+    // An instance sends a suspected exchange only one set-up at a time; the bound covers all three instances.
     let set_ups_before = exchanges[0].set_ups();
     let late_callers = Callers::start(instances[2].callers, load(40.0, 1, &[1], 10)).unwrap();
     let sent = exchanges[0].set_ups() - set_ups_before;
     assert!(sent <= 20, "{sent} set-ups by all three instances");
     exchanges[0].hang(false);
-    let assert_answered = |table: &LoadReport| {
-        assert!(table.unanswered + table.duplicate_answers + table.failed == 0, "{table}")
+    let assert_answered = |report: &LoadReport| {
+        assert!(report.unanswered + report.duplicate_answers + report.failed == 0, "{report}")
     };
     assert_answered(&late_callers.finish());
     busy.into_iter().for_each(|callers| assert_answered(&callers.finish()));
@@ -238,8 +238,8 @@
             std::thread::sleep(send_at.saturating_duration_since(Instant::now()));
         }
     });
-    for table in callers.into_iter().map(Callers::finish) {
-        assert!(table.established == table.offered && table.late == 0, "{table}");
+    for report in callers.into_iter().map(Callers::finish) {
+        assert!(report.established == report.offered && report.late == 0, "{report}");
     }
     flood.join().unwrap();
     let seconds = started_at.elapsed().as_secs_f64();
