--- a/tests/appliance.rs
+++ b/tests/appliance.rs
@@ -29,7 +29,7 @@
 impl Site {
     /// Starts the exchanges, whose calls last `hold` on average; `extra` is appended to the configuration file.
     fn new(exchanges: u16, hold: Duration, extra: &str) -> Site {
-        // A short path, since the path of a Unix socket is limited to about 100 bytes.
+        // A short path, since the path of a socket may have no more than 100 bytes.
         let number = SITE_COUNT.fetch_add(1, Ordering::Relaxed);
         let folder = std::env::temp_dir().join(format!("wha-{}-{number}", std::process::id()));
         drop(fs::remove_dir_all(&folder));
