--- a/tests/fault_trials.rs
+++ b/tests/fault_trials.rs
@@ -11,7 +11,10 @@
 /// Seeds in which an earlier version violated a rule, each with the job number that selects its addresses.
 const SEEDS: [(u64, u8); 4] = [(5, 21), (24, 22), (47, 23), (59, 24)];
 /// Maximum number of runs of a trial during which the machine stalls, after which it is reported as not judged.
-const MAX_RUNS: u32 = 3;
+const MAX_RUNS: u8 = 3;
+/// Distance between the job numbers of successive runs of a trial: the listeners of a run stay open until the process
+/// ends, so the next run needs other addresses.
+const JOBS_PER_RUN: u8 = 10;
 
 fn run_and_check(seed: u64, job: u8) -> Verdict {
     let folder: PathBuf = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("trial-{seed}"));
@@ -26,11 +29,11 @@
 
 fn run_until_judged(seed: u64, job: u8) -> Verdict {
     let mut verdict = run_and_check(seed, job);
-    for _ in 1..MAX_RUNS {
+    for run in 1..MAX_RUNS {
         if verdict.judged {
             break;
         }
-        verdict = run_and_check(seed, job);
+        verdict = run_and_check(seed, job + run * JOBS_PER_RUN);
     }
     verdict
 }
